--- a/src/robinthread/_internal/jobs/blame.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from robinthread._internal.jobs.crash_book import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashNoteKind
 from robinthread._internal.jobs.crashes import Crash, explain_some, is_to_blame, list_caused
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.task import Task
@@ -11,7 +11,7 @@
 def set_crashes(pool: PoolJobs, task: Task, crashes: Sequence[Crash]) -> None:
     """Have crashes of hosts count for a task, or for the gang that it is first of."""
     pool.note_crashes(pool.jobs[task.key.job_id], task, crashes)
-    if task.runs and pool.crash_book.is_suspect(task):
+    if task.runs and pool.crash_tracker.is_suspect(task):
         # It gets no copy while it is suspect.
         pool.waiting.pop(task.key, None)
 
@@ -25,8 +25,8 @@
         each for each in task.crashes if (each.run, each.host_id) != (crash.run, crash.host_id)
     ]
     set_crashes(pool, task, [*others, crash])
-    if pool.crash_book.is_suspect(task):
-        pool.crash_book.note(CrashNoteKind.SUSPECTED, task, (crash.host_id,))
+    if pool.crash_tracker.is_suspect(task):
+        pool.crash_tracker.note(CrashNoteKind.SUSPECTED, task, (crash.host_id,))
     if is_to_blame(task.crashes, task.step.is_lasting):
         _give_up(pool, task, now_ms)
 
@@ -35,7 +35,7 @@
     """Fail the job of a task that crashes its hosts; what it crashed blames no other."""
     caused = list_caused(task.crashes)
     host_ids = {crash.host_id for crash in caused}
-    pool.crash_book.note(CrashNoteKind.GIVEN_UP, task, host_ids)
+    pool.crash_tracker.note(CrashNoteKind.GIVEN_UP, task, host_ids)
     pool.fail(pool.jobs[task.key.job_id], now_ms)
-    for other in pool.crash_book.note_cause_found(host_ids):
+    for other in pool.crash_tracker.note_cause_found(host_ids):
         set_crashes(pool, other, explain_some(other.crashes, caused))
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
-from robinthread._internal.jobs.blame import add_crash, set_crashes
-from robinthread._internal.jobs.crash_book import RACK_LOST_WITHIN_S, LostHost
+from robinthread._internal.jobs.crash_attribution import add_crash, set_crashes
+from robinthread._internal.jobs.crash_tracker import RACK_LOST_WITHIN_S, LostHost
 from robinthread._internal.jobs.crashes import INNOCENT_S, START_S, UNKNOWN_AGE_MS, Crash
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
@@ -37,9 +37,9 @@
         pool.remove_host(host.id, now_ms, carried, successor)
         return
     at_s = host.get_lost_at_s()
-    found = [*pool.crash_book.take_lapsed(host.id), *_find_crashes(pool, host, at_s)]
+    found = [*pool.crash_tracker.take_lapsed(host.id), *_find_crashes(pool, host, at_s)]
     record, ran_anything = host.record, bool(found or host.runs)
-    pool.crash_book.note_lost(LostHost(host.id, record.machine, record.rack, at_s, ran_anything))
+    pool.crash_tracker.note_lost(LostHost(host.id, record.machine, record.rack, at_s, ran_anything))
     _end_trials(pool, found, now_s)
     pool.remove_host(host.id, now_ms, carried, successor)
     for task, crash in found:
@@ -56,7 +56,7 @@
         pool.lapse_host(host, now_ms)
         return
     found = _find_crashes(pool, host, host.get_lost_at_s())
-    pool.crash_book.note_lapsed(host.id, found)
+    pool.crash_tracker.note_lapsed(host.id, found)
     _end_trials(pool, found, now_s)
     pool.lapse_host(host, now_ms)
     if host.broken_at_s is not None:
@@ -66,7 +66,7 @@
 
 def withdraw_lapsed(pool: PoolJobs, host: Host) -> None:
     """Note that a host answers again: it has not crashed."""
-    for task, crash in pool.crash_book.take_lapsed(host.id):
+    for task, crash in pool.crash_tracker.take_lapsed(host.id):
         if task.key.job_id in pool.jobs and crash.host_id in {
             each.host_id for each in task.crashes
         }:
@@ -75,7 +75,7 @@
 
 
 def _end_trials(pool: PoolJobs, found: Iterable[tuple[Task, Crash]], now_s: float) -> None:
-    trials = pool.crash_book.trials
+    trials = pool.crash_tracker.trials
     for task, crash in found:
         if trials.is_run_of(task.key, crash.run):
             trials.note_lost(now_s)
@@ -98,7 +98,7 @@
 ) -> Crash:
     others = [other for other in lost_runs if other.counted is not lost.counted]
     is_close = host.broken_at_s is not None and (lost.age_s or 0.0) < START_S
-    trial = pool.crash_book.trials.get(lost.counted.key)
+    trial = pool.crash_tracker.trials.get(lost.counted.key)
     is_sure = False
     if trial is not None and trial.run == lost.run.number:
         is_sure = (is_close and _are_all_older(others, START_S)) or (
@@ -136,7 +136,7 @@
     ]
     if any(other.contact is HostContact.ANSWERING for other in others):
         return False
-    return pool.crash_book.was_rack_lost(rack, at_s) or any(
+    return pool.crash_tracker.was_rack_lost(rack, at_s) or any(
         other.contact is HostContact.SILENT
         and abs(other.get_lost_at_s() - at_s) <= RACK_LOST_WITHIN_S
         for other in others
--- a/src/robinthread/_internal/jobs/host_succession.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -5,9 +5,9 @@
 
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_loss import note_crashed
-from robinthread._internal.jobs.late_starts import RunKey
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
+from robinthread._internal.jobs.unconfirmed_starts import RunKey
 
 
 def end_former(
@@ -65,5 +65,5 @@
     if run.phase is RunPhase.RECORDING:
         return False
     host_id = pool.hosts[run.host_id].record.id
-    is_open = pool.late_starts.is_open(host_id, run.key)
+    is_open = pool.unconfirmed_starts.is_open(host_id, run.key)
     return run.key in present or is_open or run.settled_at_s >= asked_at_s
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Collection, Iterable, Iterator
 
-from robinthread._internal.jobs.doubts import list_doubted
 from robinthread._internal.jobs.host import Host
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.job_timing import get_slack_s
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.task import Task
+from robinthread._internal.jobs.unresponsive_hosts import list_doubted
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.models.resources import Resources
 
@@ -52,7 +52,7 @@
     """
     if not pool.are_rooms_known:
         return []
-    left_out = list_doubted(pool, now_s) | pool.crash_book.trials.reserved
+    left_out = list_doubted(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
         host
         for host in pool.hosts.values()
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -4,17 +4,17 @@
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-from robinthread._internal.jobs.crash_book import CrashBook
+from robinthread._internal.jobs.crash_tracker import CrashBook
 from robinthread._internal.jobs.crashes import Crash
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_lease import ForeignLeases, HostLease
 from robinthread._internal.jobs.job import Job
-from robinthread._internal.jobs.late_starts import LateStarts
 from robinthread._internal.jobs.progress import JobProgress, restore_progress
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.jobs.tickets import TicketBook
+from robinthread._internal.jobs.unconfirmed_starts import LateStarts
 from robinthread._internal.jobs.workspace_room import WorkspaceRoom
 from robinthread._internal.models.host_report import RunEnd
 from robinthread._internal.models.job_spec import JobSpec
@@ -49,8 +49,8 @@
         self.kept_hosts: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
         self.tickets = TicketBook()
-        self.crash_book = CrashBook()
-        self.late_starts = LateStarts()
+        self.crash_tracker = CrashBook()
+        self.unconfirmed_starts = LateStarts()
         self.workspaces = WorkspaceRoom()
         self.are_rooms_known = True
 
@@ -82,7 +82,7 @@
                 run.settled_at_s = now_s
                 self._get_host(run.host_id).add_run(run, task.step.room)
                 self.workspaces.note_begun(spec.workspace, task.step.claim)
-        self.crash_book.resume_trials(job)
+        self.crash_tracker.resume_trials(job)
         return job
 
     def open_due(self, job: Job, now_ms: int) -> None:
@@ -130,7 +130,7 @@
         """
         job = self.jobs[task.key.job_id]
         is_wanted = not job.status.is_final and not task.is_done
-        is_sound = not self.crash_book.is_suspect(task)
+        is_sound = not self.crash_tracker.is_suspect(task)
         if is_wanted and is_sound and task.step.allows_copies and len(task.runs) == 1:
             self.waiting[task.key] = task
 
@@ -228,7 +228,7 @@
             for run in carried:
                 self._move_run(run, host, successor)
         self.lapse_host(host, now_ms)
-        self.crash_book.take_lapsed(host_id)
+        self.crash_tracker.take_lapsed(host_id)
         del self.hosts[host_id]
 
     def lapse_host(self, host: Host, now_ms: int) -> None:
@@ -238,7 +238,7 @@
 
     def note_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
         """Note which crashes of hosts count for a task, or for the gang that it is first of."""
-        self.crash_book.set_crashes(task, crashes)
+        self.crash_tracker.set_crashes(task, crashes)
         job.blamed.discard(task.key)
         if any(crash.is_sure for crash in crashes):
             job.blamed.add(task.key)
@@ -246,9 +246,9 @@
 
     def is_held(self, task: Task) -> bool:
         """Tell whether a task is not started among others: it is suspect, or its job's is."""
-        if not self.crash_book.suspects:
+        if not self.crash_tracker.suspects:
             return False
-        return bool(self.jobs[task.key.job_id].blamed) or self.crash_book.is_suspect(task)
+        return bool(self.jobs[task.key.job_id].blamed) or self.crash_tracker.is_suspect(task)
 
     def get_counted(self, run: Run) -> Task:
         """Return the task whose crashes count for a run."""
@@ -286,8 +286,8 @@
         task.runs.remove(run)
         self.hosts[run.host_id].remove_run(run, task.step.room)
         self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
-        if self.crash_book.trials.is_run_of(task.counted_key, run.number):
-            self.crash_book.trials.drop(task.counted_key)
+        if self.crash_tracker.trials.is_run_of(task.counted_key, run.number):
+            self.crash_tracker.trials.drop(task.counted_key)
         return True
 
     def _move_run(self, run: Run, host: Host, successor: Host) -> None:
@@ -363,6 +363,6 @@
         self.tickets.drop_job(job.id)
         for task in job.tasks.values():
             self.waiting.pop(task.key, None)
-            self.crash_book.forget(task)
+            self.crash_tracker.forget(task)
             for run in list(task.runs):
                 self.stop(run)
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -13,8 +13,8 @@
 from functools import partial
 from typing import Final
 
-from robinthread._internal.jobs.blame import set_crashes
-from robinthread._internal.jobs.crash_book import CrashNoteKind
+from robinthread._internal.jobs.crash_attribution import set_crashes
+from robinthread._internal.jobs.crash_tracker import CrashNoteKind
 from robinthread._internal.jobs.crashes import (
     INNOCENT_S,
     START_S,
@@ -48,11 +48,11 @@
 
     Those go first that were the cause of no crash for sure, for most of them are sound.
     """
-    trials = pool.crash_book.trials
+    trials = pool.crash_tracker.trials
     trials.drop_waiting()
     waiting = [
         task
-        for task in pool.crash_book.suspects.values()
+        for task in pool.crash_tracker.suspects.values()
         if task.key in pool.waiting and _may_go_on(pool, task)
     ]
     if not waiting:
@@ -79,12 +79,12 @@
 
 def note_outlived(pool: PoolJobs, now_s: float) -> None:
     """Clear the suspects that have outlived their start, apart from others."""
-    for trial in pool.crash_book.trials.list_all():
-        task = pool.crash_book.suspects.get(trial.task)
+    for trial in pool.crash_tracker.trials.list_all():
+        task = pool.crash_tracker.suspects.get(trial.task)
         if task is not None and trial.run and _has_outlived(pool, task, trial, now_s):
-            pool.crash_book.trials.drop(trial.task)
+            pool.crash_tracker.trials.drop(trial.task)
             set_crashes(pool, task, () if trial.is_alone else explain_all(task.crashes))
-            pool.crash_book.note(CrashNoteKind.CLEARED, task, trial.host_ids)
+            pool.crash_tracker.note(CrashNoteKind.CLEARED, task, trial.host_ids)
 
 
 def is_ready(host: Host, is_alone: bool, now_s: float) -> bool:
@@ -107,7 +107,7 @@
     blamed = pool.jobs[task.key.job_id].blamed
     if blamed and task.key != min(blamed):
         return False
-    return not must_be_alone(task.crashes) or not pool.crash_book.awaits_fate(task)
+    return not must_be_alone(task.crashes) or not pool.crash_tracker.awaits_fate(task)
 
 
 def _count_sure(task: Task) -> int:
@@ -116,7 +116,7 @@
 
 def _count_to_spare(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> int:
     """Count the hosts that the pool can spare for a suspect, should they crash."""
-    trials = pool.crash_book.trials
+    trials = pool.crash_tracker.trials
     host_count = len(usable) + len(trials.reserved)
     at_stake = trials.count_at_stake(now_s)
     if not _count_sure(task):
@@ -145,7 +145,7 @@
     pool: PoolJobs, task: Task, usable: list[Host], is_alone: bool, now_s: float
 ) -> Host | None:
     """Return the host for a suspect: of a machine that has not crashed, with the fewest runs."""
-    job, counts = pool.jobs[task.key.job_id], pool.crash_book.count_by_machine()
+    job, counts = pool.jobs[task.key.job_id], pool.crash_tracker.count_by_machine()
     own = {crash.machine for crash in task.crashes}
     fitting = (
         host
@@ -184,7 +184,7 @@
         trial.run = task.last_run
         for run in _iter_runs(pool, task, trial):
             run.is_alone = trial.is_alone
-        pool.crash_book.note(CrashNoteKind.TRIED, task, trial.host_ids)
+        pool.crash_tracker.note(CrashNoteKind.TRIED, task, trial.host_ids)
     return placed
 
 
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_follower.py
@@ -12,8 +12,8 @@
     HostSilentError,
 )
 from robinthread._internal.jobs.host_loss import note_lapsed, withdraw_lapsed
-from robinthread._internal.jobs.late_starts import LATE_MAX_S
 from robinthread._internal.jobs.run import RunPhase
+from robinthread._internal.jobs.unconfirmed_starts import LATE_MAX_S
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_lives import FIRST_ANSWER_MAX_S, HostLives
@@ -113,7 +113,7 @@
         """Tell whether tasks wait for what the host answers, or may be harmed until it does."""
         if self.lives.host is not None and self.lives.host.runs:
             return True
-        return bool(self._jobs.late_starts.list_open(self.lives.listed.id, get_loop_s()))
+        return bool(self._jobs.unconfirmed_starts.list_open(self.lives.listed.id, get_loop_s()))
 
     async def _watch(self, wait_s: float) -> HostReport:
         """Look at the host; renew its lease and acknowledge ends only while it answers.
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -6,8 +6,8 @@
 from typing import Final
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_succession import adopt_runs, end_former, find_lives
-from robinthread._internal.jobs.late_starts import RunKey
+from robinthread._internal.jobs.host_restart import adopt_runs, end_former, find_lives
+from robinthread._internal.jobs.unconfirmed_starts import RunKey
 from robinthread._internal.models.host_life import make_life_id
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
@@ -139,7 +139,7 @@
 
     def _settle(self, host: Host) -> None:
         """Keep work from a life until what was sent to the one before can harm it no more."""
-        now_s, late = get_loop_s(), self._jobs.late_starts
+        now_s, late = get_loop_s(), self._jobs.unconfirmed_starts
         keys = [key for key in late.list_open(host.record.id, now_s) if key not in host.runs]
         until_s = max(late.get_until_s(host.record.id), self.silent_look_until_s)
         if until_s <= now_s:
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -264,7 +264,7 @@
 
     async def _send_noted(self, run: Run, host: Host, order: StartOrder) -> None:
         """Send a start; one without an answer may be carried out by the host's next life."""
-        late, host_id = self._runtime.jobs.late_starts, host.record.id
+        late, host_id = self._runtime.jobs.unconfirmed_starts, host.record.id
         late.note_sent(host_id, run.key, get_loop_s())
         try:
             await self._context.hosts.start(host.record, order)
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_succession import find_lives
+from robinthread._internal.jobs.host_restart import find_lives
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_ends import end_host
 from robinthread._internal.node.host_follower import HostFollower
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -6,12 +6,12 @@
 from typing import Final
 
 from robinthread._internal.fleet.pool_report import HostStanding, LackReport, PoolReport
-from robinthread._internal.jobs.crash_book import CrashNote
+from robinthread._internal.jobs.crash_tracker import CrashNote
 from robinthread._internal.jobs.demand import Demand
-from robinthread._internal.jobs.doubts import list_doubted
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run
+from robinthread._internal.jobs.unresponsive_hosts import list_doubted
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.models.workspace_shares import ShareState
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -64,9 +64,9 @@
             **_tell_workspace(pool, job.spec.workspace),
             silent_hosts=_count(pool.hosts.values(), HostContact.SILENT),
             unheard_hosts=_count(pool.hosts.values(), HostContact.UNHEARD),
-            suspect_count=sum(pool.crash_book.is_suspect(task) for task in tasks),
+            suspect_count=sum(pool.crash_tracker.is_suspect(task) for task in tasks),
             is_held=bool(job.blamed),
-            reserved_hosts=len(pool.crash_book.trials.reserved),
+            reserved_hosts=len(pool.crash_tracker.trials.reserved),
             paused_hosts=sum(host.is_paused(now_s) for host in pool.hosts.values()),
             store_unconfirmed_for_s=round(self._runtime.context.get_unconfirmed_s(), 3),
         )
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterator
 from dataclasses import dataclass
 
-from robinthread._internal.jobs.crash_book import BAD_MACHINE_PAUSE_MAX_S
+from robinthread._internal.jobs.crash_tracker import BAD_MACHINE_PAUSE_MAX_S
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
--- a/tests/unit/test_crash_records.py
+++ b/tests/unit/test_crash_records.py
@@ -41,7 +41,7 @@
         pool = restore(self.value)
         task = pool.jobs[SPEC.job_id].get_task(KEY)
         self.assertEqual(CRASHES, task.crashes)
-        self.assertTrue(pool.crash_book.is_suspect(task))
+        self.assertTrue(pool.crash_tracker.is_suspect(task))
         self.assertEqual({KEY}, pool.jobs[SPEC.job_id].blamed)
 
     def test_next_owner_starts_nothing_beside_a_suspect_that_runs_alone(self) -> None:
@@ -51,10 +51,10 @@
         task.add_run("h3").is_alone = True
         pool.note_crashes(job, task, CRASHES)
         resumed = restore(encode_progress(job))
-        self.assertEqual({"h3"}, resumed.crash_book.trials.reserved)
+        self.assertEqual({"h3"}, resumed.crash_tracker.trials.reserved)
         run = resumed.jobs[SPEC.job_id].get_task(KEY).runs[0]
         resumed.end_run(run, RunEnd.DONE, "", 0)
-        self.assertEqual(frozenset(), resumed.crash_book.trials.reserved)
+        self.assertEqual(frozenset(), resumed.crash_tracker.trials.reserved)
 
     def test_record_of_code_that_knew_no_crashes_has_none(self) -> None:
         raw = msgspec.msgpack.decode(self.value)
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -5,11 +5,11 @@
 
 from robinthread._internal.jobs.crashes import is_suspect
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_succession import adopt_runs, end_former
-from robinthread._internal.jobs.late_starts import LATE_MAX_S, LateStarts
+from robinthread._internal.jobs.host_restart import adopt_runs, end_former
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress, decode_progress, encode_progress
 from robinthread._internal.jobs.run import Run, RunPhase
+from robinthread._internal.jobs.unconfirmed_starts import LATE_MAX_S, LateStarts
 from robinthread._internal.models.host_life import make_life_id, split_life_id
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
@@ -105,9 +105,9 @@
     def _start(self, index: int, answered_at_s: float | None) -> Run:
         run = self.pool.place(self.job.get_task(TaskKey(self.job.id, 0, 0, index)), self.former)
         run.phase, run.sent_at_s = RunPhase.SENDING, 1.0
-        self.pool.late_starts.note_sent("i-1", run.key, 1.0)
+        self.pool.unconfirmed_starts.note_sent("i-1", run.key, 1.0)
         if answered_at_s is not None:
-            self.pool.late_starts.note_settled("i-1", run.key)
+            self.pool.unconfirmed_starts.note_settled("i-1", run.key)
             self.pool.confirm_start(run, answered_at_s)
         return run
 
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.crash_book import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashNoteKind
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
 from robinthread._internal.jobs.host_loss import note_crashed, note_lapsed, withdraw_lapsed
@@ -67,7 +67,7 @@
 
     def list_suspects(self) -> set[str]:
         """Return the last digits of the ids of the jobs whose tasks are suspect."""
-        return {key.job_id[-1] for key in self.pool.crash_book.suspects}
+        return {key.job_id[-1] for key in self.pool.crash_tracker.suspects}
 
 
 class HostLossTest(TestCase):
@@ -170,13 +170,13 @@
         hosts = PoolOfHosts(hosts=2)
         task = self.suspect(hosts)
         self.assertEqual(1, place_suspects(hosts.pool, NOW_S + 1, 0))
-        self.assertEqual(frozenset({"h1"}), hosts.pool.crash_book.trials.reserved)
+        self.assertEqual(frozenset({"h1"}), hosts.pool.crash_tracker.trials.reserved)
         hosts.send(task.runs[0], NOW_S + 1)
         note_outlived(hosts.pool, NOW_S + 1.1)
         self.assertEqual({"1"}, hosts.list_suspects())
         note_outlived(hosts.pool, NOW_S + 1.2)
         self.assertEqual(set(), hosts.list_suspects())
-        self.assertEqual(frozenset(), hosts.pool.crash_book.trials.reserved)
+        self.assertEqual(frozenset(), hosts.pool.crash_tracker.trials.reserved)
 
     def test_suspect_waits_for_a_host_where_nothing_has_just_begun(self) -> None:
         hosts = PoolOfHosts(hosts=2)
@@ -192,7 +192,7 @@
             hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
         self.assertEqual(2, place_suspects(hosts.pool, NOW_S + 1, 0))
-        self.assertEqual(2, len(hosts.pool.crash_book.trials.reserved))
+        self.assertEqual(2, len(hosts.pool.crash_tracker.trials.reserved))
 
     def test_second_crash_of_a_trial_gives_the_job_up_and_tells_why(self) -> None:
         hosts = PoolOfHosts()
@@ -203,9 +203,9 @@
             run = hosts.send(task.runs[0], at_s)
             hosts.crash(run.host_id, at_s + 0.01)
         self.assertIs(JobStatus.FAILED, hosts.pool.jobs[task.key.job_id].status)
-        notes = [note.kind for note in hosts.pool.crash_book.take_notes()]
+        notes = [note.kind for note in hosts.pool.crash_tracker.take_notes()]
         self.assertEqual(1, notes.count(CrashNoteKind.GIVEN_UP))
-        self.assertEqual({}, hosts.pool.crash_book.suspects)
+        self.assertEqual({}, hosts.pool.crash_tracker.suspects)
 
     def test_other_tasks_of_a_job_wait_while_one_is_to_blame(self) -> None:
         hosts = PoolOfHosts()
--- a/tests/unit/test_doubts.py
+++ b/tests/unit/test_unresponsive_hosts.py
@@ -4,11 +4,11 @@
 
 from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
-from robinthread._internal.jobs.doubts import DOUBT_AFTER_S, list_doubted
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
 from robinthread._internal.jobs.placement import get_usable_hosts
 from robinthread._internal.jobs.pool_jobs import PoolJobs
+from robinthread._internal.jobs.unresponsive_hosts import DOUBT_AFTER_S, list_doubted
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
