--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -7,7 +7,7 @@
 from robinthread._internal.jobs.job_timing import get_slack_s
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.task import Task
-from robinthread._internal.jobs.unresponsive_hosts import list_doubted
+from robinthread._internal.jobs.unresponsive_hosts import list_unresponsive
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.models.resources import Resources
 
@@ -52,7 +52,7 @@
     """
     if not pool.are_rooms_known:
         return []
-    left_out = list_doubted(pool, now_s) | pool.crash_tracker.trials.reserved
+    left_out = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
         host
         for host in pool.hosts.values()
@@ -63,7 +63,7 @@
 
 def get_willing_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
     """Return the hosts that may take work, and those that could were they not emptied."""
-    doubted = list_doubted(pool, now_s)
+    doubted = list_unresponsive(pool, now_s)
     hosts = [host for host in pool.hosts.values() if host.is_willing() and host.id not in doubted]
     return _prefer_well(hosts, now_s)
 
--- a/src/robinthread/_internal/jobs/unresponsive_hosts.py
+++ b/src/robinthread/_internal/jobs/unresponsive_hosts.py
@@ -8,12 +8,12 @@
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 
 # An order is answered within some 10 ms, by a host five times slower within 50.
-DOUBT_AFTER_S: Final = 0.15
+UNRESPONSIVE_AFTER_S: Final = 0.15
 # So many hosts of a hall must be in doubt before all others there are.
-HALL_DOUBTS_MIN: Final = 2
+HALL_UNRESPONSIVE_MIN: Final = 2
 
 
-def list_doubted(pool: PoolJobs, now_s: float) -> frozenset[str]:
+def list_unresponsive(pool: PoolJobs, now_s: float) -> frozenset[str]:
     """Return the ids of the hosts that are to get no work until they answer again.
 
     A host is in doubt that leaves an order unanswered.  Where several of a data hall are,
@@ -32,7 +32,7 @@
     """Return the hosts in doubt of one hall."""
     doubted = [host for host in hosts if _is_in_doubt(host, now_s)]
     silent = [host for host in doubted if not host.is_refusing]
-    if len(silent) < HALL_DOUBTS_MIN:
+    if len(silent) < HALL_UNRESPONSIVE_MIN:
         return doubted
     since_s = min(host.unanswered_since_s or now_s for host in silent)
     is_heard = any(host.reported_at_s > since_s for host in hosts)
@@ -42,4 +42,4 @@
 def _is_in_doubt(host: Host, now_s: float) -> bool:
     if host.contact is HostContact.UNHEARD or host.unanswered_since_s is None:
         return False
-    return now_s - host.unanswered_since_s > DOUBT_AFTER_S
+    return now_s - host.unanswered_since_s > UNRESPONSIVE_AFTER_S
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -11,7 +11,7 @@
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run
-from robinthread._internal.jobs.unresponsive_hosts import list_doubted
+from robinthread._internal.jobs.unresponsive_hosts import list_unresponsive
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.models.workspace_shares import ShareState
@@ -25,7 +25,7 @@
     pool: PoolJobs, demand: Demand, now_s: float, share_state: ShareState | None = None
 ) -> PoolReport:
     """Tell how a pool stands, and which of its listed hosts can be used."""
-    doubted = list_doubted(pool, now_s)
+    doubted = list_unresponsive(pool, now_s)
     needed = demand.on_hosts.host_ids
     return PoolReport(
         is_owner=True,
--- a/tests/unit/test_unresponsive_hosts.py
+++ b/tests/unit/test_unresponsive_hosts.py
@@ -8,7 +8,7 @@
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
 from robinthread._internal.jobs.placement import get_usable_hosts
 from robinthread._internal.jobs.pool_jobs import PoolJobs
-from robinthread._internal.jobs.unresponsive_hosts import DOUBT_AFTER_S, list_doubted
+from robinthread._internal.jobs.unresponsive_hosts import UNRESPONSIVE_AFTER_S, list_unresponsive
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
@@ -16,7 +16,7 @@
 
 ROOM = Resources(4000, 4000, 0)
 SENT_S = 10.0
-LATER_S = SENT_S + DOUBT_AFTER_S + 0.01
+LATER_S = SENT_S + UNRESPONSIVE_AFTER_S + 0.01
 HOSTS = ("a1", "a2", "a3", "b1", "b2")
 
 
@@ -31,28 +31,28 @@
     return pool
 
 
-class DoubtTest(TestCase):
+class UnresponsiveHostsTest(TestCase):
     def test_host_is_in_doubt_from_an_order_it_leaves_unanswered_until_it_answers(self) -> None:
         pool = make_pool()
         host = pool.hosts["a1"]
         host.note_sent(SENT_S)
-        self.assertEqual(frozenset(), list_doubted(pool, SENT_S + 0.1))
-        self.assertEqual({"a1"}, list_doubted(pool, LATER_S))
+        self.assertEqual(frozenset(), list_unresponsive(pool, SENT_S + 0.1))
+        self.assertEqual({"a1"}, list_unresponsive(pool, LATER_S))
         self.assertNotIn(host, get_usable_hosts(pool, LATER_S))
         host.note_answered()
-        self.assertEqual(frozenset(), list_doubted(pool, LATER_S))
+        self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
 
     def test_later_orders_do_not_hide_the_first(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].note_sent(SENT_S)
         pool.hosts["a1"].note_sent(LATER_S)
-        self.assertEqual({"a1"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1"}, list_unresponsive(pool, LATER_S))
 
     def test_two_in_doubt_put_their_hall_in_doubt(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].note_sent(SENT_S)
         pool.hosts["a2"].note_sent(SENT_S)
-        self.assertEqual({"a1", "a2", "a3"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
     def test_hosts_that_refuse_connections_are_in_doubt_alone(self) -> None:
         pool = make_pool()
@@ -60,9 +60,9 @@
             pool.hosts[name].note_sent(SENT_S)
         for name in ("a1", "a2"):
             pool.hosts[name].note_failed(HostRefusedError("refused"), SENT_S)
-        self.assertEqual({"a1", "a2", "a3"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
         pool.hosts["a3"].note_answered()
-        self.assertEqual({"a1", "a2"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
     def test_hosts_that_refused_and_then_say_nothing_count_for_their_hall(self) -> None:
         pool = make_pool()
@@ -70,19 +70,19 @@
             pool.hosts[name].note_sent(SENT_S)
             pool.hosts[name].note_failed(HostRefusedError("refused"), SENT_S)
             pool.hosts[name].note_failed(HostSilentError("silent"), SENT_S)
-        self.assertEqual({"a1", "a2", "a3"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
     def test_hall_that_is_heard_is_not_in_doubt(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].note_sent(SENT_S)
         pool.hosts["a2"].note_sent(SENT_S)
         pool.hosts["a3"].reported_at_s = SENT_S + 0.05
-        self.assertEqual({"a1", "a2"}, list_doubted(pool, LATER_S))
+        self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
     def test_switched_off_no_host_is(self) -> None:
         pool = make_pool(PlacementPolicy(doubts_silent_hosts=False))
         pool.hosts["a1"].note_sent(SENT_S)
-        self.assertEqual(frozenset(), list_doubted(pool, LATER_S))
+        self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
 
 
 class SilentHallTest(TestCase):
