--- a/spec/crashing.py
+++ b/spec/crashing.py
@@ -13,7 +13,7 @@
 from spec.protocol import Protocol, Step
 
 WAITING, RECORDED, RUNNING, CRASHED = range(4)
-ALONE_RUNS, SURE_RUNS, CRASHES, STARTS_AFTER_MAX = 3, 2, 3, 2
+ALONE_AFTER_RUNS, CONFIRMED_RUNS_MIN, CRASHES, STARTS_AFTER_MAX = 3, 2, 3, 2
 
 
 def make_crashing() -> Protocol:
@@ -47,15 +47,15 @@
     steps = (
         Step(
             "the owner places a run among others and records it",
-            {"waits": phase == WAITING, "alone from the third run on": count < ALONE_RUNS},
+            {"waits": phase == WAITING, "alone from the third run on": count < ALONE_AFTER_RUNS},
             _record(count, sure, is_alone=0),
         ),
         Step(
             "the owner places a run alone and records it",
             {
                 "waits": phase == WAITING,
-                "suspect": count >= ALONE_RUNS,
-                "given up once it is sure": sure < SURE_RUNS,
+                "suspect": count >= ALONE_AFTER_RUNS,
+                "given up once it is sure": sure < CONFIRMED_RUNS_MIN,
             },
             _record(count, sure, is_alone=1),
         ),
--- a/src/robinthread/_internal/jobs/crash_attribution.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -3,7 +3,12 @@
 from collections.abc import Sequence
 
 from robinthread._internal.jobs.crash_tracker import CrashNoteKind
-from robinthread._internal.jobs.crashes import Crash, explain_some, is_to_blame, list_caused
+from robinthread._internal.jobs.crashes import (
+    Crash,
+    attribute_to_culprit,
+    is_culprit,
+    list_caused_crashes,
+)
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.task import Task
 
@@ -27,15 +32,15 @@
     set_crashes(pool, task, [*others, crash])
     if pool.crash_tracker.is_suspect(task):
         pool.crash_tracker.note(CrashNoteKind.SUSPECTED, task, (crash.host_id,))
-    if is_to_blame(task.crashes, task.step.is_lasting):
+    if is_culprit(task.crashes, task.step.is_lasting):
         _give_up(pool, task, now_ms)
 
 
 def _give_up(pool: PoolJobs, task: Task, now_ms: int) -> None:
     """Fail the job of a task that crashes its hosts; what it crashed blames no other."""
-    caused = list_caused(task.crashes)
+    caused = list_caused_crashes(task.crashes)
     host_ids = {crash.host_id for crash in caused}
     pool.crash_tracker.note(CrashNoteKind.GIVEN_UP, task, host_ids)
     pool.fail(pool.jobs[task.key.job_id], now_ms)
     for other in pool.crash_tracker.note_cause_found(host_ids):
-        set_crashes(pool, other, explain_some(other.crashes, caused))
+        set_crashes(pool, other, attribute_to_culprit(other.crashes, caused))
--- a/src/robinthread/_internal/jobs/crash_tracker.py
+++ b/src/robinthread/_internal/jobs/crash_tracker.py
@@ -74,7 +74,7 @@
 
     def is_suspect(self, task: Task) -> bool:
         """Tell whether a task is to be started apart from others."""
-        return bool(self.suspects) and task.counted_key in self.suspects
+        return bool(self.suspects) and task.crash_task_key in self.suspects
 
     def set_crashes(self, task: Task, crashes: Sequence[Crash]) -> None:
         """Note the crashes that count for a task."""
@@ -101,12 +101,12 @@
         """
         for task in job.iter_running():
             alone = [run for run in task.runs if run.is_alone]
-            if alone and self.is_suspect(job.get_counted(task)):
-                trial = self.trials.get(task.counted_key)
+            if alone and self.is_suspect(job.get_crash_task(task)):
+                trial = self.trials.get(task.crash_task_key)
                 host_ids = trial.host_ids if trial is not None else frozenset()
                 host_ids |= {run.host_id for run in alone}
                 self.trials.add(
-                    Trial(task.counted_key, host_ids, is_alone=True, run=alone[0].number)
+                    Trial(task.crash_task_key, host_ids, is_alone=True, run=alone[0].number)
                 )
 
     def note(self, kind: CrashNoteKind, task: Task, host_ids: Collection[str]) -> None:
--- a/src/robinthread/_internal/jobs/crashes.py
+++ b/src/robinthread/_internal/jobs/crashes.py
@@ -5,10 +5,12 @@
 started again, and of which it surely was, for nothing else there could be.  Only the latter give
 a task up.
 
-A run is close to its start for ``START_S``: a task that crashes its host does so at its start,
+A run is close to its start for ``STARTUP_WINDOW_S``: a task that crashes its host does so
+at its start,
 and of the many runs that a host takes with it few have just begun.  A task with a crash close to
 its start is suspect, and goes on apart from others until it has outlived that time on another
-host.  Whatever the time, one under which hosts have crashed in ``ALONE_RUNS`` runs goes on alone
+host.  Whatever the time, one under which hosts have crashed in ``ALONE_AFTER_RUNS`` runs
+goes on alone
 on its host, so that the next crash tells.
 """
 
@@ -20,21 +22,21 @@
 # Tasks that crash their hosts were seen to do so within 12 ms.  An owner whose loop is late by
 # 0.1 s learns late; a longer time would make suspects of sound tasks, of which a host that
 # crashes has some that began within any second.
-START_S: Final = 0.15
+STARTUP_WINDOW_S: Final = 0.15
 # A run that was there for so long had no part in its host's crash, and clears its task.
-INNOCENT_S: Final = 5.0
+EXONERATED_AFTER_S: Final = 5.0
 # From so many runs that ended with their hosts on, a task is started alone on its host only:
 # platforms allow two more starts after the third, and each crash alone is sure.
-ALONE_RUNS: Final = 3
+ALONE_AFTER_RUNS: Final = 3
 # So many sure crashes give a task up: one may be its host's own.
-SURE_RUNS: Final = 2
+CONFIRMED_RUNS_MIN: Final = 2
 # They must be of different machines, for one may crash whatever it runs, unless so many runs
 # have ended with their hosts in all.
-SAME_MACHINE_RUNS: Final = 4
+SAME_MACHINE_RUNS_MIN: Final = 4
 # The last run that platforms allow: by then one sure crash is enough where so many runs in all
 # ended alike.
-LAST_RUN: Final = 5
-ALIKE_RUNS: Final = 3
+LAST_ALLOWED_RUN: Final = 5
+SIMILAR_RUNS_MIN: Final = 3
 # Two crashes are one task's doing only where they come equally late, give or take this share or
 # so long, by which an owner may learn of one late: hosts that crash by themselves do so at any
 # time.
@@ -49,71 +51,72 @@
     """A host that crashed under a run of a task.
 
     ``age_ms`` is for how long the run had been there, negative where that is not known.
-    ``is_close``: that was less than ``START_S``.  ``is_sure``: it ran apart from all else that
-    could be to blame.  ``is_explained``: something else was, as far as is known; the run counts
-    towards ``ALONE_RUNS`` all the same, for two may be to blame.
+    ``is_near_start``: that was less than ``STARTUP_WINDOW_S``.  ``is_confirmed``: it ran apart from
+    all else that
+    could be to blame.  ``has_other_cause``: something else was, as far as is known; the run counts
+    towards ``ALONE_AFTER_RUNS`` all the same, for two may be to blame.
     """
 
     host_id: str
     machine: str
     run: int
     age_ms: int
-    is_close: bool
-    is_sure: bool
-    is_explained: bool = False
+    is_near_start: bool
+    is_confirmed: bool
+    has_other_cause: bool = False
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
     """Tell whether a task is to be started apart from others."""
-    is_open = any(crash.is_close and not crash.is_explained for crash in crashes)
-    return is_open or must_be_alone(crashes)
+    is_open = any(crash.is_near_start and not crash.has_other_cause for crash in crashes)
+    return is_open or must_run_alone(crashes)
 
 
-def must_be_alone(crashes: Sequence[Crash]) -> bool:
+def must_run_alone(crashes: Sequence[Crash]) -> bool:
     """Tell whether a task is to be started alone on its host only."""
-    return _count_runs(crashes) >= ALONE_RUNS
+    return _count_runs(crashes) >= ALONE_AFTER_RUNS
 
 
-def is_to_blame(crashes: Sequence[Crash], is_lasting: bool = False) -> bool:
+def is_culprit(crashes: Sequence[Crash], is_lasting: bool = False) -> bool:
     """Tell whether a task is to be given up.
 
     One that lasts is meant to be restarted however it ends: for it two must be sure.
     """
-    sure = [crash for crash in crashes if crash.is_sure]
-    if not is_lasting and _count_runs(crashes) >= LAST_RUN:
+    sure = [crash for crash in crashes if crash.is_confirmed]
+    if not is_lasting and _count_runs(crashes) >= LAST_ALLOWED_RUN:
         alike = ([each for each in crashes if _may_be_alike(each, one)] for one in sure)
-        if any(_count_runs(each) >= ALIKE_RUNS for each in alike):
+        if any(_count_runs(each) >= SIMILAR_RUNS_MIN for each in alike):
             return True
-    may_be_one_machine = _count_runs(crashes) >= SAME_MACHINE_RUNS
+    may_be_one_machine = _count_runs(crashes) >= SAME_MACHINE_RUNS_MIN
     return any(
         one.run != other.run
         and (one.machine != other.machine or may_be_one_machine)
         and _are_alike(one, other)
-        for one, other in itertools.combinations(sure, SURE_RUNS)
+        for one, other in itertools.combinations(sure, CONFIRMED_RUNS_MIN)
     )
 
 
-def explain_all(crashes: Sequence[Crash]) -> list[Crash]:
+def attribute_all_elsewhere(crashes: Sequence[Crash]) -> list[Crash]:
     """Return the crashes of a task that has outlived its start, apart from others.
 
     It does not crash its hosts at its start, so these crashes had another cause.
     """
-    return [replace(crash, is_sure=False, is_explained=True) for crash in crashes]
+    return [replace(crash, is_confirmed=False, has_other_cause=True) for crash in crashes]
 
 
-def list_caused(crashes: Sequence[Crash]) -> tuple[Crash, ...]:
+def list_caused_crashes(crashes: Sequence[Crash]) -> tuple[Crash, ...]:
     """Return those crashes of a task that is to blame which were its doing, by all it shows."""
-    sure = [crash for crash in crashes if crash.is_sure]
+    sure = [crash for crash in crashes if crash.is_confirmed]
     known = [crash for crash in sure if crash.age_ms != UNKNOWN_AGE_MS]
     return tuple(
         crash
         for crash in crashes
-        if crash.is_sure
+        if crash.is_confirmed
         or (crash.age_ms != UNKNOWN_AGE_MS and any(_are_alike(crash, one) for one in known))
     )
 
 
-def explain_some(crashes: Sequence[Crash], caused: Collection[Crash]) -> list[Crash]:
+def attribute_to_culprit(crashes: Sequence[Crash], caused: Collection[Crash]) -> list[Crash]:
     """Return the crashes of a task, of which some were ``caused`` by another one.
 
     They count no more, unless the two began together on that host, for then either may have
@@ -121,9 +124,9 @@
     One that is to blame for a crash itself gets no such credit, nor does one with several
     crashes where the cause comes late after its start: any of several may come as late.
     """
-    if any(crash.is_sure for crash in crashes):
+    if any(crash.is_confirmed for crash in crashes):
         return list(crashes)
-    causes = {crash.host_id: crash for crash in caused if crash.is_close or len(crashes) == 1}
+    causes = {crash.host_id: crash for crash in caused if crash.is_near_start or len(crashes) == 1}
     left = [
         crash
         for crash in crashes
@@ -131,7 +134,7 @@
     ]
     if len(left) > 1:
         return left
-    return [replace(crash, is_explained=crash.host_id in causes) for crash in left]
+    return [replace(crash, has_other_cause=crash.host_id in causes) for crash in left]
 
 
 def _count_runs(crashes: Sequence[Crash]) -> int:
@@ -148,4 +151,4 @@
 
 
 def _may_be_alike(one: Crash, other: Crash) -> bool:
-    return (one.is_close and other.is_close) or _are_alike(one, other)
+    return (one.is_near_start and other.is_near_start) or _are_alike(one, other)
--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -91,7 +91,7 @@
         steps = [
             step
             for step in list_waiting_steps(pool)
-            if (step.spec.is_gang or not step.job.blamed) and not _is_held_back(pool, step.job)
+            if (step.spec.is_gang or not step.job.culprits) and not _is_held_back(pool, step.job)
         ]
         needs = [self._get_need(pool, step, late) for step in steps]
         arriving = self._get_arriving_work(now_s)
@@ -136,7 +136,7 @@
         in_time: list[StepForecast] = []
         too_late: list[StepForecast] = []
         for job in pool.jobs.values():
-            if job.status.is_final or job.spec.is_lasting or job.blamed:
+            if job.status.is_final or job.spec.is_lasting or job.culprits:
                 continue
             if _is_held_back(pool, job) and not any(job.iter_running()):
                 continue
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -5,7 +5,12 @@
 
 from robinthread._internal.jobs.crash_attribution import add_crash, set_crashes
 from robinthread._internal.jobs.crash_tracker import RACK_LOST_WITHIN_S, LostHost
-from robinthread._internal.jobs.crashes import INNOCENT_S, START_S, UNKNOWN_AGE_MS, Crash
+from robinthread._internal.jobs.crashes import (
+    EXONERATED_AFTER_S,
+    STARTUP_WINDOW_S,
+    UNKNOWN_AGE_MS,
+    Crash,
+)
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
@@ -61,7 +66,7 @@
     pool.lapse_host(host, now_ms)
     if host.broken_at_s is not None:
         for task, crash in found:
-            add_crash(pool, task, replace(crash, is_sure=False), now_ms)
+            add_crash(pool, task, replace(crash, is_confirmed=False), now_ms)
 
 
 def withdraw_lapsed(pool: PoolJobs, host: Host) -> None:
@@ -89,7 +94,7 @@
     return [
         (lost.counted, _judge(pool, host, lost, lost_runs, is_rack_lost))
         for lost in lost_runs
-        if lost.age_s is None or lost.age_s < INNOCENT_S
+        if lost.age_s is None or lost.age_s < EXONERATED_AFTER_S
     ]
 
 
@@ -97,28 +102,28 @@
     pool: PoolJobs, host: Host, lost: _Lost, lost_runs: Iterable[_Lost], is_rack_lost: bool
 ) -> Crash:
     others = [other for other in lost_runs if other.counted is not lost.counted]
-    is_close = host.broken_at_s is not None and (lost.age_s or 0.0) < START_S
+    is_near_start = host.broken_at_s is not None and (lost.age_s or 0.0) < STARTUP_WINDOW_S
     trial = pool.crash_tracker.trials.get(lost.counted.key)
-    is_sure = False
+    is_confirmed = False
     if trial is not None and trial.run == lost.run.number:
-        is_sure = (is_close and _are_all_older(others, START_S)) or (
-            trial.is_alone and _are_all_older(others, INNOCENT_S)
+        is_confirmed = (is_near_start and _are_all_older(others, STARTUP_WINDOW_S)) or (
+            trial.is_alone and _are_all_older(others, EXONERATED_AFTER_S)
         )
     if lost.run.is_inherited and lost.run.is_alone:
-        is_sure = _are_all_older(others, INNOCENT_S)
+        is_confirmed = _are_all_older(others, EXONERATED_AFTER_S)
     # Of a rack's loss, no run is suspect; that a trial was hit by chance, one crash may say.
-    is_close = is_close and (is_sure or not is_rack_lost)
+    is_near_start = is_near_start and (is_confirmed or not is_rack_lost)
     # What was there before this owner came may have been there for longer than it saw.
     is_age_known = lost.age_s is not None and not lost.run.is_inherited
     age_ms = round((lost.age_s or 0.0) * 1000) if is_age_known else UNKNOWN_AGE_MS
-    return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_close, is_sure)
+    return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_near_start, is_confirmed)
 
 
 def _iter_lost(pool: PoolJobs, host: Host, at_s: float) -> Iterator[_Lost]:
     for run in host.runs.values():
         is_unsent = run.sent_at_s is None and not run.is_inherited
         if run.phase is not RunPhase.RECORDING and not is_unsent:
-            yield _Lost(run, pool.get_counted(run), run.get_age_s(at_s))
+            yield _Lost(run, pool.get_crash_task(run), run.get_age_s(at_s))
 
 
 def _are_all_older(others: Iterable[_Lost], age_s: float) -> bool:
--- a/src/robinthread/_internal/jobs/job.py
+++ b/src/robinthread/_internal/jobs/job.py
@@ -15,7 +15,7 @@
 
     ``status`` is what has been decided.  ``recorded_status`` is what the store
     holds, and all that may be shown: a status that is not kept could be taken
-    back by the pool's next owner.  While one of its tasks is ``blamed`` for sure for a crash
+    back by the pool's next owner.  While one of its tasks is ``culprits`` for sure for a crash
     of a host, the others are not begun.  One that ``is_beyond_share`` comes after all others.
     """
 
@@ -29,7 +29,7 @@
         self.has_begun = False
         self.is_beyond_share = False
         self.next_occurrence = 0
-        self.blamed: set[TaskKey] = set()
+        self.culprits: set[TaskKey] = set()
         self.tasks: dict[TaskKey, Task] = {}
         self._open_counts: dict[tuple[int, int], int] = {}
         self._step_tasks: dict[tuple[int, int], list[Task]] = {}
@@ -73,9 +73,9 @@
             task = self.tasks[key] = Task(key, self.spec.steps[key.step])
         return task
 
-    def get_counted(self, task: Task) -> Task:
-        """Return the task whose crashes count for a task; see ``Task.counted_key``."""
-        return self.get_task(task.counted_key) if task.step.is_gang else task
+    def get_crash_task(self, task: Task) -> Task:
+        """Return the task whose crashes count for a task; see ``Task.crash_task_key``."""
+        return self.get_task(task.crash_task_key) if task.step.is_gang else task
 
     def has_task(self, key: TaskKey) -> bool:
         """Tell whether the job has such a task."""
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -239,21 +239,21 @@
     def note_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
         """Note which crashes of hosts count for a task, or for the gang that it is first of."""
         self.crash_tracker.set_crashes(task, crashes)
-        job.blamed.discard(task.key)
-        if any(crash.is_sure for crash in crashes):
-            job.blamed.add(task.key)
+        job.culprits.discard(task.key)
+        if any(crash.is_confirmed for crash in crashes):
+            job.culprits.add(task.key)
         self._mark(job)
 
     def is_held(self, task: Task) -> bool:
         """Tell whether a task is not started among others: it is suspect, or its job's is."""
         if not self.crash_tracker.suspects:
             return False
-        return bool(self.jobs[task.key.job_id].blamed) or self.crash_tracker.is_suspect(task)
+        return bool(self.jobs[task.key.job_id].culprits) or self.crash_tracker.is_suspect(task)
 
-    def get_counted(self, run: Run) -> Task:
+    def get_crash_task(self, run: Run) -> Task:
         """Return the task whose crashes count for a run."""
         job = self.jobs[run.task.job_id]
-        return job.get_counted(job.get_task(run.task))
+        return job.get_crash_task(job.get_task(run.task))
 
     def fail(self, job: Job, now_ms: int) -> None:
         """End a job that can't be done."""
@@ -286,8 +286,8 @@
         task.runs.remove(run)
         self.hosts[run.host_id].remove_run(run, task.step.room)
         self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
-        if self.crash_tracker.trials.is_run_of(task.counted_key, run.number):
-            self.crash_tracker.trials.drop(task.counted_key)
+        if self.crash_tracker.trials.is_run_of(task.crash_task_key, run.number):
+            self.crash_tracker.trials.drop(task.crash_task_key)
         return True
 
     def _move_run(self, run: Run, host: Host, successor: Host) -> None:
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -37,9 +37,9 @@
     machine: str
     run: int
     age_ms: int
-    is_close: bool
-    is_sure: bool
-    is_explained: bool
+    is_near_start: bool
+    is_confirmed: bool
+    has_other_cause: bool
 
 
 class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -3,7 +3,8 @@
 Answers a pool in which some tasks crash each host that starts them, among many that are sound
 and were lost with the same hosts.  Each suspect gets hosts that nothing else is started on until
 it has outlived its start, with as few others there as may be; sound ones are cleared within
-``START_S``, and what crashes its host is surely to blame.  As many hosts are lost whether that
+``STARTUP_WINDOW_S``, and what crashes its host is surely to blame.
+As many hosts are lost whether that
 takes long or not, but sound suspects are late, so half of the pool's hosts may be at stake at a
 time.  Those that are to blame already are hardly ever sound: for them it is a quarter, or all
 but one of those that have nothing to do while nothing else waits.
@@ -16,10 +17,10 @@
 from robinthread._internal.jobs.crash_attribution import set_crashes
 from robinthread._internal.jobs.crash_tracker import CrashNoteKind
 from robinthread._internal.jobs.crashes import (
-    INNOCENT_S,
-    START_S,
-    explain_all,
-    must_be_alone,
+    EXONERATED_AFTER_S,
+    STARTUP_WINDOW_S,
+    attribute_all_elsewhere,
+    must_run_alone,
 )
 from robinthread._internal.jobs.gangs import choose_gang_hosts, get_waiting_gang, place_gang
 from robinthread._internal.jobs.host import Host, HostContact
@@ -61,7 +62,7 @@
     placed = 0
     without_host: set[tuple[StepKey, bool]] = set()
     for task in sorted(sort_tasks(pool, waiting, now_ms), key=_count_sure):
-        kind = task.key.step_key, must_be_alone(task.crashes)
+        kind = task.key.step_key, must_run_alone(task.crashes)
         left = _count_to_spare(pool, task, usable, now_s)
         if left < 1 or kind in without_host or not pool.may_begin(task):
             continue
@@ -83,7 +84,7 @@
         task = pool.crash_tracker.suspects.get(trial.task)
         if task is not None and trial.run and _has_outlived(pool, task, trial, now_s):
             pool.crash_tracker.trials.drop(trial.task)
-            set_crashes(pool, task, () if trial.is_alone else explain_all(task.crashes))
+            set_crashes(pool, task, () if trial.is_alone else attribute_all_elsewhere(task.crashes))
             pool.crash_tracker.note(CrashNoteKind.CLEARED, task, trial.host_ids)
 
 
@@ -94,8 +95,8 @@
     """
     ages_s = ((run, run.get_age_s(now_s)) for run in host.runs.values())
     if is_alone:
-        return all(run.is_lasting and (age_s or 0.0) >= INNOCENT_S for run, age_s in ages_s)
-    return all((age_s or 0.0) >= START_S for _run, age_s in ages_s)
+        return all(run.is_lasting and (age_s or 0.0) >= EXONERATED_AFTER_S for run, age_s in ages_s)
+    return all((age_s or 0.0) >= STARTUP_WINDOW_S for _run, age_s in ages_s)
 
 
 def _may_go_on(pool: PoolJobs, task: Task) -> bool:
@@ -104,14 +105,14 @@
     Of a job that has tasks to blame, the first of these goes first.  One with few starts left
     waits until it is known what became of its last host.
     """
-    blamed = pool.jobs[task.key.job_id].blamed
-    if blamed and task.key != min(blamed):
+    culprits = pool.jobs[task.key.job_id].culprits
+    if culprits and task.key != min(culprits):
         return False
-    return not must_be_alone(task.crashes) or not pool.crash_tracker.awaits_fate(task)
+    return not must_run_alone(task.crashes) or not pool.crash_tracker.awaits_fate(task)
 
 
 def _count_sure(task: Task) -> int:
-    return sum(crash.is_sure for crash in task.crashes)
+    return sum(crash.is_confirmed for crash in task.crashes)
 
 
 def _count_to_spare(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> int:
@@ -129,7 +130,7 @@
 
 def _choose_trial(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> Trial | None:
     """Choose the hosts for a suspect."""
-    is_alone = must_be_alone(task.crashes)
+    is_alone = must_run_alone(task.crashes)
     if not task.step.is_gang:
         host = _choose_host(pool, task, usable, is_alone, now_s)
         return None if host is None else Trial(task.key, frozenset((host.id,)), is_alone)
@@ -190,7 +191,7 @@
 
 def _has_outlived(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> bool:
     """Tell whether all runs of a trial are there, on hosts that are well, for long enough."""
-    needed_s = INNOCENT_S if trial.is_alone else START_S
+    needed_s = EXONERATED_AFTER_S if trial.is_alone else STARTUP_WINDOW_S
     hosts = [pool.hosts[host_id] for host_id in trial.host_ids if host_id in pool.hosts]
     runs = list(_iter_runs(pool, task, trial))
     return (
@@ -213,5 +214,5 @@
         for host_id in trial.host_ids
         if host_id in pool.hosts
         for run in pool.hosts[host_id].runs.values()
-        if run.number == trial.run and pool.get_counted(run).key == task.key
+        if run.number == trial.run and pool.get_crash_task(run).key == task.key
     )
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -54,7 +54,7 @@
         self.runs: list[Run] = []
 
     @property
-    def counted_key(self) -> TaskKey:
+    def crash_task_key(self) -> TaskKey:
         """Return whose crashes count for the task: its own, or those of its gang's first."""
         return replace(self.key, index=0) if self.step.is_gang else self.key
 
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -96,8 +96,8 @@
             hosts=note.host_ids,
             crashes=[
                 f"{crash.host_id}/{crash.machine}/{crash.run} {crash.age_ms} ms"
-                f"{' close' * crash.is_close}{' sure' * crash.is_sure}"
-                f"{' explained' * crash.is_explained}"
+                f"{' close' * crash.is_near_start}{' sure' * crash.is_confirmed}"
+                f"{' explained' * crash.has_other_cause}"
                 for crash in note.crashes
             ],
         )
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -4,12 +4,12 @@
 
 from robinthread._internal.jobs.crashes import (
     Crash,
-    explain_all,
-    explain_some,
+    attribute_all_elsewhere,
+    attribute_to_culprit,
+    is_culprit,
     is_suspect,
-    is_to_blame,
-    list_caused,
-    must_be_alone,
+    list_caused_crashes,
+    must_run_alone,
 )
 
 
@@ -17,8 +17,8 @@
     run: int, age_ms: int = 12, sure: bool = False, close: bool | None = None, machine: str = ""
 ) -> Crash:
     """Make a crash under a run, of a host and machine of its own unless one is named."""
-    is_close = age_ms < 150 if close is None else close
-    return Crash(f"h{run}", machine or f"m{run}", run, age_ms, is_close, sure)
+    is_near_start = age_ms < 150 if close is None else close
+    return Crash(f"h{run}", machine or f"m{run}", run, age_ms, is_near_start, sure)
 
 
 class CrashesTest(TestCase):
@@ -30,55 +30,59 @@
     def test_third_run_that_ends_with_its_host_makes_any_task_go_on_alone(self) -> None:
         late = [crash(1, 800), crash(2, 300), crash(3, 2000)]
         self.assertFalse(is_suspect(late[:2]))
-        self.assertTrue(is_suspect(late) and must_be_alone(late))
+        self.assertTrue(is_suspect(late) and must_run_alone(late))
 
     def test_members_of_a_gang_that_crash_several_hosts_in_one_run_count_once(self) -> None:
         one_run = [Crash(f"h{host}", f"m{host}", 1, 800, False, False) for host in range(4)]
-        self.assertFalse(must_be_alone(one_run))
+        self.assertFalse(must_run_alone(one_run))
 
     def test_two_sure_crashes_of_two_machines_are_to_blame(self) -> None:
-        self.assertTrue(is_to_blame([crash(1), crash(2, sure=True), crash(3, sure=True)]))
-        self.assertFalse(is_to_blame([crash(1), crash(2, sure=True)]))
-        self.assertFalse(is_to_blame([crash(1), crash(2), crash(3)]))
+        self.assertTrue(is_culprit([crash(1), crash(2, sure=True), crash(3, sure=True)]))
+        self.assertFalse(is_culprit([crash(1), crash(2, sure=True)]))
+        self.assertFalse(is_culprit([crash(1), crash(2), crash(3)]))
 
     def test_machine_that_crashes_whatever_it_runs_blames_no_task(self) -> None:
         same = [crash(1), crash(2, sure=True, machine="m"), crash(3, sure=True, machine="m")]
-        self.assertFalse(is_to_blame(same))
-        self.assertTrue(is_to_blame([*same, crash(4, sure=True, machine="m")]))
+        self.assertFalse(is_culprit(same))
+        self.assertTrue(is_culprit([*same, crash(4, sure=True, machine="m")]))
 
     def test_crashes_at_any_time_are_the_hosts_own(self) -> None:
-        self.assertFalse(is_to_blame([crash(1, 390, sure=True), crash(2, 790, sure=True)]))
-        self.assertTrue(is_to_blame([crash(1, 600, sure=True), crash(2, 602, sure=True)]))
+        self.assertFalse(is_culprit([crash(1, 390, sure=True), crash(2, 790, sure=True)]))
+        self.assertTrue(is_culprit([crash(1, 600, sure=True), crash(2, 602, sure=True)]))
 
     def test_fifth_run_blames_a_task_that_ended_alike_before(self) -> None:
         before = [crash(1, 600), crash(2, 601), crash(3, 390), crash(4, 100, sure=True)]
-        self.assertTrue(is_to_blame([*before, crash(5, 602, sure=True)]))
-        self.assertFalse(is_to_blame([*before, crash(5, 1600, sure=True)]))
-        self.assertFalse(is_to_blame([*before, crash(5, 602)]))
+        self.assertTrue(is_culprit([*before, crash(5, 602, sure=True)]))
+        self.assertFalse(is_culprit([*before, crash(5, 1600, sure=True)]))
+        self.assertFalse(is_culprit([*before, crash(5, 602)]))
 
     def test_lasting_task_is_never_to_blame_for_one_sure_crash(self) -> None:
         crashes = [*(crash(run, 600) for run in range(1, 5)), crash(5, 601, sure=True)]
-        self.assertTrue(is_to_blame(crashes))
-        self.assertFalse(is_to_blame(crashes, is_lasting=True))
+        self.assertTrue(is_culprit(crashes))
+        self.assertFalse(is_culprit(crashes, is_lasting=True))
 
     def test_task_that_outlives_its_start_is_not_suspect_but_its_runs_count(self) -> None:
-        cleared = explain_all([crash(1), crash(2, sure=True)])
+        cleared = attribute_all_elsewhere([crash(1), crash(2, sure=True)])
         self.assertFalse(is_suspect(cleared))
-        self.assertTrue(must_be_alone([*cleared, crash(3)]))
+        self.assertTrue(must_run_alone([*cleared, crash(3)]))
 
     def test_crash_that_another_task_caused_counts_no_more(self) -> None:
         caused = [crash(1), crash(2, sure=True)]
-        self.assertEqual([], explain_some([Crash("h1", "m1", 7, 900, False, False)], caused))
+        self.assertEqual(
+            [], attribute_to_culprit([Crash("h1", "m1", 7, 900, False, False)], caused)
+        )
 
     def test_task_that_began_together_with_the_cause_is_no_suspect_and_its_run_counts(self) -> None:
-        left = explain_some([Crash("h1", "m1", 7, 12, True, False)], [crash(1)])
-        self.assertEqual([True], [each.is_explained for each in left])
+        left = attribute_to_culprit([Crash("h1", "m1", 7, 12, True, False)], [crash(1)])
+        self.assertEqual([True], [each.has_other_cause for each in left])
         self.assertFalse(is_suspect(left))
 
     def test_task_with_a_second_crash_stays_suspect(self) -> None:
         mine = [Crash("h1", "m1", 7, 12, True, False), Crash("h9", "m9", 8, 11, True, False)]
-        self.assertEqual(mine, explain_some(mine, [crash(1)]))
+        self.assertEqual(mine, attribute_to_culprit(mine, [crash(1)]))
 
     def test_crashes_that_do_not_look_like_the_sure_ones_were_not_a_tasks_doing(self) -> None:
         mine = [crash(1, 900), crash(2, 12), crash(3, 12, sure=True), crash(4, 11, sure=True)]
-        self.assertEqual(("h2", "h3", "h4"), tuple(each.host_id for each in list_caused(mine)))
+        self.assertEqual(
+            ("h2", "h3", "h4"), tuple(each.host_id for each in list_caused_crashes(mine))
+        )
