--- a/src/robinthread/_internal/jobs/crash_attribution.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from robinthread._internal.jobs.crash_tracker import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashEventKind
 from robinthread._internal.jobs.crashes import (
     Crash,
     attribute_to_culprit,
@@ -31,7 +31,7 @@
     ]
     set_crashes(pool, task, [*others, crash])
     if pool.crash_tracker.is_suspect(task):
-        pool.crash_tracker.note(CrashNoteKind.SUSPECTED, task, (crash.host_id,))
+        pool.crash_tracker.add_event(CrashEventKind.SUSPECTED, task, (crash.host_id,))
     if is_culprit(task.crashes, task.step.is_lasting):
         _give_up(pool, task, now_ms)
 
@@ -40,7 +40,7 @@
     """Fail the job of a task that crashes its hosts; what it crashed blames no other."""
     caused = list_caused_crashes(task.crashes)
     host_ids = {crash.host_id for crash in caused}
-    pool.crash_tracker.note(CrashNoteKind.GIVEN_UP, task, host_ids)
+    pool.crash_tracker.add_event(CrashEventKind.GIVEN_UP, task, host_ids)
     pool.fail(pool.jobs[task.key.job_id], now_ms)
-    for other in pool.crash_tracker.note_cause_found(host_ids):
+    for other in pool.crash_tracker.record_cause_found(host_ids):
         set_crashes(pool, other, attribute_to_culprit(other.crashes, caused))
--- a/src/robinthread/_internal/jobs/crash_tracker.py
+++ b/src/robinthread/_internal/jobs/crash_tracker.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.task_key import TaskKey
 
 # So many lost hosts are remembered, the latest.
-LOSSES_KEPT_MAX: Final = 64
+LOSSES_RETAINED_MAX: Final = 64
 # The connections to the hosts of a rack that is lost break within so long of each other.
 RACK_LOST_WITHIN_S: Final = 0.05
 # From so many crashes within so long on, a machine may be what crashes.  Its next host is tried
@@ -35,30 +35,30 @@
     machine: str
     rack: str
     at_s: float
-    ran_anything: bool = True
+    had_runs: bool = True
 
 
-class CrashNoteKind(enum.Enum):
+class CrashEventKind(enum.Enum):
     """What was found of a task: the values are the events by which that is told."""
 
     SUSPECTED = "task_suspected"
-    TRIED = "suspect_started"
+    TRIAL_STARTED = "suspect_started"
     CLEARED = "suspect_cleared"
     GIVEN_UP = "task_given_up"
 
 
 @dataclass(frozen=True, slots=True)
-class CrashNote:
+class CrashEvent:
     """What was found of a task, with the crashes that counted then and the hosts it is about."""
 
-    kind: CrashNoteKind
+    kind: CrashEventKind
     task: TaskKey
     run: int
     crashes: tuple[Crash, ...]
     host_ids: tuple[str, ...]
 
 
-class CrashBook:
+class CrashTracker:
     """The tasks under which hosts have crashed; the members of a gang count as its first.
 
     ``suspects`` are those to be started apart from others.
@@ -67,10 +67,10 @@
     def __init__(self) -> None:
         self.trials = Trials()
         self.suspects: dict[TaskKey, Task] = {}
-        self._notes: list[CrashNote] = []
+        self._notes: list[CrashEvent] = []
         self._crashed: dict[TaskKey, Task] = {}
         self._lapsed: dict[str, Sequence[tuple[Task, Crash]]] = {}
-        self._losses: deque[LostHost] = deque(maxlen=LOSSES_KEPT_MAX)
+        self._losses: deque[LostHost] = deque(maxlen=LOSSES_RETAINED_MAX)
 
     def is_suspect(self, task: Task) -> bool:
         """Tell whether a task is to be started apart from others."""
@@ -109,23 +109,23 @@
                     Trial(task.crash_task_key, host_ids, is_alone=True, run=alone[0].number)
                 )
 
-    def note(self, kind: CrashNoteKind, task: Task, host_ids: Collection[str]) -> None:
+    def add_event(self, kind: CrashEventKind, task: Task, host_ids: Collection[str]) -> None:
         """Have something told of a task."""
         ids = tuple(sorted(host_ids))
-        self._notes.append(CrashNote(kind, task.key, task.last_run, task.crashes, ids))
+        self._notes.append(CrashEvent(kind, task.key, task.last_run, task.crashes, ids))
 
-    def take_notes(self) -> list[CrashNote]:
+    def drain_events(self) -> list[CrashEvent]:
         """Return what has been found since this was last asked."""
         notes, self._notes = self._notes, []
         return notes
 
-    def note_cause_found(self, host_ids: Collection[str]) -> list[Task]:
+    def record_cause_found(self, host_ids: Collection[str]) -> list[Task]:
         """Note that the cause of crashes was found; return the other tasks that they count for.
 
         A task that is being tried tells by itself.
         """
         self._losses = deque(
-            (lost for lost in self._losses if lost.id not in host_ids), LOSSES_KEPT_MAX
+            (lost for lost in self._losses if lost.id not in host_ids), LOSSES_RETAINED_MAX
         )
         return [
             task
@@ -138,15 +138,15 @@
         """Remember what counts for which tasks once a host whose lease is over has crashed."""
         self._lapsed[host_id] = found
 
-    def awaits_fate(self, task: Task) -> bool:
+    def is_host_outcome_open(self, task: Task) -> bool:
         """Tell whether it is not known yet if a host crashed that a task's lease lapsed on."""
         return any(task is other for found in self._lapsed.values() for other, _crash in found)
 
-    def take_lapsed(self, host_id: str) -> Sequence[tuple[Task, Crash]]:
+    def pop_lapsed(self, host_id: str) -> Sequence[tuple[Task, Crash]]:
         """Return what was remembered of a host, and forget it."""
         return self._lapsed.pop(host_id, ())
 
-    def note_lost(self, lost: LostHost) -> None:
+    def record_loss(self, lost: LostHost) -> None:
         """Remember a host that crashed."""
         self._losses.append(lost)
 
@@ -159,9 +159,9 @@
 
     def count_by_machine(self) -> Counter[str]:
         """Count by machine the crashes of late whose cause is not known."""
-        return Counter(lost.machine for lost in self._losses if lost.ran_anything)
+        return Counter(lost.machine for lost in self._losses if lost.had_runs)
 
-    def get_pause_s(self, machine: str, now_s: float) -> float:
+    def get_machine_pause_s(self, machine: str, now_s: float) -> float:
         """Return how long a machine's next host gets no work: one that crashes by itself.
 
         It has crashed several times of late, and as often as all others together: where many
@@ -170,7 +170,7 @@
         recent = [
             lost
             for lost in self._losses
-            if lost.ran_anything and now_s - lost.at_s < BAD_MACHINE_WITHIN_S
+            if lost.had_runs and now_s - lost.at_s < BAD_MACHINE_WITHIN_S
         ]
         count = sum(lost.machine == machine for lost in recent)
         if count < BAD_MACHINE_CRASHES or 2 * count < len(recent):
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -42,9 +42,9 @@
         pool.remove_host(host.id, now_ms, carried, successor)
         return
     at_s = host.get_lost_at_s()
-    found = [*pool.crash_tracker.take_lapsed(host.id), *_find_crashes(pool, host, at_s)]
-    record, ran_anything = host.record, bool(found or host.runs)
-    pool.crash_tracker.note_lost(LostHost(host.id, record.machine, record.rack, at_s, ran_anything))
+    found = [*pool.crash_tracker.pop_lapsed(host.id), *_find_crashes(pool, host, at_s)]
+    record, had_runs = host.record, bool(found or host.runs)
+    pool.crash_tracker.record_loss(LostHost(host.id, record.machine, record.rack, at_s, had_runs))
     _end_trials(pool, found, now_s)
     pool.remove_host(host.id, now_ms, carried, successor)
     for task, crash in found:
@@ -71,7 +71,7 @@
 
 def withdraw_lapsed(pool: PoolJobs, host: Host) -> None:
     """Note that a host answers again: it has not crashed."""
-    for task, crash in pool.crash_tracker.take_lapsed(host.id):
+    for task, crash in pool.crash_tracker.pop_lapsed(host.id):
         if task.key.job_id in pool.jobs and crash.host_id in {
             each.host_id for each in task.crashes
         }:
@@ -82,8 +82,8 @@
 def _end_trials(pool: PoolJobs, found: Iterable[tuple[Task, Crash]], now_s: float) -> None:
     trials = pool.crash_tracker.trials
     for task, crash in found:
-        if trials.is_run_of(task.key, crash.run):
-            trials.note_lost(now_s)
+        if trials.is_trial_run(task.key, crash.run):
+            trials.record_loss(now_s)
             trials.drop(task.key)
 
 
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-from robinthread._internal.jobs.crash_tracker import CrashBook
+from robinthread._internal.jobs.crash_tracker import CrashTracker
 from robinthread._internal.jobs.crashes import Crash
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_lease import ForeignLeases, HostLease
@@ -49,7 +49,7 @@
         self.kept_hosts: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
         self.tickets = TicketBook()
-        self.crash_tracker = CrashBook()
+        self.crash_tracker = CrashTracker()
         self.unconfirmed_starts = LateStarts()
         self.workspaces = WorkspaceRoom()
         self.are_rooms_known = True
@@ -228,7 +228,7 @@
             for run in carried:
                 self._move_run(run, host, successor)
         self.lapse_host(host, now_ms)
-        self.crash_tracker.take_lapsed(host_id)
+        self.crash_tracker.pop_lapsed(host_id)
         del self.hosts[host_id]
 
     def lapse_host(self, host: Host, now_ms: int) -> None:
@@ -286,7 +286,7 @@
         task.runs.remove(run)
         self.hosts[run.host_id].remove_run(run, task.step.room)
         self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
-        if self.crash_tracker.trials.is_run_of(task.crash_task_key, run.number):
+        if self.crash_tracker.trials.is_trial_run(task.crash_task_key, run.number):
             self.crash_tracker.trials.drop(task.crash_task_key)
         return True
 
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -15,7 +15,7 @@
 from typing import Final
 
 from robinthread._internal.jobs.crash_attribution import set_crashes
-from robinthread._internal.jobs.crash_tracker import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashEventKind
 from robinthread._internal.jobs.crashes import (
     EXONERATED_AFTER_S,
     STARTUP_WINDOW_S,
@@ -40,8 +40,8 @@
 
 # Shares of the pool's usable hosts that suspects may cost at a time, and those of them that are
 # to blame for a crash; one suspect at a time may always be tried.
-AT_STAKE_SHARE: Final = 0.5
-AT_STAKE_SHARE_BLAMED: Final = 0.25
+AT_RISK_SHARE: Final = 0.5
+AT_RISK_SHARE_CULPRITS: Final = 0.25
 
 
 def place_suspects(pool: PoolJobs, now_s: float, now_ms: int) -> int:
@@ -50,7 +50,7 @@
     Those go first that were the cause of no crash for sure, for most of them are sound.
     """
     trials = pool.crash_tracker.trials
-    trials.drop_waiting()
+    trials.drop_unstarted()
     waiting = [
         task
         for task in pool.crash_tracker.suspects.values()
@@ -70,7 +70,7 @@
         if trial is None:
             without_host.add(kind)
             continue
-        if len(trial.host_ids) > left and trials.count_at_stake(now_s):
+        if len(trial.host_ids) > left and trials.count_at_risk(now_s):
             continue
         trials.add(trial)
         usable = [host for host in usable if host.id not in trial.host_ids]
@@ -85,7 +85,7 @@
         if task is not None and trial.run and _has_outlived(pool, task, trial, now_s):
             pool.crash_tracker.trials.drop(trial.task)
             set_crashes(pool, task, () if trial.is_alone else attribute_all_elsewhere(task.crashes))
-            pool.crash_tracker.note(CrashNoteKind.CLEARED, task, trial.host_ids)
+            pool.crash_tracker.add_event(CrashEventKind.CLEARED, task, trial.host_ids)
 
 
 def is_ready(host: Host, is_alone: bool, now_s: float) -> bool:
@@ -108,7 +108,7 @@
     culprits = pool.jobs[task.key.job_id].culprits
     if culprits and task.key != min(culprits):
         return False
-    return not must_run_alone(task.crashes) or not pool.crash_tracker.awaits_fate(task)
+    return not must_run_alone(task.crashes) or not pool.crash_tracker.is_host_outcome_open(task)
 
 
 def _count_sure(task: Task) -> int:
@@ -119,10 +119,10 @@
     """Count the hosts that the pool can spare for a suspect, should they crash."""
     trials = pool.crash_tracker.trials
     host_count = len(usable) + len(trials.reserved)
-    at_stake = trials.count_at_stake(now_s)
+    at_stake = trials.count_at_risk(now_s)
     if not _count_sure(task):
-        return max(int(AT_STAKE_SHARE * host_count) - at_stake, not trials.reserved)
-    left = max(1, int(AT_STAKE_SHARE_BLAMED * host_count)) - at_stake
+        return max(int(AT_RISK_SHARE * host_count) - at_stake, not trials.reserved)
+    left = max(1, int(AT_RISK_SHARE_CULPRITS * host_count)) - at_stake
     if left < 1 and all(pool.is_held(other) for other in pool.waiting.values()):
         left = sum(not host.runs for host in usable) - 1
     return left
@@ -185,7 +185,7 @@
         trial.run = task.last_run
         for run in _iter_runs(pool, task, trial):
             run.is_alone = trial.is_alone
-        pool.crash_tracker.note(CrashNoteKind.TRIED, task, trial.host_ids)
+        pool.crash_tracker.add_event(CrashEventKind.TRIAL_STARTED, task, trial.host_ids)
     return placed
 
 
--- a/src/robinthread/_internal/jobs/trials.py
+++ b/src/robinthread/_internal/jobs/trials.py
@@ -7,7 +7,7 @@
 
 # A host that a suspect took with it counts as at stake for so long: platforms have its machine
 # back within some seconds.
-HOST_BACK_S: Final = 3.0
+HOST_RETURN_S: Final = 3.0
 
 
 @dataclass(slots=True)
@@ -53,22 +53,22 @@
         if self._trials.pop(task, None) is not None:
             self._note_reserved()
 
-    def drop_waiting(self) -> None:
+    def drop_unstarted(self) -> None:
         """Give back the hosts of trials that have not begun: others may suit better now."""
         waiting = [trial.task for trial in self._trials.values() if not trial.run]
         for task in waiting:
             self.drop(task)
 
-    def is_run_of(self, task: TaskKey, run: int) -> bool:
+    def is_trial_run(self, task: TaskKey, run: int) -> bool:
         """Tell whether a run is its task's trial."""
         trial = self._trials.get(task)
         return trial is not None and trial.run == run
 
-    def note_lost(self, now_s: float) -> None:
+    def record_loss(self, now_s: float) -> None:
         """Note that a trial took a host with it."""
-        self._lost_until_s.append(now_s + HOST_BACK_S)
+        self._lost_until_s.append(now_s + HOST_RETURN_S)
 
-    def count_at_stake(self, now_s: float) -> int:
+    def count_at_risk(self, now_s: float) -> int:
         """Count the hosts that trials may take with them, and those that they took of late."""
         self._lost_until_s = [until_s for until_s in self._lost_until_s if until_s > now_s]
         return len(self.reserved) + len(self._lost_until_s)
--- a/src/robinthread/_internal/node/host_ends.py
+++ b/src/robinthread/_internal/node/host_ends.py
@@ -24,7 +24,7 @@
 def pause_after_crashes(runtime: PoolRuntime, host: Host) -> None:
     """Keep work for a while from a host whose machine's hosts crash."""
     machine, now_s = host.record.machine, get_loop_s()
-    pause_s = runtime.jobs.crash_tracker.get_pause_s(machine, now_s)
+    pause_s = runtime.jobs.crash_tracker.get_machine_pause_s(machine, now_s)
     if pause_s:
         host.health.pause(pause_s, now_s)
         runtime.events.write(
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -288,7 +288,7 @@
             self._take_limits()
             note_outlived(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
-            tell_crash_notes(self._events, self.pool, self.jobs.crash_tracker.take_notes())
+            tell_crash_notes(self._events, self.pool, self.jobs.crash_tracker.drain_events())
             stops, self.jobs.to_stop = self.jobs.to_stop, []
             for run in stops:
                 self._runtime.spawn(self._orders.send_stop(run))
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from robinthread._internal.fleet.pool_report import HostStanding, LackReport, PoolReport
-from robinthread._internal.jobs.crash_tracker import CrashNote
+from robinthread._internal.jobs.crash_tracker import CrashEvent
 from robinthread._internal.jobs.demand import Demand
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
@@ -84,7 +84,7 @@
         events.gather("host_ended", {"pool": pool, "reason": reason}, listed={"hosts": host.id})
 
 
-def tell_crash_notes(events: EventLog, pool: str, notes: Iterable[CrashNote]) -> None:
+def tell_crash_notes(events: EventLog, pool: str, notes: Iterable[CrashEvent]) -> None:
     """Tell what crashes of hosts said of tasks."""
     for note in notes:
         events.write(
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.crash_tracker import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashEventKind
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
 from robinthread._internal.jobs.host_loss import note_crashed, note_lapsed, withdraw_lapsed
@@ -203,8 +203,8 @@
             run = hosts.send(task.runs[0], at_s)
             hosts.crash(run.host_id, at_s + 0.01)
         self.assertIs(JobStatus.FAILED, hosts.pool.jobs[task.key.job_id].status)
-        notes = [note.kind for note in hosts.pool.crash_tracker.take_notes()]
-        self.assertEqual(1, notes.count(CrashNoteKind.GIVEN_UP))
+        notes = [note.kind for note in hosts.pool.crash_tracker.drain_events()]
+        self.assertEqual(1, notes.count(CrashEventKind.GIVEN_UP))
         self.assertEqual({}, hosts.pool.crash_tracker.suspects)
 
     def test_other_tasks_of_a_job_wait_while_one_is_to_blame(self) -> None:
