--- a/src/robinthread/_internal/jobs/crash_tracker.py
+++ b/src/robinthread/_internal/jobs/crash_tracker.py
@@ -134,7 +134,7 @@
             and self.trials.get(task.key) is None
         ]
 
-    def note_lapsed(self, host_id: str, found: Sequence[tuple[Task, Crash]]) -> None:
+    def record_host_lapse(self, host_id: str, found: Sequence[tuple[Task, Crash]]) -> None:
         """Remember what counts for which tasks once a host whose lease is over has crashed."""
         self._lapsed[host_id] = found
 
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -26,7 +26,7 @@
     age_s: float | None
 
 
-def note_crashed(
+def record_host_crash(
     pool: PoolJobs,
     host: Host,
     now_s: float,
@@ -51,7 +51,7 @@
         add_crash(pool, task, crash, now_ms)
 
 
-def note_lapsed(pool: PoolJobs, host: Host, now_s: float, now_ms: int) -> None:
+def record_host_lapse(pool: PoolJobs, host: Host, now_s: float, now_ms: int) -> None:
     """Note that nothing runs any more on a host that does not answer.
 
     Whether it crashed is not known.  Where a connection to it broke that is likely, so that its
@@ -61,7 +61,7 @@
         pool.lapse_host(host, now_ms)
         return
     found = _find_crashes(pool, host, host.get_lost_at_s())
-    pool.crash_tracker.note_lapsed(host.id, found)
+    pool.crash_tracker.record_host_lapse(host.id, found)
     _end_trials(pool, found, now_s)
     pool.lapse_host(host, now_ms)
     if host.broken_at_s is not None:
--- a/src/robinthread/_internal/jobs/host_restart.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -4,13 +4,13 @@
 from collections.abc import Collection
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_loss import note_crashed
+from robinthread._internal.jobs.host_loss import record_host_crash
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.unconfirmed_starts import RunKey
 
 
-def end_former(
+def end_previous_incarnation(
     pool: PoolJobs,
     former: Host,
     host: Host,
@@ -31,7 +31,7 @@
     ]
     was_known = former.contact is not HostContact.UNHEARD or bool(former.runs)
     if was_known and not former.was_to_end():
-        note_crashed(pool, former, now_s, now_ms, carried, host)
+        record_host_crash(pool, former, now_s, now_ms, carried, host)
     else:
         pool.remove_host(former.id, now_ms, carried, host)
     for run in carried:
@@ -45,7 +45,7 @@
     pool.remove_host(unnamed.id, 0, list(unnamed.runs.values()), host)
 
 
-def find_lives(pool: PoolJobs, host_id: str) -> list[Host]:
+def find_incarnations(pool: PoolJobs, host_id: str) -> list[Host]:
     """Return the lives of a host that are not known to have ended."""
     return [host for host in pool.hosts.values() if host.record.id == host_id]
 
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -61,7 +61,7 @@
     """All that must outlast a pool's owner.
 
     A job that has ended keeps no tasks; ``ended_at_ms`` is a Unix time.  ``hosts`` are ids, and
-    ``births`` tells of each which life it was; an older process knows the ids alone.
+    ``host_start_times_ms`` tells of each which life it was; an older process knows the ids alone.
     """
 
     job_id: str
@@ -70,11 +70,11 @@
     hosts: tuple[str, ...] = ()
     tasks: tuple[TaskProgress, ...] = ()
     ended_at_ms: int = 0
-    births: tuple[int | None, ...] = ()
+    host_start_times_ms: tuple[int | None, ...] = ()
 
-    def list_lives(self) -> tuple[str, ...]:
+    def list_incarnations(self) -> tuple[str, ...]:
         """Return the ids of the hosts' lives."""
-        pairs = itertools.zip_longest(self.hosts, self.births)
+        pairs = itertools.zip_longest(self.hosts, self.host_start_times_ms)
         return tuple(make_life_id(host_id, born_ms) for host_id, born_ms in pairs)
 
 
@@ -86,7 +86,7 @@
         started = (task for task in job.tasks.values() if task.last_run)
         tasks = tuple(_make_task_progress(task, hosts) for task in started)
     lives = [split_life_id(life_id) for life_id in hosts]
-    births = tuple(born_ms for _host_id, born_ms in lives)
+    host_start_times_ms = tuple(born_ms for _host_id, born_ms in lives)
     progress = JobProgress(
         job.id,
         job.spec.queue,
@@ -94,7 +94,7 @@
         tuple(host_id for host_id, _born_ms in lives),
         tasks,
         job.ended_at_ms,
-        births if any(born_ms is not None for born_ms in births) else (),
+        host_start_times_ms if any(born_ms is not None for born_ms in host_start_times_ms) else (),
     )
     return msgspec.msgpack.encode(progress)
 
@@ -104,7 +104,7 @@
     progress = msgspec.msgpack.decode(value, type=JobProgress)
     if progress.status not in STATUS_VALUES:
         raise msgspec.ValidationError(f"unknown status {progress.status!r}")
-    if len(progress.births) > len(progress.hosts):
+    if len(progress.host_start_times_ms) > len(progress.hosts):
         raise msgspec.ValidationError("there are more births than hosts")
     named = (run.host for task in progress.tasks for run in task.runs)
     if any(not 0 <= host < len(progress.hosts) for host in named):
@@ -117,7 +117,7 @@
     job.status = job.recorded_status = JobStatus(progress.status)
     job.ended_at_ms = progress.ended_at_ms
     job.has_begun = any(row.last_run for row in progress.tasks)
-    lives = progress.list_lives()
+    lives = progress.list_incarnations()
     for row in progress.tasks:
         key = TaskKey(job.id, row.occurrence, row.step, row.index)
         if job.has_task(key):
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -78,7 +78,7 @@
     return placed
 
 
-def note_outlived(pool: PoolJobs, now_s: float) -> None:
+def clear_surviving_suspects(pool: PoolJobs, now_s: float) -> None:
     """Clear the suspects that have outlived their start, apart from others."""
     for trial in pool.crash_tracker.trials.list_all():
         task = pool.crash_tracker.suspects.get(trial.task)
--- a/src/robinthread/_internal/node/host_ends.py
+++ b/src/robinthread/_internal/node/host_ends.py
@@ -1,7 +1,7 @@
 """The end of a host's life, and what it tells of its machine's next one."""
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_loss import note_crashed
+from robinthread._internal.jobs.host_loss import record_host_crash
 from robinthread._internal.node.pool_reporting import tell_ended
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
@@ -13,7 +13,7 @@
     tell_ended(runtime.events, runtime.pool, host, reason, get_loop_s(), successor)
     now_ms = runtime.context.get_wall_ms()
     if has_crashed and not host.was_to_end():
-        note_crashed(runtime.jobs, host, get_loop_s(), now_ms)
+        record_host_crash(runtime.jobs, host, get_loop_s(), now_ms)
     else:
         runtime.jobs.remove_host(host.id, now_ms)
     # Whoever still sends orders there gives up.
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_follower.py
@@ -11,7 +11,7 @@
     HostGoneError,
     HostSilentError,
 )
-from robinthread._internal.jobs.host_loss import note_lapsed, withdraw_lapsed
+from robinthread._internal.jobs.host_loss import record_host_lapse, withdraw_lapsed
 from robinthread._internal.jobs.run import RunPhase
 from robinthread._internal.jobs.unconfirmed_starts import LATE_MAX_S
 from robinthread._internal.models.host_report import HostReport
@@ -172,7 +172,7 @@
                 run_count=len(host.runs),
                 lease_over_in_s=round(host.lease.over_at_s - now_s, 3),
             )
-            note_lapsed(self._jobs, host, now_s, self._runtime.context.get_wall_ms())
+            record_host_lapse(self._jobs, host, now_s, self._runtime.context.get_wall_ms())
             self._runtime.wake()
 
     def _may_be_late(self, error: HostError) -> bool:
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -6,7 +6,11 @@
 from typing import Final
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_restart import adopt_runs, end_former, find_lives
+from robinthread._internal.jobs.host_restart import (
+    adopt_runs,
+    end_previous_incarnation,
+    find_incarnations,
+)
 from robinthread._internal.jobs.unconfirmed_starts import RunKey
 from robinthread._internal.models.host_life import make_life_id
 from robinthread._internal.models.host_report import HostReport
@@ -126,7 +130,7 @@
         """End the other lives of the host that answers, also those of earlier owners' records."""
         present = {(each.task, each.run) for each in report.running}
         present |= {(each.task, each.run) for each in report.ended}
-        for other in find_lives(self._jobs, host.record.id):
+        for other in find_incarnations(self._jobs, host.record.id):
             if other is host:
                 continue
             if other.record.born_ms is None and other.contact is HostContact.UNHEARD:
@@ -135,7 +139,9 @@
             reason = "another life answers under its id"
             tell_ended(self._events, self._runtime.pool, other, reason, get_loop_s(), host.id)
             now_ms = self._runtime.context.get_wall_ms()
-            end_former(self._jobs, other, host, present, asked_at_s, get_loop_s(), now_ms)
+            end_previous_incarnation(
+                self._jobs, other, host, present, asked_at_s, get_loop_s(), now_ms
+            )
 
     def _settle(self, host: Host) -> None:
         """Keep work from a life until what was sent to the one before can harm it no more."""
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_restart import find_lives
+from robinthread._internal.jobs.host_restart import find_incarnations
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_ends import end_host
 from robinthread._internal.node.host_follower import HostFollower
@@ -52,11 +52,13 @@
         """
         self._told = {
             host_id: self._told.get(
-                host_id, frozenset(host.id for host in find_lives(self._jobs, host_id))
+                host_id, frozenset(host.id for host in find_incarnations(self._jobs, host_id))
             )
             for host_id in ended
         }
-        for host in [host for host_id in self._told for host in find_lives(self._jobs, host_id)]:
+        for host in [
+            host for host_id in self._told for host in find_incarnations(self._jobs, host_id)
+        ]:
             is_silent = host.contact is not HostContact.ANSWERING
             is_told = host.id in self._told[host.record.id]
             if is_silent and is_told and not host.is_awaited(get_loop_s()):
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -14,7 +14,7 @@
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress
 from robinthread._internal.jobs.scheduling import place_waiting
-from robinthread._internal.jobs.suspects import note_outlived
+from robinthread._internal.jobs.suspects import clear_surviving_suspects
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.node.advice_taker import AdviceTaker
@@ -286,7 +286,7 @@
             began_at_s = get_loop_s()
             self.jobs.are_rooms_known = self._runtime.are_rooms_known()
             self._take_limits()
-            note_outlived(self.jobs, now_s)
+            clear_surviving_suspects(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
             tell_crash_notes(self._events, self.pool, self.jobs.crash_tracker.drain_events())
             stops, self.jobs.to_stop = self.jobs.to_stop, []
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -5,7 +5,7 @@
 
 from robinthread._internal.jobs.crashes import is_suspect
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_restart import adopt_runs, end_former
+from robinthread._internal.jobs.host_restart import adopt_runs, end_previous_incarnation
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress, decode_progress, encode_progress
 from robinthread._internal.jobs.run import Run, RunPhase
@@ -85,14 +85,14 @@
         self._place(None, 0)
         fields = msgspec.msgpack.decode(encode_progress(self.job))
         progress = decode_progress(msgspec.msgpack.encode(fields[:6]))
-        self.assertEqual(("i-1",), progress.list_lives())
+        self.assertEqual(("i-1",), progress.list_incarnations())
 
     def test_births_without_hosts_are_no_record(self) -> None:
         wrong = msgspec.msgpack.encode(JobProgress("1", "q", "running", ("h",), (), 0, (1, 2)))
         self.assertRaises(msgspec.ValidationError, decode_progress, wrong)
 
 
-class SuccessionTest(TestCase):
+class HostRestartTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.pool = PoolJobs()
@@ -112,7 +112,7 @@
         return run
 
     def _end_former(self, present: frozenset[tuple[TaskKey, int]] = frozenset()) -> None:
-        end_former(self.pool, self.former, self.host, present, 5.0, 5.1, 5100)
+        end_previous_incarnation(self.pool, self.former, self.host, present, 5.0, 5.1, 5100)
 
     def test_run_that_was_there_has_ended_with_its_life(self) -> None:
         run = self._start(0, answered_at_s=1.1)
@@ -155,7 +155,7 @@
         again.phase, again.sent_at_s = RunPhase.SENDING, 6.0
         self.pool.confirm_start(again, 6.0)
         self.former.broken_at_s = 6.1
-        end_former(self.pool, self.former, self.host, frozenset(), 8.0, 8.1, 8100)
+        end_previous_incarnation(self.pool, self.former, self.host, frozenset(), 8.0, 8.1, 8100)
         self.assertEqual(2, len(task.crashes))
         self.assertTrue(is_suspect(task.crashes))
 
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -7,10 +7,14 @@
 from robinthread._internal.jobs.crash_tracker import CrashEventKind
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
-from robinthread._internal.jobs.host_loss import note_crashed, note_lapsed, withdraw_lapsed
+from robinthread._internal.jobs.host_loss import (
+    record_host_crash,
+    record_host_lapse,
+    withdraw_lapsed,
+)
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
-from robinthread._internal.jobs.suspects import note_outlived, place_suspects
+from robinthread._internal.jobs.suspects import clear_surviving_suspects, place_suspects
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.job_status import JobStatus
@@ -63,7 +67,7 @@
         host.contact = HostContact.SILENT
         error = HostSilentError("timed out") if is_silent else HostRefusedError("refused")
         host.note_failed(error, at_s)
-        note_crashed(self.pool, host, at_s + 0.1, 0)
+        record_host_crash(self.pool, host, at_s + 0.1, 0)
 
     def list_suspects(self) -> set[str]:
         """Return the last digits of the ids of the jobs whose tasks are suspect."""
@@ -151,7 +155,7 @@
         hosts.start(task, "h0", NOW_S)
         host.contact = HostContact.SILENT
         host.note_failed(HostRefusedError("refused"), NOW_S + 0.01)
-        note_lapsed(hosts.pool, host, NOW_S + 4.2, 0)
+        record_host_lapse(hosts.pool, host, NOW_S + 4.2, 0)
         self.assertEqual({"1"}, hosts.list_suspects())
         withdraw_lapsed(hosts.pool, host)
         self.assertEqual((), task.crashes)
@@ -172,9 +176,9 @@
         self.assertEqual(1, place_suspects(hosts.pool, NOW_S + 1, 0))
         self.assertEqual(frozenset({"h1"}), hosts.pool.crash_tracker.trials.reserved)
         hosts.send(task.runs[0], NOW_S + 1)
-        note_outlived(hosts.pool, NOW_S + 1.1)
+        clear_surviving_suspects(hosts.pool, NOW_S + 1.1)
         self.assertEqual({"1"}, hosts.list_suspects())
-        note_outlived(hosts.pool, NOW_S + 1.2)
+        clear_surviving_suspects(hosts.pool, NOW_S + 1.2)
         self.assertEqual(set(), hosts.list_suspects())
         self.assertEqual(frozenset(), hosts.pool.crash_tracker.trials.reserved)
 
