--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -24,12 +24,12 @@
 class HostContact(enum.Enum):
     """Whether a host answers.
 
-    UNHEARD: it has not yet answered under this owner's token, so older owners'
+    NOT_CONTACTED: it has not yet answered under this owner's token, so older owners'
     orders may still be carried out.  ANSWERING: it has, and does.  SILENT: it
     did, and does not any more.
     """
 
-    UNHEARD = "unheard"
+    NOT_CONTACTED = "unheard"
     ANSWERING = "answering"
     SILENT = "silent"
 
@@ -45,13 +45,14 @@
     when its last report came, ``leaves_at_s`` the earliest time at which a draining host
     may be gone.
     ``unanswered_since_s`` is when the first order was sent since it last answered.
-    Until ``awaited_until_s`` a host that is UNHEARD is taken for one that will answer.
+    Until ``awaited_until_s`` a host that is NOT_CONTACTED is taken for one that will answer.
     ``is_refusing`` tells whether it refused a connection for the order that failed last.
-    ``broken_at_s`` is when a connection to it first broke since it last answered: a host that
+    ``connection_broken_at_s`` is when a connection to it first broke since it last answered:
+    a host that
     ends breaks them at once, one that is cut off says nothing.
     ``is_unlisted_alive`` tells that its entry went while it answered.
     By ``foreign_stops_over_at_s`` all that earlier owners told to stop has ended.
-    ``is_described`` tells that its record is of this life: another one's room may differ.
+    ``has_current_record`` tells that its record is of this life: another one's room may differ.
     Until it ``is_settled``, orders meant for the life before may harm what is placed here.
     """
 
@@ -64,7 +65,7 @@
         self.free = record.room
         self.lease = lease
         self.health = HostHealth()
-        self.contact = HostContact.UNHEARD
+        self.contact = HostContact.NOT_CONTACTED
         self.runs: dict[tuple[TaskKey, int], Run] = {}
         self.acknowledged_end = 0
         self.forgotten_end = 0
@@ -78,9 +79,9 @@
         self.unanswered_since_s: float | None = None
         self.awaited_until_s = 0.0
         self.is_refusing = False
-        self.broken_at_s: float | None = None
+        self.connection_broken_at_s: float | None = None
         self.is_unlisted_alive = False
-        self.is_described = True
+        self.has_current_record = True
         self.is_settled = True
 
     @property
@@ -99,42 +100,50 @@
         self._id = record.life_id
         self._note_used(self._used)
 
-    def note_draining(self, default_s: float, now_s: float) -> None:
+    def record_draining(self, default_s: float, now_s: float) -> None:
         """Note when a host that has begun to drain may be gone, if it drains."""
         if not self.record.is_draining:
             self.leaves_at_s = None
         elif self.leaves_at_s is None:
             self.leaves_at_s = now_s + (self.record.leaves_in_ms / 1000 or default_s)
 
-    def note_sent(self, now_s: float) -> None:
+    def record_order_sent(self, now_s: float) -> None:
         """Note that an order is sent, which should be answered at once."""
         if self.unanswered_since_s is None:
             self.unanswered_since_s = now_s
 
-    def note_answered(self) -> None:
+    def record_response(self) -> None:
         """Note that the host has answered anything."""
         self.unanswered_since_s = None
         self.is_refusing = False
-        self.broken_at_s = None
+        self.connection_broken_at_s = None
 
-    def note_failed(self, error: HostError, now_s: float) -> None:
+    def record_failure(self, error: HostError, now_s: float) -> None:
         """Note how an order failed."""
         self.is_refusing = isinstance(error, HostRefusedError)
         is_broken = isinstance(error, (HostNoAnswerError, HostRefusedError))
-        if is_broken and not isinstance(error, HostSilentError) and self.broken_at_s is None:
-            self.broken_at_s = now_s
+        if (
+            is_broken
+            and not isinstance(error, HostSilentError)
+            and self.connection_broken_at_s is None
+        ):
+            self.connection_broken_at_s = now_s
 
     def note_listed(self, is_listed: bool) -> None:
         """Note whether the store lists the host; some leave without having said so."""
-        answers = self.contact is HostContact.ANSWERING and self.broken_at_s is None
+        answers = self.contact is HostContact.ANSWERING and self.connection_broken_at_s is None
         self.is_unlisted_alive = not is_listed and (answers or self.is_unlisted_alive)
         self.is_listed = is_listed
 
     def get_lost_at_s(self) -> float:
         """Return when a host that has ended did, or when it was last heard to live."""
-        return self.reported_at_s if self.broken_at_s is None else self.broken_at_s
+        return (
+            self.reported_at_s
+            if self.connection_broken_at_s is None
+            else self.connection_broken_at_s
+        )
 
-    def was_to_end(self) -> bool:
+    def was_expected_to_end(self) -> bool:
         """Tell whether a host that has ended was to: it drained, or had left without a word.
 
         One that drains may crash before its time is over.  One that the steward has emptied
@@ -165,7 +174,7 @@
         self._used = used
         self.free = self._record.room - used
 
-    def is_over(self, room: Resources) -> bool:
+    def is_overcommitted(self, room: Resources) -> bool:
         """Tell whether the host lacks room of a kind that a run on it takes."""
         pairs = (
             (self.free.cpu_millicores, room.cpu_millicores),
@@ -175,23 +184,23 @@
         return any(free < 0 < takes for free, takes in pairs)
 
     @property
-    def room_beside_lasting(self) -> Resources:
+    def capacity_beside_lasting(self) -> Resources:
         """Return the room that is there for tasks that end."""
         return self._record.room - self._used_by_lasting
 
-    def may_take_work(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Tell whether new work may be placed here, if the host is well."""
-        return self.is_willing() and not self.is_vacating(now_s)
+        return self.is_eligible() and not self.is_vacating(now_s)
 
-    def is_willing(self) -> bool:
+    def is_eligible(self) -> bool:
         """Tell whether the host would take work, were it not to be emptied."""
         is_there = self.contact is HostContact.ANSWERING and self.is_listed
-        is_known = self.is_described and self.is_settled
+        is_known = self.has_current_record and self.is_settled
         return is_there and is_known and not self.record.is_draining
 
     def is_awaited(self, now_s: float) -> bool:
         """Tell whether the host was not heard yet, and had no time to answer either."""
-        is_coming = self.contact is HostContact.UNHEARD and now_s < self.awaited_until_s
+        is_coming = self.contact is HostContact.NOT_CONTACTED and now_s < self.awaited_until_s
         return is_coming and self.is_listed and not self.record.is_draining
 
     def is_vacating(self, now_s: float) -> bool:
--- a/src/robinthread/_internal/jobs/host_health.py
+++ b/src/robinthread/_internal/jobs/host_health.py
@@ -22,12 +22,12 @@
         self._failed_jobs: list[str] = []
         self._pause_s = PAUSE_MIN_S
 
-    def note_done(self) -> None:
+    def record_success(self) -> None:
         """Note a run that was done."""
         self._failed_jobs.clear()
         self._pause_s = PAUSE_MIN_S
 
-    def note_failed(self, job_id: str, now_s: float) -> bool:
+    def record_failure(self, job_id: str, now_s: float) -> bool:
         """Note a run that failed; return whether the host is paused now."""
         self._failed_jobs.append(job_id)
         if len(self._failed_jobs) < FAILURES_MIN or len(set(self._failed_jobs)) < JOBS_MIN:
--- a/src/robinthread/_internal/jobs/host_lease.py
+++ b/src/robinthread/_internal/jobs/host_lease.py
@@ -41,11 +41,11 @@
         foreign_over_at_s = min(self._foreign.over_at_s, self._foreign_over_max_s)
         return max(self._own_over_at_s, self._former_over_at_s, foreign_over_at_s)
 
-    def note_fenced(self, length_ms: float, now_s: float) -> None:
+    def record_fencing(self, length_ms: float, now_s: float) -> None:
         """Note that the host now refuses earlier owners, who granted ``length_ms`` at most."""
         self._foreign_over_max_s = min(self._foreign_over_max_s, get_lapse_time_s(length_ms, now_s))
 
-    def note_orders_before(self, until_s: float, longest_ms: float) -> None:
+    def record_earlier_orders(self, until_s: float, longest_ms: float) -> None:
         """Note that orders for the life before may be carried out until ``until_s``.
 
         Their leases end by a clock that began anew since, so that they may be as long as the
@@ -54,7 +54,7 @@
         over_at_s = get_lapse_time_s(longest_ms, until_s)
         self._former_over_at_s = max(self._former_over_at_s, over_at_s)
 
-    def note_clock(self, clock_ms: int, now_s: float) -> None:
+    def record_clock(self, clock_ms: int, now_s: float) -> None:
         """Note the host's clock as an answer that came just now tells it."""
         self._clock_ms = clock_ms
         self._clock_read_at_s = now_s
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -64,7 +64,7 @@
     pool.crash_tracker.record_host_lapse(host.id, found)
     _end_trials(pool, found, now_s)
     pool.lapse_host(host, now_ms)
-    if host.broken_at_s is not None:
+    if host.connection_broken_at_s is not None:
         for task, crash in found:
             add_crash(pool, task, replace(crash, is_confirmed=False), now_ms)
 
@@ -102,7 +102,9 @@
     pool: PoolJobs, host: Host, lost: _Lost, lost_runs: Iterable[_Lost], is_rack_lost: bool
 ) -> Crash:
     others = [other for other in lost_runs if other.counted is not lost.counted]
-    is_near_start = host.broken_at_s is not None and (lost.age_s or 0.0) < STARTUP_WINDOW_S
+    is_near_start = (
+        host.connection_broken_at_s is not None and (lost.age_s or 0.0) < STARTUP_WINDOW_S
+    )
     trial = pool.crash_tracker.trials.get(lost.counted.key)
     is_confirmed = False
     if trial is not None and trial.run == lost.run.number:
--- a/src/robinthread/_internal/jobs/host_restart.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -29,8 +29,8 @@
     carried = [
         run for run in former.runs.values() if _may_be_carried_out(pool, run, present, asked_at_s)
     ]
-    was_known = former.contact is not HostContact.UNHEARD or bool(former.runs)
-    if was_known and not former.was_to_end():
+    was_known = former.contact is not HostContact.NOT_CONTACTED or bool(former.runs)
+    if was_known and not former.was_expected_to_end():
         record_host_crash(pool, former, now_s, now_ms, carried, host)
     else:
         pool.remove_host(former.id, now_ms, carried, host)
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -54,9 +54,7 @@
         return []
     left_out = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
-        host
-        for host in pool.hosts.values()
-        if host.id not in left_out and host.may_take_work(now_s)
+        host for host in pool.hosts.values() if host.id not in left_out and host.accepts_work(now_s)
     ]
     return _prefer_well(hosts, now_s)
 
@@ -64,7 +62,7 @@
 def get_willing_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
     """Return the hosts that may take work, and those that could were they not emptied."""
     doubted = list_unresponsive(pool, now_s)
-    hosts = [host for host in pool.hosts.values() if host.is_willing() and host.id not in doubted]
+    hosts = [host for host in pool.hosts.values() if host.is_eligible() and host.id not in doubted]
     return _prefer_well(hosts, now_s)
 
 
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -198,7 +198,8 @@
         bool(runs)
         and len(hosts) == len(trial.host_ids)
         and all(
-            host.contact is HostContact.ANSWERING and host.broken_at_s is None for host in hosts
+            host.contact is HostContact.ANSWERING and host.connection_broken_at_s is None
+            for host in hosts
         )
         and all(
             run.phase is RunPhase.PRESENT and (run.get_age_s(now_s) or 0.0) >= needed_s
--- a/src/robinthread/_internal/jobs/unconfirmed_starts.py
+++ b/src/robinthread/_internal/jobs/unconfirmed_starts.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._open: dict[str, dict[RunKey, _Open]] = {}
 
-    def note_sent(self, host_id: str, key: RunKey, now_s: float) -> None:
+    def record_order_sent(self, host_id: str, key: RunKey, now_s: float) -> None:
         """Note that a start is sent."""
         found = self._open.setdefault(host_id, {}).setdefault(key, _Open(0, 0.0))
         found.count += 1
--- a/src/robinthread/_internal/jobs/unresponsive_hosts.py
+++ b/src/robinthread/_internal/jobs/unresponsive_hosts.py
@@ -40,6 +40,6 @@
 
 
 def _is_in_doubt(host: Host, now_s: float) -> bool:
-    if host.contact is HostContact.UNHEARD or host.unanswered_since_s is None:
+    if host.contact is HostContact.NOT_CONTACTED or host.unanswered_since_s is None:
         return False
     return now_s - host.unanswered_since_s > UNRESPONSIVE_AFTER_S
--- a/src/robinthread/_internal/node/host_ends.py
+++ b/src/robinthread/_internal/node/host_ends.py
@@ -12,7 +12,7 @@
     """End a life of a host with all that ran there; one that was to end has not crashed."""
     tell_ended(runtime.events, runtime.pool, host, reason, get_loop_s(), successor)
     now_ms = runtime.context.get_wall_ms()
-    if has_crashed and not host.was_to_end():
+    if has_crashed and not host.was_expected_to_end():
         record_host_crash(runtime.jobs, host, get_loop_s(), now_ms)
     else:
         runtime.jobs.remove_host(host.id, now_ms)
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_follower.py
@@ -149,11 +149,11 @@
         host, now_s = self.lives.host, get_loop_s()
         if host is None:
             return
-        host.note_sent(now_s)
+        host.record_order_sent(now_s)
         self._lost_looks += 1
         if self._lost_looks >= FIRST_LOOKS_MAX:
             host.awaited_until_s = now_s
-        host.note_failed(error, now_s)
+        host.record_failure(error, now_s)
         if host.contact is HostContact.ANSWERING:
             host.contact = HostContact.SILENT
             self._events.write(
@@ -181,7 +181,9 @@
         It asks all hosts at once when it opens.  What a host has done meanwhile would be done
         again if its runs lapsed before its first answer.
         """
-        is_new = self.lives.host is not None and self.lives.host.contact is HostContact.UNHEARD
+        is_new = (
+            self.lives.host is not None and self.lives.host.contact is HostContact.NOT_CONTACTED
+        )
         is_slow = isinstance(error, HostSilentError)
         return is_new and is_slow and get_loop_s() < self._first_look_at_s + FIRST_ANSWER_MAX_S
 
@@ -192,14 +194,14 @@
         if not was_answering:
             self._is_spread = False
             self._events.write("host_heard", host=host.id, pool=self._runtime.pool)
-        if host.contact is HostContact.UNHEARD:
+        if host.contact is HostContact.NOT_CONTACTED:
             self._lost_looks = 0
             self._note_first_heard(host)
         host.contact = HostContact.ANSWERING
-        host.note_answered()
+        host.record_response()
         withdraw_lapsed(self._jobs, host)
         host.reported_at_s = get_loop_s()
-        host.lease.note_clock(report.clock_ms, get_loop_s())
+        host.lease.record_clock(report.clock_ms, get_loop_s())
         newest = self._taker.take(host, report, asked_at_s)
         if newest:
             host.processed_end = newest
@@ -229,7 +231,7 @@
         until it has stopped.
         """
         now_s = get_loop_s()
-        host.lease.note_fenced(LEASE_MS, now_s)
+        host.lease.record_fencing(LEASE_MS, now_s)
         stop_s = self._runtime.context.settings.bounds.host_stop_ms / 1000
         host.foreign_stops_over_at_s = now_s + stop_s + STOP_MARGIN_S
         for run in host.runs.values():
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -55,7 +55,9 @@
             return
         if record.born_ms in (None, host.record.born_ms):
             self._describe(host)
-        elif host.contact is HostContact.UNHEARD and record.born_ms not in self._former_births:
+        elif (
+            host.contact is HostContact.NOT_CONTACTED and record.born_ms not in self._former_births
+        ):
             self.host = self._begin_life(record.born_ms)
             if host.record.born_ms is None:
                 adopt_runs(self._jobs, host, self.host)
@@ -85,7 +87,7 @@
             self._note_former(host)
             host = self._begin_life(born_ms)
         self.host = host
-        if host.contact is HostContact.UNHEARD:
+        if host.contact is HostContact.NOT_CONTACTED:
             self._end_others(host, report, asked_at_s)
             self._settle(host)
         return host
@@ -106,11 +108,11 @@
             # What the entry says of draining is another life's.
             record = replace(record, is_draining=False, leaves_in_ms=0)
         host = self._jobs.add_host(record)
-        host.is_described = self.listed.born_ms in (None, born_ms)
+        host.has_current_record = self.listed.born_ms in (None, born_ms)
         host.is_listed = True
-        if host.is_described:
+        if host.has_current_record:
             self._describe(host)
-        if known is None or known.contact is HostContact.UNHEARD:
+        if known is None or known.contact is HostContact.NOT_CONTACTED:
             host.awaited_until_s = get_loop_s() + FIRST_ANSWER_MAX_S
             pause_after_crashes(self._runtime, host)
         return host
@@ -118,9 +120,9 @@
     def _describe(self, host: Host) -> None:
         """Take what the entry says for what a life is."""
         host.record = replace(self.listed, born_ms=host.record.born_ms)
-        host.is_described = True
+        host.has_current_record = True
         drain_s = self._runtime.context.settings.bounds.drain_ms / 1000
-        host.note_draining(drain_s, get_loop_s())
+        host.record_draining(drain_s, get_loop_s())
 
     def _note_former(self, host: Host) -> None:
         if host.record.born_ms is not None:
@@ -133,7 +135,7 @@
         for other in find_incarnations(self._jobs, host.record.id):
             if other is host:
                 continue
-            if other.record.born_ms is None and other.contact is HostContact.UNHEARD:
+            if other.record.born_ms is None and other.contact is HostContact.NOT_CONTACTED:
                 adopt_runs(self._jobs, other, host)
                 continue
             reason = "another life answers under its id"
@@ -150,7 +152,9 @@
         until_s = max(late.get_until_s(host.record.id), self.silent_look_until_s)
         if until_s <= now_s:
             return
-        host.lease.note_orders_before(until_s, self._runtime.context.settings.bounds.lease_max_ms)
+        host.lease.record_earlier_orders(
+            until_s, self._runtime.context.settings.bounds.lease_max_ms
+        )
         host.is_settled = False
         self._runtime.spawn(self._stop_late(host, keys))
 
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -163,7 +163,7 @@
 
     def _has_room(self, run: Run, host: Host, job: Job) -> bool:
         """Tell whether the host still has the room in which a run was placed."""
-        is_over = host.is_over(job.spec.steps[run.task.step].room)
+        is_over = host.is_overcommitted(job.spec.steps[run.task.step].room)
         if not is_over and self._runtime.are_rooms_known():
             return True
         self._events.write(
@@ -204,14 +204,14 @@
         )
         run.sent_at_s = run.sent_at_s or get_loop_s()
         try:
-            host.note_sent(get_loop_s())
+            host.record_order_sent(get_loop_s())
             await self._send_noted(run, host, order)
-            host.note_answered()
+            host.record_response()
         except HostFencedError:
             raise
         except RunTooOldError:
             # The run has ended there: the next report tells how.
-            host.note_answered()
+            host.record_response()
             run.settled_at_s = get_loop_s()
         except NoRoomError:
             host.health.pause(NO_ROOM_PAUSE_S, get_loop_s())
@@ -230,7 +230,7 @@
                 return StartOutcome.SETTLED
             return self._reject(run, host, str(error), may_be_there=False)
         except (HostNoAnswerError, HostUnreachableError) as error:
-            host.note_failed(error, get_loop_s())
+            host.record_failure(error, get_loop_s())
             self._events.write(
                 "start_unanswered",
                 job=job.id,
@@ -265,7 +265,7 @@
     async def _send_noted(self, run: Run, host: Host, order: StartOrder) -> None:
         """Send a start; one without an answer may be carried out by the host's next life."""
         late, host_id = self._runtime.jobs.unconfirmed_starts, host.record.id
-        late.note_sent(host_id, run.key, get_loop_s())
+        late.record_order_sent(host_id, run.key, get_loop_s())
         try:
             await self._context.hosts.start(host.record, order)
         except HostNoAnswerError:
@@ -277,7 +277,7 @@
 
     def _reject(self, run: Run, host: Host, reason: str, may_be_there: bool) -> StartOutcome:
         """Take back a run that its host will not start, unless an earlier order may."""
-        host.note_answered()
+        host.record_response()
         self._events.write(
             "start_rejected",
             job=run.task.job_id,
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -63,7 +63,7 @@
 ) -> None:
     """Tell of a host that has ended, and which runs began there last; one without with others."""
     if host.runs:
-        broke_at_s = now_s if host.broken_at_s is None else host.broken_at_s
+        broke_at_s = now_s if host.connection_broken_at_s is None else host.connection_broken_at_s
         newest = heapq.nlargest(
             NEWEST_TOLD_MAX,
             (run for run in host.runs.values() if run.sent_at_s is not None),
@@ -77,7 +77,9 @@
             reason=reason,
             successor=successor,
             run_count=len(host.runs),
-            broke_ago_s=None if host.broken_at_s is None else round(now_s - broke_at_s, 3),
+            broke_ago_s=None
+            if host.connection_broken_at_s is None
+            else round(now_s - broke_at_s, 3),
             newest=[_name_run(run, broke_at_s) for run in newest],
         )
     else:
--- a/src/robinthread/_internal/node/report_taker.py
+++ b/src/robinthread/_internal/node/report_taker.py
@@ -36,8 +36,8 @@
             return
         self._tell("run_failed" if end.end is RunEnd.FAILED else "run_ended", host, end)
         if end.end is RunEnd.DONE:
-            host.health.note_done()
-        elif end.end is RunEnd.FAILED and host.health.note_failed(end.task.job_id, get_loop_s()):
+            host.health.record_success()
+        elif end.end is RunEnd.FAILED and host.health.record_failure(end.task.job_id, get_loop_s()):
             self._events.write("host_paused", host=host.id, pool=self._runtime.pool)
         self._runtime.jobs.end_run(run, end.end, end.checkpoint, now_ms, get_loop_s())
 
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -63,7 +63,7 @@
             are_rooms_known=pool.are_rooms_known,
             **_tell_workspace(pool, job.spec.workspace),
             silent_hosts=_count(pool.hosts.values(), HostContact.SILENT),
-            unheard_hosts=_count(pool.hosts.values(), HostContact.UNHEARD),
+            unheard_hosts=_count(pool.hosts.values(), HostContact.NOT_CONTACTED),
             suspect_count=sum(pool.crash_tracker.is_suspect(task) for task in tasks),
             is_held=bool(job.culprits),
             reserved_hosts=len(pool.crash_tracker.trials.reserved),
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -38,7 +38,7 @@
     host.record = UpstreamHost(
         record.id, record.machine, "", "", "", "r", ROOM, frozenset(), True, leaves_in_ms
     )
-    host.note_draining(2.0, now_s)
+    host.record_draining(2.0, now_s)
 
 
 class LastingTest(TestCase):
--- a/tests/unit/test_host_lease.py
+++ b/tests/unit/test_host_lease.py
@@ -19,22 +19,22 @@
 
     def test_host_that_refuses_earlier_owners_runs_for_one_lease_of_theirs(self) -> None:
         lease = HostLease(ForeignLeases(10.0))
-        lease.note_fenced(LENGTH_MS, 1.0)
+        lease.record_fencing(LENGTH_MS, 1.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
         # A later answer tells nothing new: they were refused from the first one on.
-        lease.note_fenced(LENGTH_MS, 3.0)
+        lease.record_fencing(LENGTH_MS, 3.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
 
     def test_earlier_owners_that_are_known_to_have_stopped_sooner_count_for_less(self) -> None:
         foreign = ForeignLeases(10.0)
         lease = HostLease(foreign)
-        lease.note_fenced(LENGTH_MS, 1.0)
+        lease.record_fencing(LENGTH_MS, 1.0)
         foreign.over_at_s = 3.0
         self.assertEqual(3.0, lease.over_at_s)
 
     def test_own_grants_count_in_any_case(self) -> None:
         lease = HostLease(ForeignLeases(10.0))
-        lease.note_fenced(LENGTH_MS, 1.0)
-        lease.note_clock(0, 1.0)
+        lease.record_fencing(LENGTH_MS, 1.0)
+        lease.record_clock(0, 1.0)
         lease.grant(LENGTH_MS, 5.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 5.0), lease.over_at_s)
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -41,13 +41,13 @@
         self.late = LateStarts()
 
     def test_start_that_was_answered_each_time_is_not_open(self) -> None:
-        self.late.note_sent("i-1", (TASK, 1), 0.0)
+        self.late.record_order_sent("i-1", (TASK, 1), 0.0)
         self.late.note_settled("i-1", (TASK, 1))
         self.assertEqual([], self.late.list_open("i-1", 0.0))
 
     def test_start_is_open_while_one_sending_has_no_answer(self) -> None:
-        self.late.note_sent("i-1", (TASK, 1), 0.0)
-        self.late.note_sent("i-1", (TASK, 1), 1.0)
+        self.late.record_order_sent("i-1", (TASK, 1), 0.0)
+        self.late.record_order_sent("i-1", (TASK, 1), 1.0)
         self.late.note_settled("i-1", (TASK, 1))
         self.assertEqual([(TASK, 1)], self.late.list_open("i-1", 1.0))
         self.assertEqual([], self.late.list_open("i-2", 1.0))
@@ -105,7 +105,7 @@
     def _start(self, index: int, answered_at_s: float | None) -> Run:
         run = self.pool.place(self.job.get_task(TaskKey(self.job.id, 0, 0, index)), self.former)
         run.phase, run.sent_at_s = RunPhase.SENDING, 1.0
-        self.pool.unconfirmed_starts.note_sent("i-1", run.key, 1.0)
+        self.pool.unconfirmed_starts.record_order_sent("i-1", run.key, 1.0)
         if answered_at_s is not None:
             self.pool.unconfirmed_starts.note_settled("i-1", run.key)
             self.pool.confirm_start(run, answered_at_s)
@@ -147,14 +147,14 @@
     def test_lives_of_one_host_are_two_that_crashed(self) -> None:
         run = self._start(0, answered_at_s=1.1)
         task = self.job.get_task(run.task)
-        self.former.broken_at_s = 1.2
+        self.former.connection_broken_at_s = 1.2
         self._end_former()
         self.former, self.host = self.host, self.pool.add_host(_make_record(LATER_MS + 1))
         self.former.contact = HostContact.ANSWERING
         again = self.pool.place(task, self.former)
         again.phase, again.sent_at_s = RunPhase.SENDING, 6.0
         self.pool.confirm_start(again, 6.0)
-        self.former.broken_at_s = 6.1
+        self.former.connection_broken_at_s = 6.1
         end_previous_incarnation(self.pool, self.former, self.host, frozenset(), 8.0, 8.1, 8100)
         self.assertEqual(2, len(task.crashes))
         self.assertTrue(is_suspect(task.crashes))
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -66,7 +66,7 @@
         host = self.pool.hosts[host_id]
         host.contact = HostContact.SILENT
         error = HostSilentError("timed out") if is_silent else HostRefusedError("refused")
-        host.note_failed(error, at_s)
+        host.record_failure(error, at_s)
         record_host_crash(self.pool, host, at_s + 0.1, 0)
 
     def list_suspects(self) -> set[str]:
@@ -120,7 +120,7 @@
         for number in (0, 1):
             hosts.start(hosts.add_task(number), f"h{number}", NOW_S)
             hosts.pool.hosts[f"h{number}"].contact = HostContact.SILENT
-            hosts.pool.hosts[f"h{number}"].note_failed(HostRefusedError("refused"), NOW_S + 0.01)
+            hosts.pool.hosts[f"h{number}"].record_failure(HostRefusedError("refused"), NOW_S + 0.01)
         hosts.crash("h0", NOW_S + 0.01)
         hosts.crash("h1", NOW_S + 0.01)
         self.assertEqual(set(), hosts.list_suspects())
@@ -129,32 +129,32 @@
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
         host.record = replace(host.record, is_draining=True, leaves_in_ms=2000)
-        host.note_draining(2.0, NOW_S)
-        host.note_failed(HostRefusedError("refused"), NOW_S + 0.3)
-        self.assertFalse(host.was_to_end())
-        host.note_answered()
-        host.note_failed(HostRefusedError("refused"), NOW_S + 1.9)
-        self.assertTrue(host.was_to_end())
+        host.record_draining(2.0, NOW_S)
+        host.record_failure(HostRefusedError("refused"), NOW_S + 0.3)
+        self.assertFalse(host.was_expected_to_end())
+        host.record_response()
+        host.record_failure(HostRefusedError("refused"), NOW_S + 1.9)
+        self.assertTrue(host.was_expected_to_end())
 
     def test_host_that_left_without_a_word_was_to_end(self) -> None:
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
-        self.assertFalse(host.was_to_end())
+        self.assertFalse(host.was_expected_to_end())
         host.note_listed(False)
-        self.assertTrue(host.was_to_end())
+        self.assertTrue(host.was_expected_to_end())
         host.note_listed(True)
-        self.assertFalse(host.was_to_end())
+        self.assertFalse(host.was_expected_to_end())
         crashed = hosts.pool.hosts["h1"]
-        crashed.note_failed(HostRefusedError("refused"), NOW_S)
+        crashed.record_failure(HostRefusedError("refused"), NOW_S)
         crashed.note_listed(False)
-        self.assertFalse(crashed.was_to_end())
+        self.assertFalse(crashed.was_expected_to_end())
 
     def test_lapsed_lease_makes_suspects_only_until_the_host_answers(self) -> None:
         hosts = PoolOfHosts()
         task, host = hosts.add_task(1), hosts.pool.hosts["h0"]
         hosts.start(task, "h0", NOW_S)
         host.contact = HostContact.SILENT
-        host.note_failed(HostRefusedError("refused"), NOW_S + 0.01)
+        host.record_failure(HostRefusedError("refused"), NOW_S + 0.01)
         record_host_lapse(hosts.pool, host, NOW_S + 4.2, 0)
         self.assertEqual({"1"}, hosts.list_suspects())
         withdraw_lapsed(hosts.pool, host)
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -53,20 +53,20 @@
             run = Run(TaskKey("0" * 16, 0, 0, number), 1, "h1", "")
             run.sent_at_s = sent_at_s
             host.add_run(run, NO_RESOURCES)
-        host.note_failed(HostNoAnswerError("reset by peer"), 5.0)
-        host.note_failed(HostRefusedError("refused"), 5.2)
+        host.record_failure(HostNoAnswerError("reset by peer"), 5.0)
+        host.record_failure(HostRefusedError("refused"), 5.2)
         self.tell(host)
         names = [f"{'0' * 16}/0.0.1/1 10.0 ms", f"{'0' * 16}/0.0.0/1 2000.0 ms"]
         self.assertEqual((names, 0.0), (self.lines[0]["newest"], self.lines[0]["broke_ago_s"]))
 
     def test_silence_is_no_break_and_an_answer_ends_one(self) -> None:
         host = make_host("h1")
-        host.note_failed(HostSilentError("timed out"), 5.0)
-        self.assertIsNone(host.broken_at_s)
-        host.note_failed(HostNoAnswerError("reset by peer"), 6.0)
-        self.assertEqual(6.0, host.broken_at_s)
-        host.note_answered()
-        self.assertIsNone(host.broken_at_s)
+        host.record_failure(HostSilentError("timed out"), 5.0)
+        self.assertIsNone(host.connection_broken_at_s)
+        host.record_failure(HostNoAnswerError("reset by peer"), 6.0)
+        self.assertEqual(6.0, host.connection_broken_at_s)
+        host.record_response()
+        self.assertIsNone(host.connection_broken_at_s)
 
     def test_hosts_without_runs_are_told_together(self) -> None:
         for number in range(30):
@@ -86,7 +86,7 @@
         for contact in (HostContact.ANSWERING, HostContact.SILENT):
             host.contact = contact
             self.assertFalse(host.is_awaited(0.0))
-        host.contact, host.is_listed = HostContact.UNHEARD, False
+        host.contact, host.is_listed = HostContact.NOT_CONTACTED, False
         self.assertFalse(host.is_awaited(0.0))
 
     def test_report_tells_of_it(self) -> None:
--- a/tests/unit/test_room_need.py
+++ b/tests/unit/test_room_need.py
@@ -162,7 +162,7 @@
         if leaves_runs:
             add_job(pool, LASTING)
         host = pool.hosts["h2"]
-        host.contact, host.awaited_until_s = HostContact.UNHEARD, 1.0
+        host.contact, host.awaited_until_s = HostContact.NOT_CONTACTED, 1.0
         add_job(pool, wide)
         return read(pool)
 
--- a/tests/unit/test_unresponsive_hosts.py
+++ b/tests/unit/test_unresponsive_hosts.py
@@ -35,53 +35,53 @@
     def test_host_is_in_doubt_from_an_order_it_leaves_unanswered_until_it_answers(self) -> None:
         pool = make_pool()
         host = pool.hosts["a1"]
-        host.note_sent(SENT_S)
+        host.record_order_sent(SENT_S)
         self.assertEqual(frozenset(), list_unresponsive(pool, SENT_S + 0.1))
         self.assertEqual({"a1"}, list_unresponsive(pool, LATER_S))
         self.assertNotIn(host, get_usable_hosts(pool, LATER_S))
-        host.note_answered()
+        host.record_response()
         self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
 
     def test_later_orders_do_not_hide_the_first(self) -> None:
         pool = make_pool()
-        pool.hosts["a1"].note_sent(SENT_S)
-        pool.hosts["a1"].note_sent(LATER_S)
+        pool.hosts["a1"].record_order_sent(SENT_S)
+        pool.hosts["a1"].record_order_sent(LATER_S)
         self.assertEqual({"a1"}, list_unresponsive(pool, LATER_S))
 
     def test_two_in_doubt_put_their_hall_in_doubt(self) -> None:
         pool = make_pool()
-        pool.hosts["a1"].note_sent(SENT_S)
-        pool.hosts["a2"].note_sent(SENT_S)
+        pool.hosts["a1"].record_order_sent(SENT_S)
+        pool.hosts["a2"].record_order_sent(SENT_S)
         self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
     def test_hosts_that_refuse_connections_are_in_doubt_alone(self) -> None:
         pool = make_pool()
         for name in ("a1", "a2", "a3"):
-            pool.hosts[name].note_sent(SENT_S)
+            pool.hosts[name].record_order_sent(SENT_S)
         for name in ("a1", "a2"):
-            pool.hosts[name].note_failed(HostRefusedError("refused"), SENT_S)
+            pool.hosts[name].record_failure(HostRefusedError("refused"), SENT_S)
         self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
-        pool.hosts["a3"].note_answered()
+        pool.hosts["a3"].record_response()
         self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
     def test_hosts_that_refused_and_then_say_nothing_count_for_their_hall(self) -> None:
         pool = make_pool()
         for name in ("a1", "a2"):
-            pool.hosts[name].note_sent(SENT_S)
-            pool.hosts[name].note_failed(HostRefusedError("refused"), SENT_S)
-            pool.hosts[name].note_failed(HostSilentError("silent"), SENT_S)
+            pool.hosts[name].record_order_sent(SENT_S)
+            pool.hosts[name].record_failure(HostRefusedError("refused"), SENT_S)
+            pool.hosts[name].record_failure(HostSilentError("silent"), SENT_S)
         self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
     def test_hall_that_is_heard_is_not_in_doubt(self) -> None:
         pool = make_pool()
-        pool.hosts["a1"].note_sent(SENT_S)
-        pool.hosts["a2"].note_sent(SENT_S)
+        pool.hosts["a1"].record_order_sent(SENT_S)
+        pool.hosts["a2"].record_order_sent(SENT_S)
         pool.hosts["a3"].reported_at_s = SENT_S + 0.05
         self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
     def test_switched_off_no_host_is(self) -> None:
         pool = make_pool(PlacementPolicy(doubts_silent_hosts=False))
-        pool.hosts["a1"].note_sent(SENT_S)
+        pool.hosts["a1"].record_order_sent(SENT_S)
         self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
 
 
