--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -14,7 +14,7 @@
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.jobs.tickets import TicketBook
-from robinthread._internal.jobs.unconfirmed_starts import LateStarts
+from robinthread._internal.jobs.unconfirmed_starts import UnconfirmedStarts
 from robinthread._internal.jobs.workspace_room import WorkspaceRoom
 from robinthread._internal.models.host_report import RunEnd
 from robinthread._internal.models.job_spec import JobSpec
@@ -50,7 +50,7 @@
         self.run_times = RunTimes()
         self.tickets = TicketBook()
         self.crash_tracker = CrashTracker()
-        self.unconfirmed_starts = LateStarts()
+        self.unconfirmed_starts = UnconfirmedStarts()
         self.workspaces = WorkspaceRoom()
         self.are_rooms_known = True
 
--- a/src/robinthread/_internal/jobs/unconfirmed_starts.py
+++ b/src/robinthread/_internal/jobs/unconfirmed_starts.py
@@ -6,7 +6,7 @@
 from robinthread._internal.models.task_key import TaskKey
 
 # A start without an answer may be carried out up to 12 s later; the rest is for the way.
-LATE_MAX_S: Final = 12.5
+UNCONFIRMED_START_MAX_S: Final = 12.5
 
 RunKey = tuple[TaskKey, int]
 
@@ -19,7 +19,7 @@
     until_s: float
 
 
-class LateStarts:
+class UnconfirmedStarts:
     """Starts without an answer, by the id of the host that they name.
 
     The id is all that a host knows an order by: one that was meant for a life that has ended is
@@ -33,9 +33,9 @@
         """Note that a start is sent."""
         found = self._open.setdefault(host_id, {}).setdefault(key, _Open(0, 0.0))
         found.count += 1
-        found.until_s = now_s + LATE_MAX_S
+        found.until_s = now_s + UNCONFIRMED_START_MAX_S
 
-    def note_settled(self, host_id: str, key: RunKey) -> None:
+    def record_start_settled(self, host_id: str, key: RunKey) -> None:
         """Note that a start that was sent has been answered, or has reached nobody."""
         found = self._open.get(host_id, {}).get(key)
         if found is None:
@@ -55,7 +55,7 @@
         """Tell whether a start has an unanswered sending that a host may still carry out."""
         return key in self._open.get(host_id, ())
 
-    def get_until_s(self, host_id: str) -> float:
+    def get_last_deadline_s(self, host_id: str) -> float:
         """Return until when a host may carry out what was sent; 0 where nothing is open."""
         opened = self._open.get(host_id, {}).values()
         return max((found.until_s for found in opened), default=0.0)
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_follower.py
@@ -13,7 +13,7 @@
 )
 from robinthread._internal.jobs.host_loss import record_host_lapse, withdraw_lapsed
 from robinthread._internal.jobs.run import RunPhase
-from robinthread._internal.jobs.unconfirmed_starts import LATE_MAX_S
+from robinthread._internal.jobs.unconfirmed_starts import UNCONFIRMED_START_MAX_S
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_lives import FIRST_ANSWER_MAX_S, HostLives
@@ -138,7 +138,7 @@
             )
         except HostSilentError:
             if acknowledged or until_ms is not None:
-                self.lives.silent_look_until_s = asked_at_s + LATE_MAX_S
+                self.lives.silent_look_until_s = asked_at_s + UNCONFIRMED_START_MAX_S
             raise
         if host is not None and acknowledged:
             host.forgotten_end = acknowledged
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -149,7 +149,7 @@
         """Keep work from a life until what was sent to the one before can harm it no more."""
         now_s, late = get_loop_s(), self._jobs.unconfirmed_starts
         keys = [key for key in late.list_open(host.record.id, now_s) if key not in host.runs]
-        until_s = max(late.get_until_s(host.record.id), self.silent_look_until_s)
+        until_s = max(late.get_last_deadline_s(host.record.id), self.silent_look_until_s)
         if until_s <= now_s:
             return
         host.lease.record_earlier_orders(
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -271,9 +271,9 @@
         except HostNoAnswerError:
             raise
         except HostError:
-            late.note_settled(host_id, run.key)
+            late.record_start_settled(host_id, run.key)
             raise
-        late.note_settled(host_id, run.key)
+        late.record_start_settled(host_id, run.key)
 
     def _reject(self, run: Run, host: Host, reason: str, may_be_there: bool) -> StartOutcome:
         """Take back a run that its host will not start, unless an earlier order may."""
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -9,7 +9,7 @@
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress, decode_progress, encode_progress
 from robinthread._internal.jobs.run import Run, RunPhase
-from robinthread._internal.jobs.unconfirmed_starts import LATE_MAX_S, LateStarts
+from robinthread._internal.jobs.unconfirmed_starts import UNCONFIRMED_START_MAX_S, UnconfirmedStarts
 from robinthread._internal.models.host_life import make_life_id, split_life_id
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
@@ -35,24 +35,24 @@
                 self.assertEqual((host_id, born_ms), split_life_id(life_id))
 
 
-class LateStartsTest(TestCase):
+class UnconfirmedStartsTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.late = LateStarts()
+        self.late = UnconfirmedStarts()
 
     def test_start_that_was_answered_each_time_is_not_open(self) -> None:
         self.late.record_order_sent("i-1", (TASK, 1), 0.0)
-        self.late.note_settled("i-1", (TASK, 1))
+        self.late.record_start_settled("i-1", (TASK, 1))
         self.assertEqual([], self.late.list_open("i-1", 0.0))
 
     def test_start_is_open_while_one_sending_has_no_answer(self) -> None:
         self.late.record_order_sent("i-1", (TASK, 1), 0.0)
         self.late.record_order_sent("i-1", (TASK, 1), 1.0)
-        self.late.note_settled("i-1", (TASK, 1))
+        self.late.record_start_settled("i-1", (TASK, 1))
         self.assertEqual([(TASK, 1)], self.late.list_open("i-1", 1.0))
         self.assertEqual([], self.late.list_open("i-2", 1.0))
-        self.assertEqual([], self.late.list_open("i-1", 1.1 + LATE_MAX_S))
-        self.assertEqual(0.0, self.late.get_until_s("i-1"))
+        self.assertEqual([], self.late.list_open("i-1", 1.1 + UNCONFIRMED_START_MAX_S))
+        self.assertEqual(0.0, self.late.get_last_deadline_s("i-1"))
 
 
 class RecordsTest(TestCase):
@@ -107,7 +107,7 @@
         run.phase, run.sent_at_s = RunPhase.SENDING, 1.0
         self.pool.unconfirmed_starts.record_order_sent("i-1", run.key, 1.0)
         if answered_at_s is not None:
-            self.pool.unconfirmed_starts.note_settled("i-1", run.key)
+            self.pool.unconfirmed_starts.record_start_settled("i-1", run.key)
             self.pool.confirm_start(run, answered_at_s)
         return run
 
