--- a/bench/job_slopes.py
+++ b/bench/job_slopes.py
@@ -54,7 +54,7 @@
     with _timed("take a job in", job_count):
         for number, spec in enumerate(specs):
             job = pool.add_job(spec, policy, number, 0.0)
-            pool.open_due(job, 0)
+            pool.queue_due_tasks(job, 0)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     with _timed("place a task", task_count):
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -78,7 +78,7 @@
     first = len(pool.jobs)
     for number in range(first, first + task_count // step.task_count):
         spec = JobSpec(f"{number:016x}", "queue", "pool", "", (step,))
-        pool.open_due(pool.add_job(spec, policy, number, 0.0), 0)
+        pool.queue_due_tasks(pool.add_job(spec, policy, number, 0.0), 0)
 
 
 @contextmanager
--- a/src/robinthread/_internal/jobs/crash_attribution.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -15,7 +15,7 @@
 
 def set_crashes(pool: PoolJobs, task: Task, crashes: Sequence[Crash]) -> None:
     """Have crashes of hosts count for a task, or for the gang that it is first of."""
-    pool.note_crashes(pool.jobs[task.key.job_id], task, crashes)
+    pool.record_crashes(pool.jobs[task.key.job_id], task, crashes)
     if task.runs and pool.crash_tracker.is_suspect(task):
         # It gets no copy while it is suspect.
         pool.waiting.pop(task.key, None)
--- a/src/robinthread/_internal/jobs/evacuation.py
+++ b/src/robinthread/_internal/jobs/evacuation.py
@@ -71,7 +71,7 @@
     if task.step.is_lasting:
         if host.record.is_draining:
             return not _is_other_ending(pool, job, task) or _is_about_to_go(host, now_s)
-        return may_leave(pool, job, task, now_s) and pool.may_begin_again(task)
+        return may_leave(pool, job, task, now_s) and pool.may_restart(task)
     if not task.step.keeps_checkpoints or host.leaves_at_s is None:
         return False
     left_s = host.leaves_at_s - now_s
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -58,12 +58,12 @@
     tasks are suspect at once; they are to blame only once it is sure.
     """
     if not pool.policy.isolates_crashing_tasks:
-        pool.lapse_host(host, now_ms)
+        pool.end_host_runs(host, now_ms)
         return
     found = _find_crashes(pool, host, host.get_lost_at_s())
     pool.crash_tracker.record_host_lapse(host.id, found)
     _end_trials(pool, found, now_s)
-    pool.lapse_host(host, now_ms)
+    pool.end_host_runs(host, now_ms)
     if host.connection_broken_at_s is not None:
         for task, crash in found:
             add_crash(pool, task, replace(crash, is_confirmed=False), now_ms)
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -50,7 +50,7 @@
 
     Where more than half seem unwell, it is the jobs that fail: all are used.
     """
-    if not pool.are_rooms_known:
+    if not pool.are_capacities_known:
         return []
     left_out = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -32,10 +32,10 @@
     """Jobs, hosts and the tasks that wait for a host.
 
     ``unrecorded`` are the jobs whose progress the store does not hold yet, and
-    ``to_stop`` the runs that must be told to stop.  ``kept_hosts`` are those that get no
+    ``to_stop`` the runs that must be told to stop.  ``reserved_host_ids`` are those that get no
     other work until a waiting task fits there.  Times in seconds are of the
     event loop's clock.  ``foreign_leases`` are those that earlier owners granted.  While
-    ``are_rooms_known`` is False no host gets any work.
+    ``are_capacities_known`` is False no host gets any work.
     """
 
     def __init__(self, policy: PlacementPolicy = DEFAULT_PLACEMENT) -> None:
@@ -46,13 +46,13 @@
         self.waiting: dict[TaskKey, Task] = {}
         self.unrecorded: dict[str, Job] = {}
         self.to_stop: list[Run] = []
-        self.kept_hosts: dict[TaskKey, str] = {}
+        self.reserved_host_ids: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
         self.tickets = TicketBook()
         self.crash_tracker = CrashTracker()
         self.unconfirmed_starts = UnconfirmedStarts()
         self.workspaces = WorkspaceRoom()
-        self.are_rooms_known = True
+        self.are_capacities_known = True
 
     def add_job(
         self,
@@ -73,7 +73,7 @@
             restore_progress(job, progress)
             for task in list(job.tasks.values()):
                 if task.crashes and not job.status.is_final:
-                    self.note_crashes(job, task, task.crashes)
+                    self.record_crashes(job, task, task.crashes)
         for task in job.iter_running():
             for run in task.runs:
                 run.phase = RunPhase.SENDING
@@ -85,7 +85,7 @@
         self.crash_tracker.resume_trials(job)
         return job
 
-    def open_due(self, job: Job, now_ms: int) -> None:
+    def queue_due_tasks(self, job: Job, now_ms: int) -> None:
         """Let the tasks wait for hosts whose time and turn have come."""
         while (
             job.next_occurrence < job.occurrence_count
@@ -110,7 +110,7 @@
         self._mark(job)
         return run
 
-    def may_begin(self, task: Task) -> bool:
+    def fits_workspace_limit(self, task: Task) -> bool:
         """Tell whether its workspace's share has room for a waiting task, and all its gang."""
         job = self.jobs[task.key.job_id]
         workspace, claim = job.spec.workspace, task.step.claim
@@ -123,7 +123,7 @@
         self.workspaces.hold_back(workspace, claim)
         return False
 
-    def ask_for_copy(self, task: Task) -> None:
+    def request_copy(self, task: Task) -> None:
         """Let a task that has one run, and may have more, wait for another host.
 
         A job that has ended wants none: its runs are there only until they have stopped.
@@ -134,7 +134,7 @@
         if is_wanted and is_sound and task.step.allows_copies and len(task.runs) == 1:
             self.waiting[task.key] = task
 
-    def may_begin_again(self, task: Task) -> bool:
+    def may_restart(self, task: Task) -> bool:
         """Tell whether a task that runs could begin elsewhere once it has been stopped here.
 
         A workspace whose limit has fallen keeps what it runs, and begins nothing.
@@ -147,7 +147,7 @@
             host.runs and host.contact is not HostContact.ANSWERING for host in self.hosts.values()
         )
 
-    def take_unrecorded(self) -> list[Job]:
+    def drain_unrecorded(self) -> list[Job]:
         """Return the jobs to record now."""
         jobs, self.unrecorded = list(self.unrecorded.values()), {}
         return jobs
@@ -170,7 +170,7 @@
         if not self._take_run(task, run):
             return
         if run.is_lasting:
-            task.note_ran(run, self.hosts[run.host_id].reported_at_s)
+            task.record_last_run_time(run, self.hosts[run.host_id].reported_at_s)
         task.checkpoint = checkpoint or task.checkpoint
         self._mark(job)
         is_done = end is RunEnd.DONE and not task.step.is_lasting
@@ -187,7 +187,9 @@
         if task.step.is_gang and not is_done:
             self._stop_members(job, task)
 
-    def take_late_done(self, key: TaskKey, number: int, checkpoint: str, now_ms: int) -> bool:
+    def record_late_completion(
+        self, key: TaskKey, number: int, checkpoint: str, now_ms: int
+    ) -> bool:
         """Note that a run was done that had counted as lapsed; return whether that was news.
 
         Its task need not run again, and what was started in its place is stopped.
@@ -227,16 +229,16 @@
         if successor is not None:
             for run in carried:
                 self._move_run(run, host, successor)
-        self.lapse_host(host, now_ms)
+        self.end_host_runs(host, now_ms)
         self.crash_tracker.pop_lapsed(host_id)
         del self.hosts[host_id]
 
-    def lapse_host(self, host: Host, now_ms: int) -> None:
+    def end_host_runs(self, host: Host, now_ms: int) -> None:
         """Note that nothing runs on a host any more."""
         for run in list(host.runs.values()):
             self.end_run(run, RunEnd.LAPSED, "", now_ms)
 
-    def note_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
+    def record_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
         """Note which crashes of hosts count for a task, or for the gang that it is first of."""
         self.crash_tracker.set_crashes(task, crashes)
         job.culprits.discard(task.key)
@@ -244,7 +246,7 @@
             job.culprits.add(task.key)
         self._mark(job)
 
-    def is_held(self, task: Task) -> bool:
+    def is_withheld(self, task: Task) -> bool:
         """Tell whether a task is not started among others: it is suspect, or its job's is."""
         if not self.crash_tracker.suspects:
             return False
@@ -334,7 +336,7 @@
         for done in job.get_members(task):
             job.set_done(done)
             self.waiting.pop(done.key, None)
-            self.note_crashes(job, done, ())
+            self.record_crashes(job, done, ())
         if not task.step.is_gang:
             for copy in list(task.runs):
                 self.stop(copy)
--- a/src/robinthread/_internal/jobs/room_keeping.py
+++ b/src/robinthread/_internal/jobs/room_keeping.py
@@ -46,7 +46,7 @@
         self._now_s = now_s
         self._ran_until_max_s = now_s - OVERDUE_S
         self._rooms: dict[str, Resources] = {}
-        self._last_kept, pool.kept_hosts = pool.kept_hosts, {}
+        self._last_kept, pool.reserved_host_ids = pool.reserved_host_ids, {}
         self._in_vain: set[StepKey] = set()
         self.kept: set[str] = set()
 
@@ -119,7 +119,7 @@
         return task.step.is_lasting and self._pool.policy.keeps_room_for_lasting
 
     def _keep(self, task: Task, host: Host) -> None:
-        self._pool.kept_hosts[task.key] = host.id
+        self._pool.reserved_host_ids[task.key] = host.id
         self.kept.add(host.id)
 
     def _get_room_to_come(self, host: Host) -> Resources:
--- a/src/robinthread/_internal/jobs/run.py
+++ b/src/robinthread/_internal/jobs/run.py
@@ -84,7 +84,7 @@
         since_s = self.present_since_s
         return None if since_s is None else max(0.0, at_s - since_s)
 
-    def note_progress(self, percent: int, now_s: float) -> None:
+    def record_progress(self, percent: int, now_s: float) -> None:
         """Note how far the run has come."""
         if self.present_since_s is None or percent != self.progress_percent:
             self.progress_percent = percent
--- a/src/robinthread/_internal/jobs/scheduling.py
+++ b/src/robinthread/_internal/jobs/scheduling.py
@@ -46,10 +46,10 @@
     for task in _iter_in_order(pool, keeper, usable, hosts, now_ms):
         if not hosts:
             break
-        if task.key not in pool.waiting or task.key in pool.kept_hosts:
+        if task.key not in pool.waiting or task.key in pool.reserved_host_ids:
             # It has been placed, with its gang or as overdue, or a host is kept for it.
             continue
-        if pool.is_held(task) or not pool.may_begin(task):
+        if pool.is_withheld(task) or not pool.fits_workspace_limit(task):
             continue
         if task.key.step_key in without_host:
             keeper.keep_for(task, hosts)
--- a/src/robinthread/_internal/jobs/stragglers.py
+++ b/src/robinthread/_internal/jobs/stragglers.py
@@ -51,14 +51,14 @@
 def move_stragglers(pool: PoolJobs, now_s: float) -> list[Straggler]:
     """Begin copies of tasks that lag or are out of sight, or move them; return those moved."""
     for task in _iter_unseen(pool):
-        pool.ask_for_copy(task)
+        pool.request_copy(task)
     moved = []
     for straggler in find_stragglers(pool):
         run = straggler.run
         task = pool.jobs[run.task.job_id].get_task(run.task)
         if task.step.allows_copies:
-            pool.ask_for_copy(task)
-        elif _is_worth_moving(pool, straggler) and pool.may_begin_again(task):
+            pool.request_copy(task)
+        elif _is_worth_moving(pool, straggler) and pool.may_restart(task):
             task.failed_host_ids.add(run.host_id)
             pool.hosts[run.host_id].health.pause(HANG_PAUSE_S, now_s)
             pool.stop(run)
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -64,7 +64,7 @@
     for task in sorted(sort_tasks(pool, waiting, now_ms), key=_count_sure):
         kind = task.key.step_key, must_run_alone(task.crashes)
         left = _count_to_spare(pool, task, usable, now_s)
-        if left < 1 or kind in without_host or not pool.may_begin(task):
+        if left < 1 or kind in without_host or not pool.fits_workspace_limit(task):
             continue
         trial = _choose_trial(pool, task, usable, now_s)
         if trial is None:
@@ -123,7 +123,7 @@
     if not _count_sure(task):
         return max(int(AT_RISK_SHARE * host_count) - at_stake, not trials.reserved)
     left = max(1, int(AT_RISK_SHARE_CULPRITS * host_count)) - at_stake
-    if left < 1 and all(pool.is_held(other) for other in pool.waiting.values()):
+    if left < 1 and all(pool.is_withheld(other) for other in pool.waiting.values()):
         left = sum(not host.runs for host in usable) - 1
     return left
 
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -65,7 +65,7 @@
         self.runs.append(run)
         return run
 
-    def note_ran(self, run: Run, heard_at_s: float) -> None:
+    def record_last_run_time(self, run: Run, heard_at_s: float) -> None:
         """Note until when a lasting task ran, by the last report of its host.
 
         A run that no host confirmed may have been there or not: what came before it counts.
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -239,7 +239,7 @@
         if indexed.is_cancelled and not job.status.is_final:
             self._events.write("job_cancelled", job=job.id, pool=self.pool)
             self.jobs.cancel(job, self._context.get_wall_ms())
-        self.jobs.open_due(job, self._context.get_wall_ms())
+        self.jobs.queue_due_tasks(job, self._context.get_wall_ms())
         self._runtime.wake()
 
     def _add_job(self, indexed: IndexedJob) -> Job:
@@ -284,7 +284,7 @@
                 self._minder.look(now_s)
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
-            self.jobs.are_rooms_known = self._runtime.are_rooms_known()
+            self.jobs.are_capacities_known = self._runtime.are_rooms_known()
             self._take_limits()
             clear_surviving_suspects(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
--- a/src/robinthread/_internal/node/recorder.py
+++ b/src/robinthread/_internal/node/recorder.py
@@ -34,7 +34,7 @@
         while True:
             await self._runtime.unrecorded.wait()
             self._runtime.unrecorded.clear()
-            jobs = self._runtime.jobs.take_unrecorded()
+            jobs = self._runtime.jobs.drain_unrecorded()
             if jobs:
                 await self._record(jobs)
 
--- a/src/robinthread/_internal/node/report_taker.py
+++ b/src/robinthread/_internal/node/report_taker.py
@@ -49,7 +49,7 @@
         """
         is_done = end.end is RunEnd.DONE
         jobs = self._runtime.jobs
-        if is_done and jobs.take_late_done(end.task, end.run, end.checkpoint, now_ms):
+        if is_done and jobs.record_late_completion(end.task, end.run, end.checkpoint, now_ms):
             self._tell("late_end_taken", host, end)
         else:
             self._tell_not_taken(host, end, "no such run is known here")
@@ -80,7 +80,7 @@
                 continue
             run.checkpoint = running.checkpoint
             run.recent_load = running.recent_load
-            run.note_progress(running.progress_percent, now_s)
+            run.record_progress(running.progress_percent, now_s)
             self._runtime.jobs.confirm_start(run, now_s)
         missing = [run for key, run in host.runs.items() if key not in present]
         for run in missing:
--- a/src/robinthread/_internal/node/run_minder.py
+++ b/src/robinthread/_internal/node/run_minder.py
@@ -34,7 +34,7 @@
         now_ms = self._runtime.context.get_wall_ms()
         for job in list(self._pool.jobs.values()):
             if not job.status.is_final and job.next_occurrence < job.occurrence_count:
-                self._pool.open_due(job, now_ms)
+                self._pool.queue_due_tasks(job, now_ms)
 
     def _stop_stalled(self, now_s: float) -> None:
         for run in stop_stalled(self._pool, now_s):
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -60,7 +60,7 @@
             fitting_hosts=sum(1 for _ in iter_fitting(pool, first, usable, now_s)),
             usable_hosts=len(usable),
             free_cpu_max_millicores=max((host.free.cpu_millicores for host in usable), default=0),
-            are_rooms_known=pool.are_rooms_known,
+            are_rooms_known=pool.are_capacities_known,
             **_tell_workspace(pool, job.spec.workspace),
             silent_hosts=_count(pool.hosts.values(), HostContact.SILENT),
             unheard_hosts=_count(pool.hosts.values(), HostContact.NOT_CONTACTED),
--- a/tests/unit/test_crash_records.py
+++ b/tests/unit/test_crash_records.py
@@ -34,7 +34,7 @@
         job = pool.add_job(SPEC, POLICY, 0, 0.0)
         task = job.get_task(KEY)
         task.last_run = 2
-        pool.note_crashes(job, task, CRASHES)
+        pool.record_crashes(job, task, CRASHES)
         self.value = encode_progress(job)
 
     def test_next_owner_knows_the_crashes_and_the_suspect(self) -> None:
@@ -49,7 +49,7 @@
         job = pool.add_job(SPEC, POLICY, 0, 0.0)
         task = job.get_task(KEY)
         task.add_run("h3").is_alone = True
-        pool.note_crashes(job, task, CRASHES)
+        pool.record_crashes(job, task, CRASHES)
         resumed = restore(encode_progress(job))
         self.assertEqual({"h3"}, resumed.crash_tracker.trials.reserved)
         run = resumed.jobs[SPEC.job_id].get_task(KEY).runs[0]
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -18,7 +18,7 @@
     jobs = PoolJobs()
     spec = JobSpec("0" * 16, "queue", "pool", "", (STEP,), accepted_at_ms=1_000)
     job = jobs.add_job(spec, POLICY, 0, 0.0)
-    jobs.open_due(job, 1_000)
+    jobs.queue_due_tasks(job, 1_000)
     demand = DemandMeter(LEAD_S, policy).read(jobs, 0.0, 1_000 + waited_ms)
     return demand.fetch.cpu_millicores / 1000
 
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -66,7 +66,7 @@
         return self.pool.place(self.job.get_task(TaskKey(self.job.id, 0, 0, index)), host)
 
     def test_record_tells_lives_apart(self) -> None:
-        self.pool.open_due(self.job, 0)
+        self.pool.queue_due_tasks(self.job, 0)
         runs = [self._place(born_ms, index) for index, born_ms in enumerate((BORN_MS, LATER_MS))]
         read = PoolJobs()
         read.add_job(make_job(1), QUEUE, 0, 0.0, decode_progress(encode_progress(self.job)))
@@ -74,14 +74,14 @@
         self.assertEqual({"i-1"}, {host.record.id for host in read.hosts.values()})
 
     def test_older_process_reads_the_hosts_own_ids(self) -> None:
-        self.pool.open_due(self.job, 0)
+        self.pool.queue_due_tasks(self.job, 0)
         self._place(BORN_MS, 0)
         fields = msgspec.msgpack.decode(encode_progress(self.job))
         self.assertEqual(["i-1"], fields[3])
         self.assertEqual([BORN_MS], fields[6])
 
     def test_record_of_an_older_process_names_no_life(self) -> None:
-        self.pool.open_due(self.job, 0)
+        self.pool.queue_due_tasks(self.job, 0)
         self._place(None, 0)
         fields = msgspec.msgpack.decode(encode_progress(self.job))
         progress = decode_progress(msgspec.msgpack.encode(fields[:6]))
@@ -97,7 +97,7 @@
         super().setUp()
         self.pool = PoolJobs()
         self.job = self.pool.add_job(make_job(1), QUEUE, 0, 0.0)
-        self.pool.open_due(self.job, 0)
+        self.pool.queue_due_tasks(self.job, 0)
         self.former = self.pool.add_host(_make_record(BORN_MS))
         self.former.contact = HostContact.ANSWERING
         self.host = self.pool.add_host(_make_record(LATER_MS))
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -45,7 +45,7 @@
         """Add a job whose task waits."""
         spec = JobSpec(f"{number:016x}", "queue", "pool", "", (step,))
         job = self.pool.add_job(spec, POLICY, number, NOW_S)
-        self.pool.open_due(job, 0)
+        self.pool.queue_due_tasks(job, 0)
         return job.get_tasks(0, 0)[0]
 
     def start(self, task: Task, host: str, at_s: float, is_there: bool = True) -> Run:
@@ -217,11 +217,11 @@
         other = hosts.pool.jobs[task.key.job_id].get_tasks(0, 0)[1]
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
-        self.assertFalse(hosts.pool.is_held(other))
+        self.assertFalse(hosts.pool.is_withheld(other))
         place_suspects(hosts.pool, NOW_S + 10, 0)
         run = hosts.send(task.runs[0], NOW_S + 10)
         hosts.crash(run.host_id, NOW_S + 10.01)
-        self.assertTrue(hosts.pool.is_held(other))
+        self.assertTrue(hosts.pool.is_withheld(other))
 
     def test_suspect_that_may_have_copies_gets_none(self) -> None:
         hosts = PoolOfHosts()
@@ -229,7 +229,7 @@
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
         place_suspects(hosts.pool, NOW_S + 1, 0)
-        hosts.pool.ask_for_copy(task)
+        hosts.pool.request_copy(task)
         self.assertNotIn(task.key, hosts.pool.waiting)
 
     def test_task_that_was_lost_with_a_silent_host_may_have_a_copy(self) -> None:
@@ -239,5 +239,5 @@
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.4, is_silent=True)
         hosts.start(task, "h1", NOW_S + 1)
-        hosts.pool.ask_for_copy(task)
+        hosts.pool.request_copy(task)
         self.assertIn(task.key, hosts.pool.waiting)
--- a/tests/unit/test_kept_hosts.py
+++ b/tests/unit/test_kept_hosts.py
@@ -32,13 +32,13 @@
     def _add(self, step: StepSpec) -> Job:
         """Take a job in and place what fits."""
         job = self.pool.add_job(make_job(len(self.pool.jobs), step), QUEUE, 0, 0.0)
-        self.pool.open_due(job, 0)
+        self.pool.queue_due_tasks(job, 0)
         place_waiting(self.pool, 0.0, 0)
         return job
 
     def _check(self, step: StepSpec) -> None:
         job = self._add(step)
-        self.assertEqual(["h0"], list(self.pool.kept_hosts.values()))
+        self.assertEqual(["h0"], list(self.pool.reserved_host_ids.values()))
         self.assertEqual([], list(job.iter_running()))
         (task,) = self.ending.iter_running()
         self.pool.end_run(task.runs[0], RunEnd.DONE, "", 0)
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -40,7 +40,7 @@
     """Have a job's tasks wait; return them."""
     spec = JobSpec(f"{number:016x}", policy.name, "pool", "", (step,))
     job = pool.add_job(spec, policy, number, 0.0)
-    pool.open_due(job, 1_000)
+    pool.queue_due_tasks(job, 1_000)
     return job.get_tasks(0, 0)
 
 
@@ -129,7 +129,7 @@
         fill(pool)
         end_one_on_each(pool)
         self.assertEqual(2, place(pool, OVERDUE_AT_S + 10))
-        self.assertEqual({task.key for task in tasks[:2]}, pool.kept_hosts.keys())
+        self.assertEqual({task.key for task in tasks[:2]}, pool.reserved_host_ids.keys())
 
     def test_task_that_fits_nowhere_takes_no_turn_of_another(self) -> None:
         pool = make_pool(2)
@@ -139,7 +139,7 @@
         fill(pool)
         end_one_on_each(pool)
         self.assertEqual(1, place(pool, OVERDUE_AT_S + 10))
-        self.assertEqual({other.key}, pool.kept_hosts.keys())
+        self.assertEqual({other.key}, pool.reserved_host_ids.keys())
 
     def test_next_owner_takes_a_task_without_run_for_overdue(self) -> None:
         before = make_pool(1)
@@ -149,10 +149,10 @@
         progress = decode_progress(encode_progress(job))
         pool = make_pool(1)
         fill(pool)
-        pool.open_due(pool.add_job(job.spec, LESS, 1, 0.0, progress), 1_000)
+        pool.queue_due_tasks(pool.add_job(job.spec, LESS, 1, 0.0, progress), 1_000)
         end_one_on_each(pool)
         self.assertEqual(0, place(pool, HEARD_AT_S))
-        self.assertEqual({lasting.key}, pool.kept_hosts.keys())
+        self.assertEqual({lasting.key}, pool.reserved_host_ids.keys())
 
     def test_overdue_gang_keeps_a_host_for_each_member_that_fits_on_none_together(self) -> None:
         pool = make_pool(3)
@@ -164,7 +164,7 @@
         for _ in range(2):
             end_one_on_each(pool)
             self.assertEqual(1, place(pool, OVERDUE_AT_S + 1))
-            self.assertEqual({task.key for task in gang}, pool.kept_hosts.keys())
+            self.assertEqual({task.key for task in gang}, pool.reserved_host_ids.keys())
         end_one_on_each(pool)
         self.assertEqual(3, place(pool, OVERDUE_AT_S + 1))
         self.assertEqual([1, 1], [len(task.runs) for task in gang])
@@ -186,4 +186,4 @@
         self.assertEqual(5, place(pool, HEARD_AT_S))
         end_one_on_each(pool)
         self.assertEqual(2, place(pool, 10 * OVERDUE_AT_S))
-        self.assertEqual({}, pool.kept_hosts)
+        self.assertEqual({}, pool.reserved_host_ids)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -32,7 +32,7 @@
 def add_job(pool: PoolJobs, number: int, *steps: StepSpec, accepted_at_ms: int = 1_000) -> None:
     """Have a job's first tasks wait."""
     spec = JobSpec(f"{number:016x}", "queue", "pool", "", steps, accepted_at_ms=accepted_at_ms)
-    pool.open_due(pool.add_job(spec, POLICY, number, 0.0), 1_000)
+    pool.queue_due_tasks(pool.add_job(spec, POLICY, number, 0.0), 1_000)
 
 
 class PlaceWaitingTest(TestCase):
--- a/tests/unit/test_resumed_stops.py
+++ b/tests/unit/test_resumed_stops.py
@@ -25,7 +25,7 @@
         before = PoolJobs()
         before.add_host(UpstreamHost("i-1", "m-1", "press", "m-1:80", "", "", ROOM, frozenset()))
         job = before.add_job(spec, QUEUE, 0, 0.0)
-        before.open_due(job, 0)
+        before.queue_due_tasks(job, 0)
         for task in list(before.waiting.values()):
             before.place(task, before.hosts["i-1"], 1)
         self.after = PoolJobs()
--- a/tests/unit/test_room_need.py
+++ b/tests/unit/test_room_need.py
@@ -36,7 +36,7 @@
     """Take a job in and place what fits."""
     number = len(pool.jobs)
     spec = JobSpec(f"{number:016x}", "queue", "pool", "", steps, accepted_at_ms=accepted_at_ms)
-    pool.open_due(pool.add_job(spec, POLICY, number, 0.0), 0)
+    pool.queue_due_tasks(pool.add_job(spec, POLICY, number, 0.0), 0)
     place_waiting(pool, 0.0, 0)
 
 
@@ -67,7 +67,7 @@
         pool = make_pool(1)
         add_job(pool, StepSpec(1, cpu_millicores=1_000, allows_copies=True, per_host_max=1))
         (task,) = next(iter(pool.jobs.values())).tasks.values()
-        pool.ask_for_copy(task)
+        pool.request_copy(task)
         self.assertEqual(1, len(pool.waiting))
         self.assertEqual(RoomNeed(), read(pool).on_hosts)
 
