--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -10,9 +10,9 @@
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.job_timing import (
     StepForecast,
-    get_chain_s,
+    estimate_work,
+    get_critical_path_s,
     get_slack_s,
-    get_work,
     iter_forecasts,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
@@ -76,7 +76,7 @@
         """Note a job that was handed in."""
         if job.spec.is_lasting or job.spec.is_timed:
             return
-        work, chain_s = get_work(job, times), get_chain_s(job, times)
+        work, chain_s = estimate_work(job, times), get_critical_path_s(job, times)
         if self._mean_work is None:
             self._mean_work, self._mean_chain_s = work, chain_s
         self._mean_work = self._mean_work.scale(1 - WORK_WEIGHT) + work.scale(WORK_WEIGHT)
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -24,19 +24,21 @@
 def get_slack_s(job: Job, occurrence: int, times: RunTimes, now_ms: int) -> float:
     """Return how long an occurrence may still wait and be on time; negative if late."""
     began_ms = job.get_due_ms(occurrence) or job.spec.accepted_at_ms
-    left_s = get_allowed_s(job, times) - (now_ms - began_ms) / 1000
+    left_s = get_allowed_duration_s(job, times) - (now_ms - began_ms) / 1000
     return left_s - get_remaining_s(job, occurrence, times)
 
 
-def get_allowed_s(job: Job, times: RunTimes) -> float:
+def get_allowed_duration_s(job: Job, times: RunTimes) -> float:
     """Return how long a job may take and be on time.
 
     That is ``stretch`` times its longest chain of steps, and its queue's target more.
     """
-    return job.policy.stretch * get_chain_s(job, times) + job.policy.latency_target_ms / 1000
+    return (
+        job.policy.stretch * get_critical_path_s(job, times) + job.policy.latency_target_ms / 1000
+    )
 
 
-def get_chain_s(job: Job, times: RunTimes) -> float:
+def get_critical_path_s(job: Job, times: RunTimes) -> float:
     """Return the longest chain of the job's steps."""
     return max(_get_ends_s(job, times, lambda number: True), default=0.0)
 
@@ -47,7 +49,7 @@
     return max(ends_s, default=0.0)
 
 
-def get_work(job: Job, times: RunTimes) -> Work:
+def estimate_work(job: Job, times: RunTimes) -> Work:
     """Return the work of a job that has not begun."""
     steps = job.spec.steps
     parts = (
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -13,7 +13,7 @@
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.task import Task
-from robinthread._internal.jobs.tickets import TicketBook
+from robinthread._internal.jobs.tickets import TicketCache
 from robinthread._internal.jobs.unconfirmed_starts import UnconfirmedStarts
 from robinthread._internal.jobs.workspace_room import WorkspaceRoom
 from robinthread._internal.models.host_report import RunEnd
@@ -48,7 +48,7 @@
         self.to_stop: list[Run] = []
         self.reserved_host_ids: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
-        self.tickets = TicketBook()
+        self.tickets = TicketCache()
         self.crash_tracker = CrashTracker()
         self.unconfirmed_starts = UnconfirmedStarts()
         self.workspaces = WorkspaceRoom()
--- a/src/robinthread/_internal/jobs/tickets.py
+++ b/src/robinthread/_internal/jobs/tickets.py
@@ -12,7 +12,7 @@
 USE_MARGIN_S: Final = 0.3
 
 
-class TicketBook:
+class TicketCache:
     """What was advised, by step and host.
 
     A host that may not run a step never may; a ticket holds for a while.  Times are
@@ -23,7 +23,7 @@
         self._tickets: dict[StepKey, dict[str, tuple[str, float]]] = defaultdict(dict)
         self._refused: dict[StepKey, set[str]] = defaultdict(set)
 
-    def note(
+    def record_advice(
         self, step: StepKey, asked: Iterable[str], advice: HostAdvice, asked_at_s: float
     ) -> None:
         """Note an answer about the hosts that were asked about."""
--- a/src/robinthread/_internal/node/advice_taker.py
+++ b/src/robinthread/_internal/node/advice_taker.py
@@ -77,7 +77,7 @@
             return
         tickets = {lives[host]: ticket for host, ticket in advice.tickets.items() if host in lives}
         advised = HostAdvice(tickets, advice.valid_ms)
-        self._runtime.jobs.tickets.note(step, lives.values(), advised, asked_at_s)
+        self._runtime.jobs.tickets.record_advice(step, lives.values(), advised, asked_at_s)
         self._runtime.events.write(
             "advice_taken",
             job=step.job_id,
--- a/src/robinthread/_internal/node/recorder.py
+++ b/src/robinthread/_internal/node/recorder.py
@@ -5,7 +5,7 @@
 from robinthread._internal.durable.journal import Journal
 from robinthread._internal.durable.store import KeyedRecord
 from robinthread._internal.jobs.job import Job
-from robinthread._internal.jobs.job_timing import get_allowed_s
+from robinthread._internal.jobs.job_timing import get_allowed_duration_s
 from robinthread._internal.jobs.progress import encode_progress
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.models.job_status import JobStatus
@@ -89,7 +89,7 @@
             queue=job.spec.queue,
             outcome=status.value,
             took_ms=took_ms,
-            allowed_ms=round(get_allowed_s(job, self._runtime.jobs.run_times) * 1000),
+            allowed_ms=round(get_allowed_duration_s(job, self._runtime.jobs.run_times) * 1000),
             run_count=sum(task.last_run for task in job.tasks.values()),
             failure_count=sum(task.failure_count for task in job.tasks.values()),
         )
