--- a/bench/job_slopes.py
+++ b/bench/job_slopes.py
@@ -27,7 +27,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
-ROOM: Final = Resources(16_000, 32_000, 0)
+HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 TASKS_PER_JOB: Final = 10
 # Hosts of a pool, and jobs that come while one round of tasks runs: 22 is letter 1's
 # mean pool (3,200 hosts, 144 pools).
@@ -45,7 +45,9 @@
 def _measure(host_count: int, job_count: int) -> None:
     pool = PoolJobs()
     for number in range(host_count):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     specs = [_make_spec(number) for number in range(job_count)]
     task_count = job_count * TASKS_PER_JOB
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -16,7 +16,7 @@
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
 SIZES: Final = (10, 100, 1000)
-ROOM: Final = Resources(16_000, 32_000, 0)
+HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 STEP: Final = StepSpec(10, cpu_millicores=1000, memory_mb=1000, estimate_ms=1000)
 # Beside one of these on each host there is no room for a wide task.
 LASTING: Final = StepSpec(100, cpu_millicores=6000, is_lasting=True, per_host_max=1)
@@ -47,7 +47,7 @@
 
 def _count_in_full_pool(hosts: int, waiting: int) -> float:
     pool = _make_pool(hosts)
-    _add_jobs(pool, hosts * ROOM.cpu_millicores // STEP.cpu_millicores)
+    _add_jobs(pool, hosts * HOST_CAPACITY.cpu_millicores // STEP.cpu_millicores)
     place_waiting(pool, 0.0, 0)
     _add_jobs(pool, waiting)
     with _counted_looks() as looks:
@@ -68,7 +68,9 @@
 def _make_pool(hosts: int) -> PoolJobs:
     pool = PoolJobs()
     for number in range(hosts):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     return pool
 
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -289,5 +289,5 @@
         *view.reserve,
         *(machine for pool in view.pools for machine in pool.machines.values()),
     ]
-    rooms = [machine.room for machine in machines]
+    rooms = [machine.capacity for machine in machines]
     return max(rooms, key=lambda room: room.cpu_millicores, default=NO_RESOURCES)
--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -61,7 +61,7 @@
         self._used = NO_RESOURCES
         self._used_by_lasting = NO_RESOURCES
         self.lasting_count = 0
-        self.free = record.room
+        self.free = record.capacity
         self.lease = lease
         self.health = HostHealth()
         self.contact = HostContact.UNHEARD
@@ -163,7 +163,7 @@
 
     def _note_used(self, used: Resources) -> None:
         self._used = used
-        self.free = self._record.room - used
+        self.free = self._record.capacity - used
 
     def is_over(self, room: Resources) -> bool:
         """Tell whether the host lacks room of a kind that a run on it takes."""
@@ -175,9 +175,9 @@
         return any(free < 0 < takes for free, takes in pairs)
 
     @property
-    def room_beside_lasting(self) -> Resources:
+    def capacity_beside_lasting(self) -> Resources:
         """Return the room that is there for tasks that end."""
-        return self._record.room - self._used_by_lasting
+        return self._record.capacity - self._used_by_lasting
 
     def may_take_work(self, now_s: float) -> bool:
         """Tell whether new work may be placed here, if the host is well."""
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -154,7 +154,7 @@
     step: StepSpec = task.step
     is_near = not step.near_rack or host.record.rack == step.near_rack
     has_not_failed = host.id not in task.failed_host_ids
-    free_share = host.free.cpu_millicores / max(1, host.record.room.cpu_millicores)
+    free_share = host.free.cpu_millicores / max(1, host.record.capacity.cpu_millicores)
     if step.is_lasting:
         return (has_not_failed, is_near, -count_step_runs(task, host), free_share)
     return (has_not_failed, is_near, 0, -free_share)
--- a/src/robinthread/_internal/jobs/room_keeping.py
+++ b/src/robinthread/_internal/jobs/room_keeping.py
@@ -132,7 +132,7 @@
 
 def _get_lack(task: Task, host: Host) -> float:
     """Return how much room a host lacks for a task, as the largest share of its own room."""
-    lacks, room = task.room - host.free, host.record.room
+    lacks, room = task.room - host.free, host.record.capacity
     return max(
         lacks.cpu_millicores / max(1, room.cpu_millicores),
         lacks.memory_mb / max(1, room.memory_mb),
--- a/src/robinthread/_internal/jobs/room_need.py
+++ b/src/robinthread/_internal/jobs/room_need.py
@@ -68,7 +68,7 @@
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.room = host.room_beside_lasting
+        self.room = host.capacity_beside_lasting
         self.share = 1.0
         self.is_needed = False
 
@@ -92,11 +92,11 @@
     serving = [host for host in hosts if not host.is_vacating(now_s)]
     if not serving:
         return RoomNeed()
-    common = reduce(Resources.min, (host.room_beside_lasting for host in serving))
+    common = reduce(Resources.min, (host.capacity_beside_lasting for host in serving))
     narrow = [need for need in needs if not _fits_everywhere(need.spec, common)]
     if not narrow:
         return RoomNeed()
-    largest = max((host.record.room for host in hosts), key=lambda room: room.cpu_millicores)
+    largest = max((host.record.capacity for host in hosts), key=lambda room: room.cpu_millicores)
     narrow.sort(key=lambda need: _get_width(need.spec, largest), reverse=True)
     spaces = [_Space(host) for host in sorted(hosts, key=lambda host: _get_order(host, now_s))]
     lacks: dict[tuple[str, bool], _Lack] = defaultdict(_Lack)
--- a/src/robinthread/_internal/models/machine.py
+++ b/src/robinthread/_internal/models/machine.py
@@ -25,5 +25,5 @@
     hall: str
     rack: str
     kind: str
-    room: Resources
+    capacity: Resources
     host_id: str
--- a/src/robinthread/_internal/models/upstream_host.py
+++ b/src/robinthread/_internal/models/upstream_host.py
@@ -22,7 +22,7 @@
     address: str
     hall: str
     rack: str
-    room: Resources
+    capacity: Resources
     labels: frozenset[str]
     is_draining: bool = False
     leaves_in_ms: int = 0
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -173,7 +173,7 @@
             run=run.number,
             host=host.id,
             reason="the host has shrunk" if is_over else "its room is not known",
-            room_cpu_millicores=host.record.room.cpu_millicores,
+            room_cpu_millicores=host.record.capacity.cpu_millicores,
             free_cpu_millicores=host.free.cpu_millicores,
             free_memory_mb=host.free.memory_mb,
         )
--- a/src/robinthread/_internal/platform/machines.py
+++ b/src/robinthread/_internal/platform/machines.py
@@ -143,6 +143,6 @@
         hall=wire.zone,
         rack=get_rack(wire.labels),
         kind=wire.labels[0] if wire.labels else "",
-        room=wire.capacity.decode(),
+        capacity=wire.capacity.decode(),
         host_id=wire.id or "",
     )
--- a/src/robinthread/_internal/platform/operators.py
+++ b/src/robinthread/_internal/platform/operators.py
@@ -130,7 +130,7 @@
         address=wire.address,
         hall=wire.zone,
         rack=get_rack(wire.labels),
-        room=wire.capacity.decode(),
+        capacity=wire.capacity.decode(),
         labels=frozenset(wire.labels),
         is_draining=wire.state == "draining",
         leaves_in_ms=wire.remaining_ms,
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -117,7 +117,7 @@
             raise TicketRejectedError("ticket")
         plan = self._plan_task(order.task)
         taken = sum((present.plan.room for present in self._present.values()), start=plan.room)
-        if not taken.fits_in(self.record.room) and self._checks_room():
+        if not taken.fits_in(self.record.capacity) and self._checks_room():
             raise NoRoomError("room")
         if not any(taken.fits_in(room) for room in self._list_known_rooms()):
             self._ledger.overfull.append(
@@ -173,13 +173,16 @@
     def resize(self, record: UpstreamHost) -> None:
         """Have another room from now on, as ``record`` says."""
         now_s = asyncio.get_running_loop().time()
-        self._earlier_rooms.append((now_s, self.record.room))
+        self._earlier_rooms.append((now_s, self.record.capacity))
         self.record = record
 
     def _list_known_rooms(self) -> list[Resources]:
         """Return the rooms that whoever orders here may believe in: the last ones, and now's."""
         since_s = asyncio.get_running_loop().time() - ROOM_KNOWN_AFTER_S
-        return [self.record.room, *(room for at_s, room in self._earlier_rooms if at_s > since_s)]
+        return [
+            self.record.capacity,
+            *(room for at_s, room in self._earlier_rooms if at_s > since_s),
+        ]
 
     def crash(self) -> None:
         """End this life with all that runs."""
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -33,7 +33,7 @@
     name: str
     pool: str
     state: MachineState
-    room: Resources
+    capacity: Resources
     rack: str
     host_id: str = ""
     crashed_id: str = ""
@@ -44,7 +44,7 @@
 class LifeKeeper(Protocol):
     """Begins and ends the lives of hosts; ``MachinesStandin`` calls it."""
 
-    def begin(self, machine: str, pool: str, rack: str, room: Resources) -> str:
+    def begin(self, machine: str, pool: str, rack: str, capacity: Resources) -> str:
         """Begin a life and return its id."""
 
     def end(self, host_id: str) -> None:
@@ -71,10 +71,10 @@
         self._lives = lives
         self._names = itertools.count()
 
-    def add(self, pool: str, rack: str, room: Resources) -> str:
+    def add(self, pool: str, rack: str, capacity: Resources) -> str:
         """Add a machine that is up."""
         name = f"m-{next(self._names)}"
-        record = _MachineRecord(name, pool, MachineState.UP, room, rack)
+        record = _MachineRecord(name, pool, MachineState.UP, capacity, rack)
         self.machines[name] = record
         self._come_up(record)
         return name
@@ -138,7 +138,7 @@
                 "",
                 record.rack,
                 "",
-                record.room,
+                record.capacity,
                 record.host_id,
             )
             for record in self.machines.values()
@@ -180,7 +180,9 @@
     def _come_up(self, record: _MachineRecord) -> None:
         record.state = MachineState.UP
         if record.pool != self._reserve:
-            record.host_id = self._lives.begin(record.name, record.pool, record.rack, record.room)
+            record.host_id = self._lives.begin(
+                record.name, record.pool, record.rack, record.capacity
+            )
         self.waves.note_back(record.name)
         self._note_changed()
 
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -163,7 +163,7 @@
         self._numbers = itertools.count(1)
         self._ids: dict[str, str] = {}
 
-    def begin(self, machine: str, pool: str, rack: str, room: Resources) -> str:
+    def begin(self, machine: str, pool: str, rack: str, capacity: Resources) -> str:
         platform = self._platform
         host_id = f"i-{next(self._numbers)}"
         if platform.keeps_host_ids:
@@ -176,7 +176,7 @@
             address=f"{machine}:80",
             hall="",
             rack=rack,
-            room=room,
+            capacity=capacity,
             labels=frozenset({rack}),
             born_ms=born_ms if BirthTold.ENTRY in platform.births_told else None,
         )
@@ -297,11 +297,11 @@
         if not any(host.is_up for host in lives):
             self.unlist_host(host_id)
 
-    def resize_host(self, host_id: str, room: Resources) -> None:
+    def resize_host(self, host_id: str, capacity: Resources) -> None:
         """Have a host's room shrink or grow while it runs; its entry tells at once."""
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
-                host.resize(replace(host.record, room=room))
+                host.resize(replace(host.record, capacity=capacity))
                 self.list_host(host.record)
 
     def crash_for_a_while(self, host_id: str) -> None:
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -10,7 +10,7 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.standins import platform_standin
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import POOL, QUEUE, ROOM, find_breaks, plan_second, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, find_breaks, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
 NAMES = (POOL, "weave", "print", "fold", "bind", "trim")
@@ -36,7 +36,7 @@
         platform = PlatformStandin(plan_second)
         platform.configure(1, (QUEUE,), POOLS)
         for pool in NAMES:
-            platform.machines.add(pool, "r0", ROOM)
+            platform.machines.add(pool, "r0", HOST_CAPACITY)
         for number in range(3):
             platform.start_node(f"node{number}")
         nodes = platform.nodes
--- a/tests/functional/test_gangs.py
+++ b/tests/functional/test_gangs.py
@@ -24,12 +24,12 @@
 )
 from tests.lib.virtual import run_virtual
 
-ROOM = Resources(6000, 100)
+MEMBER_RESOURCES = Resources(6000, 100)
 GANG = StepSpec(4, cpu_millicores=6000, memory_mb=100, is_gang=True)
 
 
 def plan_gang(task: TaskKey) -> TaskPlan:
-    return TaskPlan(2.0, ROOM, gang_size=4)
+    return TaskPlan(2.0, MEMBER_RESOURCES, gang_size=4)
 
 
 def count_ends(platform: PlatformStandin, end: RunEnd) -> int:
@@ -76,7 +76,9 @@
 
     def test_gang_goes_on_under_the_next_owner(self) -> None:
         async def work() -> None:
-            platform = await start_platform(lambda task: TaskPlan(5.0, ROOM, gang_size=4))
+            platform = await start_platform(
+                lambda task: TaskPlan(5.0, MEMBER_RESOURCES, gang_size=4)
+            )
             spec = make_job(1, GANG)
             await hand_in(platform, "node0", spec)
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 4)
@@ -88,7 +90,7 @@
 
     def test_failures_of_one_run_count_once(self) -> None:
         def plan_failing(task: TaskKey) -> TaskPlan:
-            return TaskPlan(1.0, ROOM, RunEnd.FAILED, gang_size=4)
+            return TaskPlan(1.0, MEMBER_RESOURCES, RunEnd.FAILED, gang_size=4)
 
         async def work() -> None:
             platform = await start_platform(plan_failing)
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -12,7 +12,7 @@
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import POOL, ROOM, find_breaks, hand_in, make_job, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, find_breaks, hand_in, make_job, wait_until
 from tests.lib.lasting import (
     AGAIN_MAX_S,
     LARGE,
@@ -119,7 +119,7 @@
             for host in hosts:
                 platform.crash_host(host.record.id)
             for number in range(2):
-                platform.machines.add(POOL, f"r{number}", ROOM)
+                platform.machines.add(POOL, f"r{number}", HOST_CAPACITY)
 
         self._check(bring_about)
 
--- a/tests/functional/test_late_upkeep_orders.py
+++ b/tests/functional/test_late_upkeep_orders.py
@@ -7,7 +7,7 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
-from tests.lib.job_platforms import POOL, QUEUE, ROOM, get_owner, plan_second, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, get_owner, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
 POOLS = (PoolPolicy(POOL), PoolPolicy(RESERVE, is_reserve=True))
@@ -27,9 +27,10 @@
     platform = PlatformStandin(plan_second)
     platform.configure(1, (QUEUE,), POOLS)
     for number in range(4):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     due = tuple(
-        platform.machines.add(RESERVE, f"r{number % 2}", ROOM) for number in range(MACHINES)
+        platform.machines.add(RESERVE, f"r{number % 2}", HOST_CAPACITY)
+        for number in range(MACHINES)
     )
     for number in range(4):
         platform.start_node(f"node{number}")
--- a/tests/functional/test_loud_workspace.py
+++ b/tests/functional/test_loud_workspace.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import PolicySettings, WorkspacePolicies
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import ROOM, find_breaks, get_owner, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, find_breaks, get_owner, wait_until
 from tests.lib.limited import POOLS, Feeder, configure, make_workspace, plan_task
 from tests.lib.virtual import run_virtual
 
@@ -35,7 +35,7 @@
         make_workspace(QUIET, Resources(), SHARE_PER_S),
     )
     for number in range(HOSTS):
-        platform.machines.add(POOLS[0], f"r{number}", ROOM)
+        platform.machines.add(POOLS[0], f"r{number}", HOST_CAPACITY)
     policy = PolicySettings(workspaces=WorkspacePolicies(ranks_beyond_share=ranks_beyond_share))
     for number in range(3):
         platform.start_node(f"node{number}", policy=policy)
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_relief.py
@@ -12,9 +12,9 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
     QUEUE,
-    ROOM,
     find_breaks,
     get_owner,
     hand_in,
@@ -37,7 +37,7 @@
     policies = (*map(PoolPolicy, POOLS), PoolPolicy(RESERVE, is_reserve=True))
     platform.configure(1, (QUEUE,), policies)
     for number in range(4):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     return platform
 
 
--- a/tests/functional/test_restart_of_all.py
+++ b/tests/functional/test_restart_of_all.py
@@ -12,8 +12,8 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     QUEUE,
-    ROOM,
     get_owner,
     hand_in,
     make_job,
@@ -24,7 +24,7 @@
 from tests.lib.lasting import kill_owner
 from tests.lib.virtual import run_virtual
 
-LASTING_ROOM = Resources(4000, 100)
+LASTING_RESOURCES = Resources(4000, 100)
 # What a host five times slower than usual takes to answer, or one of many that an owner
 # with half a core asks at once.
 SLOW_HOST_S = 0.05
@@ -69,7 +69,7 @@
     def test_hosts_that_are_not_heard_yet_are_not_replaced(self) -> None:
         async def work(latency_s: float, bring_about: BringAbout) -> None:
             platform = await start_platform(
-                lambda task: TaskPlan(None, LASTING_ROOM), nodes=5, hosts=10, reserve=10
+                lambda task: TaskPlan(None, LASTING_RESOURCES), nodes=5, hosts=10, reserve=10
             )
             for number in range(8):
                 step = StepSpec(4, cpu_millicores=4000, memory_mb=100, is_lasting=True)
@@ -114,7 +114,7 @@
             policies = (*map(PoolPolicy, POOLS), PoolPolicy(RESERVE, is_reserve=True))
             platform.configure(1, (QUEUE,), policies)
             for pool in POOLS:
-                platform.machines.add(pool, "r0", ROOM)
+                platform.machines.add(pool, "r0", HOST_CAPACITY)
             for number in range(16):
                 platform.start_node(f"node{number}")
             await asyncio.sleep(10)
--- a/tests/functional/test_room_and_spread.py
+++ b/tests/functional/test_room_and_spread.py
@@ -9,8 +9,8 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import STATUS
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
-    ROOM,
     hand_in,
     make_job,
     start_platform,
@@ -23,7 +23,7 @@
 class RoomTest(TestCase):
     def test_tasks_wait_for_room_and_all_run(self) -> None:
         async def work() -> None:
-            platform = await start_platform(lambda task: TaskPlan(0.5, ROOM), hosts=2)
+            platform = await start_platform(lambda task: TaskPlan(0.5, HOST_CAPACITY), hosts=2)
             spec = make_job(1, StepSpec(6, cpu_millicores=16_000, memory_mb=32_000))
             await hand_in(platform, "node0", spec)
             took_s = await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
--- a/tests/functional/test_rooms_that_change.py
+++ b/tests/functional/test_rooms_that_change.py
@@ -18,8 +18,8 @@
 from robinthread._internal.standins.job_host_standin import JobHostStandin
 from robinthread._internal.standins.platform_standin import HOSTS, PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOLS,
-    ROOM,
     find_breaks,
     hand_in,
     make_job,
@@ -31,7 +31,7 @@
 from tests.lib.virtual import run_virtual
 
 UNCHECKED = tuple(replace(pool, hosts_check_room=False) for pool in POOLS)
-SMALL_ROOM = Resources(4_000, 32_000)
+SMALL_CAPACITY = Resources(4_000, 32_000)
 FULL = StepSpec(16, cpu_millicores=1000, memory_mb=100)
 GANG = StepSpec(8, cpu_millicores=1000, memory_mb=100, is_gang=True)
 COPIED = StepSpec(8, cpu_millicores=1000, memory_mb=100, allows_copies=True)
@@ -58,7 +58,7 @@
             specs = [make_job(number, FULL) for number in range(1, 4)]
             for spec in specs:
                 await hand_in(platform, "node0", spec)
-            platform.resize_host(get_host(platform).record.id, SMALL_ROOM)
+            platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
             await wait_until_done(platform, specs, 60)
             self.assertEqual([], find_breaks(platform))
 
@@ -67,12 +67,12 @@
     def test_host_that_grows_again_is_filled_at_once(self) -> None:
         async def work() -> None:
             platform = await start_unchecked()
-            platform.resize_host(get_host(platform).record.id, SMALL_ROOM)
+            platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
             await asyncio.sleep(1)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
             await asyncio.sleep(0.5)
-            platform.resize_host(get_host(platform).record.id, ROOM)
+            platform.resize_host(get_host(platform).record.id, HOST_CAPACITY)
             self.assertLess(await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED), 2.0)
             self.assertEqual([], find_breaks(platform))
 
@@ -101,7 +101,7 @@
         async def work() -> None:
             platform = await start_unchecked()
             platform.store.unreadable_topics.add(HOSTS.topic)
-            platform.resize_host(get_host(platform).record.id, SMALL_ROOM)
+            platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
             await asyncio.sleep(KNOWN_S)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
@@ -130,7 +130,7 @@
             for spec in specs:
                 await hand_in(platform, "node0", spec)
             for host in platform.hosts.hosts.values():
-                platform.resize_host(host.record.id, SMALL_ROOM)
+                platform.resize_host(host.record.id, SMALL_CAPACITY)
             await restart_owner(platform)
             await wait_until_done(platform, specs, 60)
             self.assertEqual([], find_breaks(platform))
@@ -142,7 +142,7 @@
 
         async def work() -> None:
             platform = await start_unchecked(hosts=3)
-            rooms = itertools.cycle((SMALL_ROOM, ROOM, Resources(9_000, 32_000)))
+            rooms = itertools.cycle((SMALL_CAPACITY, HOST_CAPACITY, Resources(9_000, 32_000)))
             specs = [make_job(number, FULL) for number in range(1, 13)]
 
             async def change() -> None:
--- a/tests/functional/test_silences_noticed.py
+++ b/tests/functional/test_silences_noticed.py
@@ -10,9 +10,9 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
     QUEUE,
-    ROOM,
     find_breaks,
     get_others,
     get_owner,
@@ -42,7 +42,7 @@
     # Without a reserve: no machine is let go.
     platform.configure(1, (QUEUE,), (PoolPolicy(POOL),))
     for number in range(HOSTS_COUNT):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     for number in range(3):
         platform.start_node(f"node{number}")
     await wait_until(lambda: get_owner(platform) is not None)
--- a/tests/functional/test_slow_appends.py
+++ b/tests/functional/test_slow_appends.py
@@ -10,10 +10,10 @@
 from robinthread._internal.settings.policy_settings import EntryPolicy, PolicySettings
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
     POOLS,
     QUEUE,
-    ROOM,
     find_breaks,
     get_owner,
     get_status,
@@ -39,7 +39,7 @@
     platform = PlatformStandin(plan_second)
     platform.configure(1, (QUEUE,), POOLS)
     for number in range(12):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     policy = PolicySettings(entry=EntryPolicy(gathers_while_store_slow=gathers))
     for number in range(NODES):
         platform.start_node(f"node{number}", policy=policy)
--- a/tests/functional/test_steward_lost_in_wave.py
+++ b/tests/functional/test_steward_lost_in_wave.py
@@ -11,9 +11,9 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
     QUEUE,
-    ROOM,
     find_breaks,
     get_owner,
     hand_in,
@@ -43,7 +43,7 @@
     platform = PlatformStandin(plan_lasting)
     platform.configure(1, (QUEUE,), POOLS)
     for number in range(4):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
         platform.start_node(f"node{number}")
     await wait_until(lambda: get_owner(platform) is not None)
     await asyncio.sleep(2)
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -15,7 +15,7 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import BirthTold, PlatformStandin
-from tests.lib.job_platforms import POOL, QUEUE, ROOM, get_owner, plan_second, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, get_owner, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
 # A pool without a reserve: upkeep is done where the machine is.
@@ -29,7 +29,9 @@
     platform = PlatformStandin(plan_second)
     platform.keeps_host_ids, platform.births_told = keeps_host_ids, tuple(BirthTold)
     platform.configure(1, (QUEUE,), POOLS)
-    due = tuple(platform.machines.add(POOL, f"r{number % 2}", ROOM) for number in range(MACHINES))
+    due = tuple(
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY) for number in range(MACHINES)
+    )
     for number in range(3):
         platform.start_node(f"node{number}")
     await wait_until(lambda: get_owner(platform) is not None)
--- a/tests/functional/test_wave_short_of_time.py
+++ b/tests/functional/test_wave_short_of_time.py
@@ -17,7 +17,7 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from tests.lib.drawn_waves import OTHER_POOL, POOLS, QUEUES, feed_in_turns
-from tests.lib.job_platforms import POOL, ROOM, plan_second
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, plan_second
 from tests.lib.virtual import run_virtual
 
 IN_POOLS = (POOL, OTHER_POOL) * 2
@@ -34,7 +34,8 @@
     platform.configure(1, QUEUES, POOLS)
     pools = (*IN_POOLS, *(RESERVE,) * IN_RESERVE)
     due = tuple(
-        platform.machines.add(pool, f"r{number % 4}", ROOM) for number, pool in enumerate(pools)
+        platform.machines.add(pool, f"r{number % 4}", HOST_CAPACITY)
+        for number, pool in enumerate(pools)
     )
     for number in range(3):
         platform.start_node(f"node{number}")
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -13,7 +13,7 @@
     MAPS,
     POOLS,
     SHOP,
-    TASK_ROOM,
+    TASK_RESOURCES,
     Feeder,
     UseSample,
     configure,
@@ -142,7 +142,7 @@
 
     def test_limit_of_one_task_lets_pools_begin_one_after_the_other(self) -> None:
         async def work() -> None:
-            platform = await start_limited(limit=TASK_ROOM)
+            platform = await start_limited(limit=TASK_RESOURCES)
             feeder = Feeder(platform)
             specs = [await feeder.hand_in(MAPS, pool) for pool in POOLS]
             for spec in specs:
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -16,7 +16,7 @@
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from robinthread._internal.standins.run_ledger import LedgerRun
 from tests.lib.drawn_days import Span
-from tests.lib.job_platforms import ROOM, get_owner, make_job, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, get_owner, make_job, wait_until
 
 # One node in three is large, with a link of 200 Mbit/s; the others have half a core and
 # 10 Mbit/s, as in the deployments that were hit.
@@ -115,9 +115,9 @@
     policies = [PoolPolicy(pool) for pool in site.pools]
     platform.configure(1, queues, (*policies, PoolPolicy(RESERVE, is_reserve=True)))
     for pool, number in itertools.product(site.pools, range(size.hosts_a_pool)):
-        platform.machines.add(pool, f"r{number % 4}", ROOM)
+        platform.machines.add(pool, f"r{number % 4}", HOST_CAPACITY)
     for number in range(size.reserve):
-        platform.machines.add(RESERVE, f"r{number % 4}", ROOM)
+        platform.machines.add(RESERVE, f"r{number % 4}", HOST_CAPACITY)
     site.names = tuple(f"node{number}" for number in range(size.nodes))
     for name in site.names:
         start_node(site, name)
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -18,7 +18,7 @@
 from tests.lib.crashing import feed, wait_until_ended
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
 from tests.lib.drawn_days import Span
-from tests.lib.job_platforms import POOLS, ROOM, find_breaks, make_job, start_platform
+from tests.lib.job_platforms import HOST_CAPACITY, POOLS, find_breaks, make_job, start_platform
 from tests.lib.virtual import run_virtual
 
 JOBS = 70
@@ -63,7 +63,7 @@
 
     at_s: float
     target: int
-    room: Resources
+    capacity: Resources
 
 
 @dataclass(frozen=True)
@@ -146,7 +146,7 @@
     await feeding
     await changing
     for host in list(platform.hosts.hosts.values()):
-        platform.resize_host(host.record.id, ROOM)
+        platform.resize_host(host.record.id, HOST_CAPACITY)
     statuses = await wait_until_ended(platform, day.specs, ENDED_WITHIN_S)
     beating.cancel()
     undone = [
@@ -160,8 +160,8 @@
 def _draw_changes(drawn: random.Random) -> Iterator[RoomChange]:
     period_s, at_s = drawn.choice(CHANGE_PERIODS_S), 0.0
     while at_s < LENGTH_S:
-        room = Resources(drawn.choice(CPU_MILLICORES), ROOM.memory_mb)
-        yield RoomChange(at_s, drawn.randrange(1000), room)
+        capacity = Resources(drawn.choice(CPU_MILLICORES), HOST_CAPACITY.memory_mb)
+        yield RoomChange(at_s, drawn.randrange(1000), capacity)
         at_s += drawn.uniform(0, period_s)
 
 
@@ -198,7 +198,7 @@
         await asyncio.sleep(began_at_s + change.at_s - asyncio.get_running_loop().time())
         up = [host for host in platform.hosts.hosts.values() if host.is_up]
         if up:
-            platform.resize_host(up[change.target % len(up)].record.id, change.room)
+            platform.resize_host(up[change.target % len(up)].record.id, change.capacity)
 
 
 async def _hide_entries(platform: PlatformStandin, span: Span) -> None:
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -13,7 +13,15 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import RESERVE, STATUS, PlatformStandin
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import POOL, QUEUE, ROOM, find_breaks, hand_in, make_job, plan_second
+from tests.lib.job_platforms import (
+    HOST_CAPACITY,
+    POOL,
+    QUEUE,
+    find_breaks,
+    hand_in,
+    make_job,
+    plan_second,
+)
 from tests.lib.virtual import run_virtual
 
 OTHER_POOL = "fold"
@@ -133,7 +141,7 @@
     platform.configure(1, QUEUES, POOLS)
     for number in range(MACHINES):
         pool = (POOL, OTHER_POOL)[number % 2] if number < 2 * day.hosts else RESERVE
-        platform.machines.add(pool, f"r{number % 4}", ROOM)
+        platform.machines.add(pool, f"r{number % 4}", HOST_CAPACITY)
     for number in range(day.nodes):
         platform.start_node(f"node{number}")
     await asyncio.sleep(3)
--- a/tests/lib/job_platforms.py
+++ b/tests/lib/job_platforms.py
@@ -19,7 +19,7 @@
 POOL = "press"
 QUEUE = QueuePolicy("sheets", "press.example", "/sheets/", POOL, 0, 3, 1.6, 600)
 POOLS = (PoolPolicy(POOL), PoolPolicy(RESERVE, is_reserve=True))
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 CANCEL_S = 3.0
 
 
@@ -50,9 +50,9 @@
     platform = PlatformStandin(plan_task, seed)
     platform.configure(1, (queue,), pools)
     for number in range(hosts):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     for number in range(reserve):
-        platform.machines.add(RESERVE, f"r{number % 2}", ROOM)
+        platform.machines.add(RESERVE, f"r{number % 2}", HOST_CAPACITY)
     for number in range(nodes):
         platform.start_node(f"node{number}")
     await wait_until(lambda: not nodes or get_owner(platform) is not None)
--- a/tests/lib/limited.py
+++ b/tests/lib/limited.py
@@ -16,11 +16,11 @@
 from robinthread._internal.settings.policy_settings import PolicySettings, WorkspacePolicies
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
-from tests.lib.job_platforms import ROOM, get_owner, hand_in, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, get_owner, hand_in, wait_until
 
 POOLS = ("press", "cards", "proofs")
 HOSTS_A_POOL = 6
-TASK_ROOM = Resources(2000, 100)
+TASK_RESOURCES = Resources(2000, 100)
 TASKS = 4
 WORK_S = 1.0
 # Two hosts of the eighteen, as many as a pool keeps while it is idle.
@@ -33,7 +33,7 @@
 def plan_task(task: TaskKey) -> TaskPlan:
     """Have tasks work for a second, and those of late numbers last."""
     is_lasting = int(task.job_id, 16) >= LASTING_FROM
-    return TaskPlan(None if is_lasting else WORK_S, TASK_ROOM)
+    return TaskPlan(None if is_lasting else WORK_S, TASK_RESOURCES)
 
 
 def make_workspace(name: str, limit: Resources, share: float = 0.0) -> WorkspacePolicy:
@@ -60,7 +60,7 @@
     platform = PlatformStandin(plan_task, seed)
     configure(platform, 1, limit)
     for number in range(HOSTS_A_POOL * len(POOLS)):
-        platform.machines.add(POOLS[number % len(POOLS)], f"r{number % 4}", ROOM)
+        platform.machines.add(POOLS[number % len(POOLS)], f"r{number % 4}", HOST_CAPACITY)
     policy = replace(PolicySettings(), workspaces=WorkspacePolicies(kept_share))
     for number in range(nodes):
         platform.start_node(f"node{number}", policy=policy)
@@ -94,7 +94,9 @@
     async def hand_in(self, workspace: str, pool: str, is_lasting: bool = False) -> JobSpec | None:
         """Hand one job in; None where no node takes it."""
         number = next(self._lasting if is_lasting else self._numbers)
-        step = StepSpec(TASKS, TASK_ROOM.cpu_millicores, TASK_ROOM.memory_mb, is_lasting=is_lasting)
+        step = StepSpec(
+            TASKS, TASK_RESOURCES.cpu_millicores, TASK_RESOURCES.memory_mb, is_lasting=is_lasting
+        )
         job_id = f"{number:016x}"
         now_s = asyncio.get_running_loop().time()
         at_ms = round(now_s * 1000)
@@ -182,7 +184,7 @@
             continue
         jobs = platform.nodes[name].assembled.owned.owners[pool].jobs
         free = sum((host.free for host in jobs.hosts.values()), start=Resources())
-        if not TASK_ROOM.scale(2 * TASKS).fits_in(free):
+        if not TASK_RESOURCES.scale(2 * TASKS).fits_in(free):
             continue
         for job in jobs.jobs.values():
             waits = any(task.key in jobs.waiting for task in job.tasks.values())
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -50,7 +50,7 @@
         {"name": RESERVE, "admission_check": True, "headroom": True},
     ],
 }
-ROOM = Resources(16_000, 32_000)
+HOST_CAPACITY = Resources(16_000, 32_000)
 # Work of the tasks, by their index; a job of lasting tasks has its own.
 WORK_S = (0.3, 0.8, 1.5)
 LASTING_JOB = "1" * 16
@@ -92,7 +92,7 @@
         )
         for number in range(machines + reserve):
             pool = POOL if number < machines else RESERVE
-            self.machines.add(pool, f"r{number % 2}", ROOM)
+            self.machines.add(pool, f"r{number % 2}", HOST_CAPACITY)
         operators = PLATFORM_RECORDS.operators_partition
         self.store.put(operators, PLATFORM_RECORDS.config_key, msgspec.json.encode(CONFIG))
 
@@ -139,7 +139,7 @@
             "cold_remaining_ms": 0,
             "sequence": 1,
             "machine": record.machine,
-            "capacity": _encode_room(record.room),
+            "capacity": _encode_capacity(record.capacity),
             "labels": ["large", record.rack],
             "remaining_ms": record.leaves_in_ms or 0,
             **_encode_birth(record.born_ms),
@@ -174,8 +174,8 @@
         return {"world": self, "machine": machine}
 
 
-def _encode_room(room: Resources) -> dict[str, int]:
-    return {"cpu": room.cpu_millicores, "mem_mb": room.memory_mb, "gpu": room.gpu_count}
+def _encode_capacity(capacity: Resources) -> dict[str, int]:
+    return {"cpu": capacity.cpu_millicores, "mem_mb": capacity.memory_mb, "gpu": capacity.gpu_count}
 
 
 class _HostHandler(RequestHandler):
@@ -256,7 +256,7 @@
                 "state": machine.state.value,
                 "zone": "hall",
                 "labels": ["large", machine.rack],
-                "capacity": _encode_room(machine.room),
+                "capacity": _encode_capacity(machine.capacity),
                 "id": machine.host_id or None,
             }
             for machine in self._machines.list_machines()
--- a/tests/lib/turns.py
+++ b/tests/lib/turns.py
@@ -15,7 +15,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
 
-ROOM: Final = Resources(16_000, 32_000, 0)
+HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 RESERVE: Final = "reserve"
 STEP_S: Final = 0.1
 TURN_S: Final = 5.0
@@ -76,7 +76,7 @@
 
 
 def _as_room(hosts: float) -> tuple[int, int, int]:
-    return round(hosts * ROOM.cpu_millicores), 0, 0
+    return round(hosts * HOST_CAPACITY.cpu_millicores), 0, 0
 
 
 @dataclass(frozen=True)
@@ -169,4 +169,4 @@
 
 
 def _machine(name: str, pool: str) -> Machine:
-    return Machine(name, pool, MachineState.UP, "hall", "r", "a", ROOM, name)
+    return Machine(name, pool, MachineState.UP, "hall", "r", "a", HOST_CAPACITY, name)
--- a/tests/unit/test_doubts.py
+++ b/tests/unit/test_doubts.py
@@ -14,7 +14,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.settings.policy_settings import PlacementPolicy
 
-ROOM = Resources(4000, 4000, 0)
+HOST_CAPACITY = Resources(4000, 4000, 0)
 SENT_S = 10.0
 LATER_S = SENT_S + DOUBT_AFTER_S + 0.01
 HOSTS = ("a1", "a2", "a3", "b1", "b2")
@@ -24,7 +24,7 @@
     """Make a pool of five hosts, whose names begin with their halls', all heard just now."""
     pool = PoolJobs(policy or PlacementPolicy())
     for name in HOSTS:
-        record = UpstreamHost(name, f"m{name}", "", "", name[0], "r", ROOM, frozenset())
+        record = UpstreamHost(name, f"m{name}", "", "", name[0], "r", HOST_CAPACITY, frozenset())
         host = pool.add_host(record)
         host.contact = HostContact.ANSWERING
         host.reported_at_s = SENT_S - 0.01
@@ -92,7 +92,9 @@
             for name in HOSTS
         )
         machines = {
-            name: Machine(name, "p", MachineState.UP, name[0], "r", "k", ROOM, f"host-{name}")
+            name: Machine(
+                name, "p", MachineState.UP, name[0], "r", "k", HOST_CAPACITY, f"host-{name}"
+            )
             for name in HOSTS
         }
         return find_silent_halls([PoolReport(True, hosts=hosts)], machines)
--- a/tests/unit/test_ended_lives.py
+++ b/tests/unit/test_ended_lives.py
@@ -6,9 +6,9 @@
 
 from robinthread._internal.fleet.ended_lives import TOLD_FOR_S, EndedLives
 from robinthread._internal.models.machine import Machine, MachineState
-from tests.lib.job_platforms import POOL, ROOM
+from tests.lib.job_platforms import HOST_CAPACITY, POOL
 
-UP = Machine("m", POOL, MachineState.UP, "hall", "rack", "kind", ROOM, "life1")
+UP = Machine("m", POOL, MachineState.UP, "hall", "rack", "kind", HOST_CAPACITY, "life1")
 
 
 class EndedLivesTest(TestCase):
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -12,7 +12,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 LASTING = StepSpec(
     6, cpu_millicores=1000, is_lasting=True, per_host_max=2, away_max=1, has_away_limit=True
 )
@@ -22,7 +22,9 @@
     """Make a pool whose job's tasks run, by turns, on the first ``used_hosts`` hosts."""
     pool = PoolJobs()
     for number in range(hosts):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     spec = JobSpec("0" * 16, "queue", "pool", "", (step,))
     job = pool.add_job(spec, QueuePolicy("queue", "", "", "pool"), 0, 0.0)
@@ -36,7 +38,7 @@
 def drain(host: Host, leaves_in_ms: int, now_s: float) -> None:
     record = host.record
     host.record = UpstreamHost(
-        record.id, record.machine, "", "", "", "r", ROOM, frozenset(), True, leaves_in_ms
+        record.id, record.machine, "", "", "", "r", HOST_CAPACITY, frozenset(), True, leaves_in_ms
     )
     host.note_draining(2.0, now_s)
 
--- a/tests/unit/test_fleet_planner.py
+++ b/tests/unit/test_fleet_planner.py
@@ -21,14 +21,14 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 RESERVE = "reserve"
 ALL = FleetPolicy(upkeep_first=True, moves_directly=True)
 
 
 def make_machine(name: str, pool: str) -> Machine:
     """Make a machine that is up."""
-    return Machine(name, pool, MachineState.UP, "hall", "r", "a", ROOM, f"host-{name}")
+    return Machine(name, pool, MachineState.UP, "hall", "r", "a", HOST_CAPACITY, f"host-{name}")
 
 
 def make_pool(pool: str, names: str, cores: int, busy: str = "", vacating: str = "") -> PoolView:
@@ -128,7 +128,7 @@
         self.assertEqual([], list_moves(plan))
 
     def test_machine_that_arrives_counts_for_no_lack_that_it_does_not_supply(self) -> None:
-        narrow = replace(make_machine("w", "p"), room=Resources(8_000, 32_000))
+        narrow = replace(make_machine("w", "p"), capacity=Resources(8_000, 32_000))
         for lack, arriving in (
             (self.wide, (narrow,)),
             (LackReport(1, (13_000, 1_000, 0), "a"), (narrow,)),
@@ -155,7 +155,7 @@
             self.assertEqual(count, len(list_moves(plan)))
 
     def test_other_pools_give_what_one_lacks_though_a_narrow_machine_arrives(self) -> None:
-        narrow = replace(make_machine("w", "hot"), room=Resources(8_000, 32_000))
+        narrow = replace(make_machine("w", "hot"), capacity=Resources(8_000, 32_000))
         hot = replace(with_lacks(make_pool("hot", "abc", 10), self.wide), arriving=(narrow,))
         view = make_view(make_pool("cold", "efgh", 0), hot)
         self.assertEqual([("e", "hot")], list_moves(plan_spare(view))[:1])
@@ -170,7 +170,7 @@
         view = make_view(pool, reserve="xyz")
         small, other, right = view.reserve
         reserve = (
-            replace(small, rack="q", room=Resources(8_000, 32_000)),
+            replace(small, rack="q", capacity=Resources(8_000, 32_000)),
             replace(other, rack="q"),
             replace(right, rack="s"),
         )
--- a/tests/unit/test_gang_placement.py
+++ b/tests/unit/test_gang_placement.py
@@ -10,7 +10,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 
 
 def choose(step: StepSpec, host_count: int = 4) -> list[str] | None:
@@ -18,7 +18,7 @@
     pool = PoolJobs()
     for number in range(host_count):
         rack = f"r{number % 2}"
-        record = UpstreamHost(f"h{number}", "", "", "", "", rack, ROOM, frozenset({rack}))
+        record = UpstreamHost(f"h{number}", "", "", "", "", rack, HOST_CAPACITY, frozenset({rack}))
         pool.add_host(record).contact = HostContact.ANSWERING
     spec = JobSpec("0" * 16, "queue", "pool", "", (step,))
     job = pool.add_job(spec, QueuePolicy("queue", "", "", "pool"), 0, 0.0)
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -13,14 +13,16 @@
 from robinthread._internal.models.host_life import make_life_id, split_life_id
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from tests.lib.job_platforms import POOL, QUEUE, ROOM, make_job
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, make_job
 
 BORN_MS, LATER_MS = 1_777_007_541_075, 1_777_007_560_000
 TASK = TaskKey(f"{1:016x}", 0, 0, 0)
 
 
 def _make_record(born_ms: int | None) -> UpstreamHost:
-    return UpstreamHost("i-1", "m-1", POOL, "m-1:80", "", "r0", ROOM, frozenset(), born_ms=born_ms)
+    return UpstreamHost(
+        "i-1", "m-1", POOL, "m-1:80", "", "r0", HOST_CAPACITY, frozenset(), born_ms=born_ms
+    )
 
 
 class LifeIdTest(TestCase):
@@ -134,7 +136,7 @@
         self._end_former(frozenset({run.key}))
         self.assertIs(RunPhase.SENDING, run.phase)
         self.assertIs(run, self.host.runs[run.key])
-        self.assertEqual(ROOM.cpu_millicores - 1000, self.host.free.cpu_millicores)
+        self.assertEqual(HOST_CAPACITY.cpu_millicores - 1000, self.host.free.cpu_millicores)
 
     def test_run_that_was_stopping_is_stopped_on_the_new_life_too(self) -> None:
         run = self._start(0, answered_at_s=None)
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -18,7 +18,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 POLICY = QueuePolicy("queue", "", "", "pool")
 NOW_S = 100.0
 STEP = StepSpec(1, cpu_millicores=1000)
@@ -32,7 +32,9 @@
         for number in range(hosts):
             name = f"h{number}"
             rack_name = rack or f"r{number}"
-            record = UpstreamHost(name, f"m{number}", "", "", "", rack_name, ROOM, frozenset())
+            record = UpstreamHost(
+                name, f"m{number}", "", "", "", rack_name, HOST_CAPACITY, frozenset()
+            )
             host = self.pool.add_host(record)
             host.contact = HostContact.ANSWERING
             host.reported_at_s = NOW_S
--- a/tests/unit/test_kept_hosts.py
+++ b/tests/unit/test_kept_hosts.py
@@ -12,7 +12,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from tests.lib.job_platforms import QUEUE, make_job
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 ENDING = StepSpec(1, cpu_millicores=10_000)
 LASTING = StepSpec(1, cpu_millicores=12_000, is_lasting=True)
 GANG = StepSpec(2, cpu_millicores=2_000, is_gang=True)
@@ -24,7 +24,7 @@
         """Have a task that ends keep a lasting one off the only host."""
         super().setUp()
         self.pool = PoolJobs()
-        record = UpstreamHost("h0", "m0", "press", "", "", "", ROOM, frozenset())
+        record = UpstreamHost("h0", "m0", "press", "", "", "", HOST_CAPACITY, frozenset())
         self.pool.add_host(record).contact = HostContact.ANSWERING
         self.ending = self._add(ENDING)
         self.lasting = self._add(LASTING)
--- a/tests/unit/test_machine_orders.py
+++ b/tests/unit/test_machine_orders.py
@@ -24,7 +24,7 @@
     PlatformStandin,
 )
 from robinthread._internal.telemetry.event_log import EventLog
-from tests.lib.job_platforms import POOL, ROOM, plan_second, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
 TURN_S = BOUNDS.steward_turn_ms / 1000
@@ -67,7 +67,7 @@
         self.platform = PlatformStandin(plan_second)
 
     def _add_machines(self, count: int) -> list[str]:
-        return [self.platform.machines.add(RESERVE, "r", ROOM) for _ in range(count)]
+        return [self.platform.machines.add(RESERVE, "r", HOST_CAPACITY) for _ in range(count)]
 
     def test_steward_that_need_not_wait_records_what_it_is_about_to_order(self) -> None:
         async def work() -> None:
@@ -154,7 +154,7 @@
             following = make_orders(self.platform, 2, TURN_S)
             following.load(read_records(self.platform))
             known = {
-                name: Machine(name, pool, MachineState.UP, "hall", "r", "", ROOM, "")
+                name: Machine(name, pool, MachineState.UP, "hall", "r", "", HOST_CAPACITY, "")
                 for name, pool in ((come, POOL), (late, RESERVE))
             }
             self.assertEqual({come, late}, following.list_held())
@@ -226,7 +226,7 @@
         self.platform = PlatformStandin(plan_second)
 
     async def _replace(self, begun: bool, wait_s: float = TURN_S) -> tuple[MachineOrders, str]:
-        machine = self.platform.machines.add(RESERVE, "r", ROOM)
+        machine = self.platform.machines.add(RESERVE, "r", HOST_CAPACITY)
         await make_orders(self.platform, 1, wait_s=0.0).give((UpkeepOrder(machine, 1),))
         following = make_orders(self.platform, 2, wait_s)
         if begun:
@@ -249,7 +249,7 @@
         async def work() -> None:
             orders, machine = await self._replace(begun=False)
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
-            listed = Machine(machine, RESERVE, MachineState.UP, "", "", "", ROOM, "")
+            listed = Machine(machine, RESERVE, MachineState.UP, "", "", "", HOST_CAPACITY, "")
             orders.unsettled.note_listed({machine: listed})
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
             orders.unsettled.note_listed({machine: replace(listed, state=MachineState.UPKEEP)})
@@ -276,7 +276,7 @@
         """The place was free 1.3 s after the order was sent, which was done 4 s after."""
 
         async def work() -> None:
-            (machine,) = (self.platform.machines.add(RESERVE, "r", ROOM),)
+            (machine,) = (self.platform.machines.add(RESERVE, "r", HOST_CAPACITY),)
             orders = make_orders(self.platform, 1, wait_s=0.0)
             faults = self.platform.machines.faults
             faults.lost_share, faults.late_s = 1.0, (4.0, 4.0)
@@ -296,7 +296,7 @@
         """A store that is slow for 3 s had the first upkeep recorded after the second was sent."""
 
         async def work() -> None:
-            machine = self.platform.machines.add(RESERVE, "r", ROOM)
+            machine = self.platform.machines.add(RESERVE, "r", HOST_CAPACITY)
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((UpkeepOrder(machine, 1),))
             self.platform.store.faults.silent.add("*")
--- a/tests/unit/test_noted_ends.py
+++ b/tests/unit/test_noted_ends.py
@@ -14,7 +14,7 @@
 from tests.lib.virtual import run_virtual
 
 TASK = TaskKey("1", 0, 0, 0)
-ROOM = Resources(1000, 1000)
+HOST_CAPACITY = Resources(1000, 1000)
 WORK_S = 0.5
 LEASE_MS = 1000
 
@@ -25,7 +25,9 @@
 
         async def work() -> int:
             ledger = RunLedger()
-            record = UpstreamHost("i-1", "m-1", "press", "m-1:80", "", "r0", ROOM, frozenset())
+            record = UpstreamHost(
+                "i-1", "m-1", "press", "m-1:80", "", "r0", HOST_CAPACITY, frozenset()
+            )
             host = JobHostStandin(record, ledger, lambda task: TaskPlan(WORK_S), GangBoard())
             host.start(StartOrder(TASK, 1, "", LEASE_MS, 1))
             await asyncio.sleep(noted_at_s)
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -15,7 +15,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(4000, 4000, 0)
+HOST_CAPACITY = Resources(4000, 4000, 0)
 URGENT = QueuePolicy("urgent", "", "", "pool", 0)
 LESS = QueuePolicy("less", "", "", "pool", 1)
 SMALL = StepSpec(4, cpu_millicores=1000, estimate_ms=1000)
@@ -31,7 +31,9 @@
     """Make a pool of hosts that answer."""
     pool = PoolJobs()
     for number in range(host_count):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     return pool
 
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -16,7 +16,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.settings.policy_settings import PlacementPolicy
 
-ROOM = Resources(4000, 4000, 0)
+HOST_CAPACITY = Resources(4000, 4000, 0)
 POLICY = QueuePolicy("queue", "", "", "pool", stretch=1.0, latency_target_ms=1000)
 
 
@@ -24,7 +24,9 @@
     """Make a pool of hosts that answer."""
     pool = PoolJobs(policy or PlacementPolicy())
     for number in range(host_count):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     return pool
 
--- a/tests/unit/test_resumed_stops.py
+++ b/tests/unit/test_resumed_stops.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from tests.lib.job_platforms import QUEUE, make_job
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 GANG = StepSpec(2, cpu_millicores=1000, memory_mb=100, is_gang=True)
 
 
@@ -23,7 +23,9 @@
         super().setUp()
         spec = make_job(1, GANG)
         before = PoolJobs()
-        before.add_host(UpstreamHost("i-1", "m-1", "press", "m-1:80", "", "", ROOM, frozenset()))
+        before.add_host(
+            UpstreamHost("i-1", "m-1", "press", "m-1:80", "", "", HOST_CAPACITY, frozenset())
+        )
         job = before.add_job(spec, QUEUE, 0, 0.0)
         before.open_due(job, 0)
         for task in list(before.waiting.values()):
--- a/tests/unit/test_room_need.py
+++ b/tests/unit/test_room_need.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 POLICY = QueuePolicy("queue", "", "", "pool", stretch=1.5, latency_target_ms=500)
 # On each host, 10 of 16 cores are left beside it.
 LASTING = StepSpec(3, cpu_millicores=6_000, memory_mb=1_000, is_lasting=True, per_host_max=1)
@@ -26,7 +26,7 @@
     for number in range(hosts):
         rack = f"r{number % 2}"
         record = UpstreamHost(
-            f"h{number}", f"m{number}", "pool", "", "", rack, ROOM, frozenset({rack})
+            f"h{number}", f"m{number}", "pool", "", "", rack, HOST_CAPACITY, frozenset({rack})
         )
         pool.add_host(record).contact = HostContact.ANSWERING
     return pool
--- a/tests/unit/test_stragglers.py
+++ b/tests/unit/test_stragglers.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(4000, 1000, 0)
+HOST_CAPACITY = Resources(4000, 1000, 0)
 JOB = "0" * 16
 
 
@@ -24,7 +24,9 @@
     """
     pool = PoolJobs()
     for number in range(max(map(len, jobs)) + 1):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         host = pool.add_host(record)
         host.contact = HostContact.ANSWERING
         host.reported_at_s = 1.0
