--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -74,7 +74,7 @@
             for pool in view.pools
         }
         lacks: Counter[str] = Counter()
-        for pool in sorted(view.pools, key=lambda pool: -pool.report.fetch_room[0]):
+        for pool in sorted(view.pools, key=lambda pool: -pool.report.fetch_resources[0]):
             size, vacating = sizes[pool.name], self._vacating[pool.name]
             taken = reserve.take_for(list_unsupplied(pool.report.lacks, pool.arriving))
             serving = _count_serving(pool, vacating, view.leaving)
@@ -257,7 +257,7 @@
     """Return how many hosts a pool lacks that any machine of ``room`` could be."""
     lacks = list_unsupplied(pool.report.lacks, pool.arriving)
     missing = sum(
-        lack.count for lack in lacks if not lack.label and Resources(*lack.room).fits_in(room)
+        lack.count for lack in lacks if not lack.label and Resources(*lack.resources).fits_in(room)
     )
     serving = _count_serving(pool, vacating, view.leaving) + _count_awaited(view, pool)
     return max(0, size.fetch_count - serving, missing)
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -47,12 +47,12 @@
 class LackReport(msgspec.Struct, frozen=True, array_like=True):
     """Hosts that a pool lacks for tasks that fit on none that it has.
 
-    They need at least ``room`` and, unless it is "", the label.  ``is_lasting`` tells
+    They need at least ``resources`` and, unless it is "", the label.  ``is_lasting`` tells
     whether the tasks last or end.
     """
 
     count: int
-    room: tuple[int, int, int]
+    resources: tuple[int, int, int]
     label: str = ""
     is_lasting: bool = False
 
@@ -61,21 +61,21 @@
     """How a pool stands: the room to fetch and to keep hosts for, and its hosts.
 
     Rooms are thousandths of a core, MB and accelerators.  ``hosts_min`` hosts are
-    needed for tasks that may not share one.  ``lasting_room`` is the part of the room that
+    needed for tasks that may not share one.  ``lasting_resources`` is the part of the room that
     lasting tasks take.  ``apart_count`` hosts that carry none are needed by tasks that end.
-    ``urgent_room`` is the room to keep without jobs that can no longer be on time; an older
+    ``urgent_resources`` is the room to keep without jobs that can no longer be on time; an older
     process does not tell.  ``share_state`` are the shares in force once the question was taken
     in, and ``workspaces`` those whose use the steward must know.
     """
 
     is_owner: bool
-    fetch_room: tuple[int, int, int] = (0, 0, 0)
-    keep_room: tuple[int, int, int] = (0, 0, 0)
+    fetch_resources: tuple[int, int, int] = (0, 0, 0)
+    keep_resources: tuple[int, int, int] = (0, 0, 0)
     hosts: tuple[HostStanding, ...] = ()
     hosts_min: int = 0
-    lasting_room: tuple[int, int, int] = (0, 0, 0)
+    lasting_resources: tuple[int, int, int] = (0, 0, 0)
     apart_count: int = 0
     lacks: tuple[LackReport, ...] = ()
-    urgent_room: tuple[int, int, int] | None = None
+    urgent_resources: tuple[int, int, int] | None = None
     share_state: ShareState | None = None
     workspaces: tuple[WorkspaceStanding, ...] = ()
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -66,4 +66,4 @@
 def supplies(machine: Machine, lack: LackReport) -> bool:
     """Tell whether a machine has the room and the label that a pool lacks."""
     has_label = not lack.label or lack.label in (machine.kind, machine.rack)
-    return has_label and Resources(*lack.room).fits_in(machine.capacity)
+    return has_label and Resources(*lack.resources).fits_in(machine.capacity)
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -46,10 +46,10 @@
     lasting ones are kept on top of those that the lasting ones need, and what carries
     lasting tasks is kept while hosts are missing for more of these.
     """
-    fetch_count = max(report.hosts_min, _count_hosts(report.fetch_room, room))
+    fetch_count = max(report.hosts_min, _count_hosts(report.fetch_resources, room))
     keep_count = max(
         fetch_count,
-        _count_hosts(report.keep_room, room),
+        _count_hosts(report.keep_resources, room),
         _count_apart(report, room),
         _count_least(report, room),
     )
@@ -58,9 +58,13 @@
 
 def get_host_ranks(report: PoolReport, size: PoolSize, room: Resources) -> HostRanks:
     """Return how many hosts of ``room`` a pool of such a size needs, by what for."""
-    urgent_room = report.keep_room if report.urgent_room is None else report.urgent_room
+    urgent_resources = (
+        report.keep_resources if report.urgent_resources is None else report.urgent_resources
+    )
     least_count = _count_least(report, room)
-    urgent_count = max(least_count, _count_hosts(urgent_room, room), _count_apart(report, room))
+    urgent_count = max(
+        least_count, _count_hosts(urgent_resources, room), _count_apart(report, room)
+    )
     return HostRanks(least_count, min(urgent_count, size.keep_count), size.keep_count)
 
 
@@ -82,7 +86,7 @@
 
 
 def _count_lasting(report: PoolReport, room: Resources) -> int:
-    return max(report.hosts_min, _count_full_hosts(report.lasting_room, room))
+    return max(report.hosts_min, _count_full_hosts(report.lasting_resources, room))
 
 
 def _count_lasting_lack(report: PoolReport) -> int:
--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -98,7 +98,7 @@
         in_time, too_late = self._forecast_all(pool, late, now_s)
         waiting_in_time, waiting_late = _sum_waiting(pool, steps, late)
         share = self._policy.late_share
-        late_forecasts = [replace(step, room=step.room.scale(share)) for step in too_late]
+        late_forecasts = [replace(step, resources=step.resources.scale(share)) for step in too_late]
         fetch, keep = self._get_rooms(
             [*in_time, *late_forecasts], waiting_in_time + waiting_late.scale(share), arriving
         )
@@ -125,7 +125,9 @@
 
     def _forecast(self, forecasts: Iterable[StepForecast], arriving: Work, ahead_s: float) -> Work:
         """Return the room that all tasks would take ``ahead_s`` from now, given room."""
-        known = (step.room for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s)
+        known = (
+            step.resources for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s
+        )
         begun_share = min(1.0, ahead_s / self._mean_chain_s) if self._mean_chain_s else 0.0
         return sum(known, start=NO_WORK) + arriving.scale(begun_share)
 
@@ -200,14 +202,14 @@
         if not step.spec.is_lasting:
             takes_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
             is_late = (step.job.id, step.occurrence) in late
-            sums[is_late] += as_work(step.spec.room).scale(step.task_count * takes_s)
+            sums[is_late] += as_work(step.spec.resources).scale(step.task_count * takes_s)
     return sums[False], sums[True]
 
 
 def _get_widest_gang(steps: Iterable[WaitingStep]) -> Work:
     """Return the room that the widest waiting gang that ends needs at once, late or not."""
     rooms = (
-        as_work(step.spec.room).scale(step.task_count)
+        as_work(step.spec.resources).scale(step.task_count)
         for step in steps
         if step.spec.is_gang and not step.spec.is_lasting
     )
@@ -240,7 +242,7 @@
 def _sum_lasting(pool: PoolJobs) -> Work:
     """Sum the room of all lasting tasks."""
     rooms = (
-        step.room.scale(step.task_count)
+        step.resources.scale(step.task_count)
         for job in pool.jobs.values()
         if not job.status.is_final
         for step in job.spec.steps
--- a/src/robinthread/_internal/jobs/gangs.py
+++ b/src/robinthread/_internal/jobs/gangs.py
@@ -87,14 +87,14 @@
             (
                 host
                 for host in hosts
-                if step.room.fits_in(free[host.id])
+                if step.resources.fits_in(free[host.id])
                 and (not step.per_host_max or counts[host.id] < step.per_host_max)
             ),
             None,
         )
         if host is None:
             return None
-        free[host.id] -= step.room
+        free[host.id] -= step.resources
         counts[host.id] += 1
         chosen.append(host)
     return chosen
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -18,7 +18,7 @@
 
     begins_in_s: float
     ends_in_s: float
-    room: Work
+    resources: Work
 
 
 def get_slack_s(job: Job, occurrence: int, times: RunTimes, now_ms: int) -> float:
@@ -51,7 +51,7 @@
     """Return the work of a job that has not begun."""
     steps = job.spec.steps
     parts = (
-        as_work(step.room).scale(step.task_count * times.estimate_s(job.spec.queue, step))
+        as_work(step.resources).scale(step.task_count * times.estimate_s(job.spec.queue, step))
         for step in steps
     )
     return sum(parts, start=Work())
@@ -73,7 +73,7 @@
             ran_s = _get_longest_run_s(job, occurrence, number, now_s)
             takes_s = max(OVERDUE_S, takes_s - ran_s)
         ends_s.append(begins_s + takes_s)
-        yield StepForecast(begins_s, ends_s[-1], as_work(step.room).scale(open_count))
+        yield StepForecast(begins_s, ends_s[-1], as_work(step.resources).scale(open_count))
 
 
 def _get_longest_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -27,7 +27,7 @@
     return (
         task.key.step_key == last.key.step_key
         and not task.step.is_lasting
-        and task.room.fits_in(host.free)
+        and task.resources.fits_in(host.free)
         and host.id not in task.failed_host_ids
         and may_carry_another(task, host)
     )
@@ -39,7 +39,7 @@
     return (
         host
         for host in hosts
-        if task.room.fits_in(host.free)
+        if task.resources.fits_in(host.free)
         and may_run(pool, job, task, host, now_s)
         and may_carry_another(task, host)
     )
@@ -94,7 +94,7 @@
 def get_room_to_come(pool: PoolJobs, host: Host) -> Resources:
     """Return the room that a host has once all that ends by itself has ended."""
     ending = (run for run in host.runs.values() if not run.is_lasting)
-    rooms = (pool.jobs[run.task.job_id].get_task(run.task).room for run in ending)
+    rooms = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
     return sum(rooms, start=host.free)
 
 
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -80,7 +80,7 @@
                 # It may have begun long ago: its end says nothing of how long it took.
                 run.is_resumed = run.is_inherited = True
                 run.settled_at_s = now_s
-                self._get_host(run.host_id).add_run(run, task.step.room)
+                self._get_host(run.host_id).add_run(run, task.step.resources)
                 self.workspaces.note_begun(spec.workspace, task.step.claim)
         self.crash_book.resume_trials(job)
         return job
@@ -104,7 +104,7 @@
         """Give a waiting task a host; the run may be sent once it is recorded."""
         self.waiting.pop(task.key, None)
         run = task.add_run(host.id, number)
-        host.add_run(run, task.room)
+        host.add_run(run, task.resources)
         job = self.jobs[task.key.job_id]
         self.workspaces.note_begun(job.spec.workspace, task.step.claim)
         self._mark(job)
@@ -284,7 +284,7 @@
             return False
         run.phase = RunPhase.OVER
         task.runs.remove(run)
-        self.hosts[run.host_id].remove_run(run, task.step.room)
+        self.hosts[run.host_id].remove_run(run, task.step.resources)
         self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
         if self.crash_book.trials.is_run_of(task.counted_key, run.number):
             self.crash_book.trials.drop(task.counted_key)
@@ -294,7 +294,7 @@
         if run.phase is RunPhase.OVER:
             return
         job = self.jobs[run.task.job_id]
-        room = job.get_task(run.task).step.room
+        room = job.get_task(run.task).step.resources
         host.remove_run(run, room)
         run.host_id = successor.id
         run.present_since_s = None
--- a/src/robinthread/_internal/jobs/room_keeping.py
+++ b/src/robinthread/_internal/jobs/room_keeping.py
@@ -81,7 +81,7 @@
         fitting = (
             host
             for host in hosts
-            if task.room.fits_in(self._get_room_to_come(host))
+            if task.resources.fits_in(self._get_room_to_come(host))
             and may_run(self._pool, job, task, host, self._now_s)
             and may_carry_another(task, host)
         )
@@ -132,7 +132,7 @@
 
 def _get_lack(task: Task, host: Host) -> float:
     """Return how much room a host lacks for a task, as the largest share of its own room."""
-    lacks, room = task.room - host.free, host.record.capacity
+    lacks, room = task.resources - host.free, host.record.capacity
     return max(
         lacks.cpu_millicores / max(1, room.cpu_millicores),
         lacks.memory_mb / max(1, room.memory_mb),
--- a/src/robinthread/_internal/jobs/room_need.py
+++ b/src/robinthread/_internal/jobs/room_need.py
@@ -46,7 +46,7 @@
     """
 
     count: int
-    room: Resources
+    resources: Resources
     label: str
     is_lasting: bool
 
@@ -68,7 +68,7 @@
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.room = host.capacity_beside_lasting
+        self.free = host.capacity_beside_lasting
         self.share = 1.0
         self.is_needed = False
 
@@ -78,7 +78,7 @@
     """Hosts that are missing, as a real number."""
 
     hosts: float = 0.0
-    room: Resources = field(default=NO_RESOURCES)
+    resources: Resources = field(default=NO_RESOURCES)
 
 
 def find_room_need(pool: PoolJobs, needs: Iterable[StepNeed], now_s: float) -> RoomNeed:
@@ -105,9 +105,9 @@
         if left > SHARE_MIN:
             lack = lacks[need.spec.required_label, need.spec.is_lasting]
             lack.hosts += left / max(1, _count_slots(need.spec, largest))
-            lack.room = lack.room.max(need.spec.room)
+            lack.resources = lack.resources.max(need.spec.resources)
     missing = (
-        MissingHosts(math.ceil(lack.hosts - SHARE_MIN), lack.room, label, is_lasting)
+        MissingHosts(math.ceil(lack.hosts - SHARE_MIN), lack.resources, label, is_lasting)
         for (label, is_lasting), lack in lacks.items()
     )
     needed = [space for space in spaces if space.is_needed]
@@ -120,15 +120,15 @@
 
 
 def _fits_everywhere(step: StepSpec, common: Resources) -> bool:
-    return not step.required_label and not step.per_host_max and step.room.fits_in(common)
+    return not step.required_label and not step.per_host_max and step.resources.fits_in(common)
 
 
 def _get_width(step: StepSpec, room: Resources) -> tuple[bool, float]:
     """Order steps: those that keep their room first, then the widest."""
     shares = (
-        step.room.cpu_millicores / max(1, room.cpu_millicores),
-        step.room.memory_mb / max(1, room.memory_mb),
-        step.room.gpu_count / max(1, room.gpu_count),
+        step.resources.cpu_millicores / max(1, room.cpu_millicores),
+        step.resources.memory_mb / max(1, room.memory_mb),
+        step.resources.gpu_count / max(1, room.gpu_count),
     )
     return (step.is_lasting, max(shares))
 
@@ -142,22 +142,22 @@
 
 def _fill(need: StepNeed, spaces: Sequence[_Space]) -> float:
     """Give a step's tasks room, and note where; return how many are left."""
-    step, room, left = need.spec, need.spec.room, need.parallel
+    step, room, left = need.spec, need.spec.resources, need.parallel
     counts = _count_lasting_runs(need.waiting)
     for space in spaces:
         if left <= SHARE_MIN:
             break
-        if not room.fits_in(space.room):
+        if not room.fits_in(space.free):
             continue
         if step.required_label and step.required_label not in space.host.record.labels:
             continue
-        slots = _count_slots(step, space.room, counts[space.host.id])
+        slots = _count_slots(step, space.free, counts[space.host.id])
         taken = min(left, slots * space.share)
         if taken <= SHARE_MIN:
             continue
         if step.is_lasting:
             taken = min(slots, math.ceil(left - SHARE_MIN))
-            space.room -= room.scale(taken)
+            space.free -= room.scale(taken)
         else:
             space.share -= taken / slots
         space.is_needed = True
@@ -168,7 +168,7 @@
 def _count_slots(step: StepSpec, room: Resources, present_count: int = 0) -> int:
     """Return how many tasks of a step fit in a room beside those that stay there."""
     limit = step.per_host_max - present_count if step.per_host_max else step.task_count
-    return max(0, min(limit, room.count(step.room)))
+    return max(0, min(limit, room.count(step.resources)))
 
 
 def _count_lasting_runs(waiting: WaitingStep) -> Counter[str]:
--- a/src/robinthread/_internal/jobs/scheduling.py
+++ b/src/robinthread/_internal/jobs/scheduling.py
@@ -96,7 +96,7 @@
 
 def _get_smallest_room(tasks: Collection[Task]) -> Resources:
     """Return, of each kind of room, the least that any of the tasks takes."""
-    rooms = [task.room for task in tasks]
+    rooms = [task.resources for task in tasks]
     return Resources(
         min(room.cpu_millicores for room in rooms),
         min(room.memory_mb for room in rooms),
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -150,7 +150,7 @@
     fitting = (
         host
         for host in usable
-        if task.room.fits_in(get_room_to_come(pool, host))
+        if task.resources.fits_in(get_room_to_come(pool, host))
         and may_run(pool, job, task, host, now_s)
         and may_carry_another(task, host)
     )
@@ -159,7 +159,7 @@
         key=lambda host: (
             host.record.machine in own,
             counts[host.record.machine],
-            not (is_ready(host, is_alone, now_s) and task.room.fits_in(host.free)),
+            not (is_ready(host, is_alone, now_s) and task.resources.fits_in(host.free)),
             host.lasting_count,
             len(host.runs),
             host.id,
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -32,7 +32,7 @@
         "last_failed_run",
         "last_run",
         "ran_until_s",
-        "room",
+        "resources",
         "runs",
         "step",
         "took_s",
@@ -41,7 +41,7 @@
     def __init__(self, key: TaskKey, step: StepSpec) -> None:
         self.key = key
         self.step = step
-        self.room = step.room
+        self.resources = step.resources
         self.is_done = False
         self.failure_count = 0
         self.last_failed_run = 0
--- a/src/robinthread/_internal/models/job_spec.py
+++ b/src/robinthread/_internal/models/job_spec.py
@@ -40,7 +40,7 @@
     has_away_limit: bool = False
 
     @property
-    def room(self) -> Resources:
+    def resources(self) -> Resources:
         """Return what one task takes of a host's room."""
         cpu = 0 if self.fills_leftover else self.cpu_millicores
         return Resources(cpu, self.memory_mb, self.gpu_count)
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -163,7 +163,7 @@
 
     def _has_room(self, run: Run, host: Host, job: Job) -> bool:
         """Tell whether the host still has the room in which a run was placed."""
-        is_over = host.is_over(job.spec.steps[run.task.step].room)
+        is_over = host.is_over(job.spec.steps[run.task.step].resources)
         if not is_over and self._runtime.are_rooms_known():
             return True
         self._events.write(
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -29,21 +29,23 @@
     needed = demand.on_hosts.host_ids
     return PoolReport(
         is_owner=True,
-        fetch_room=demand.fetch.astuple(),
-        keep_room=demand.keep.astuple(),
+        fetch_resources=demand.fetch.astuple(),
+        keep_resources=demand.keep.astuple(),
         hosts=tuple(
             _make_standing(host, host.id not in doubted, host.id in needed, now_s)
             for host in pool.hosts.values()
             if host.is_listed
         ),
         hosts_min=demand.hosts_min,
-        lasting_room=demand.lasting.astuple(),
+        lasting_resources=demand.lasting.astuple(),
         apart_count=demand.on_hosts.apart_count,
         lacks=tuple(
-            LackReport(missing.count, missing.room.astuple(), missing.label, missing.is_lasting)
+            LackReport(
+                missing.count, missing.resources.astuple(), missing.label, missing.is_lasting
+            )
             for missing in demand.on_hosts.missing
         ),
-        urgent_room=demand.urgent.astuple(),
+        urgent_resources=demand.urgent.astuple(),
         share_state=share_state,
         workspaces=pool.workspaces.list_standings(_sum_waiting(pool)),
     )
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -193,8 +193,8 @@
                     vacating=len(plan.vacate[pool.name]),
                     lacking=size.lack_count,
                     needed=sum(host.is_needed for host in pool.hosts),
-                    fetch_room=pool.report.fetch_room,
-                    keep_room=pool.report.keep_room,
+                    fetch_room=pool.report.fetch_resources,
+                    keep_room=pool.report.keep_resources,
                 )
 
     async def _list_machines(self) -> bool:
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -56,7 +56,7 @@
             since_accepted_ms=now_ms - job.spec.accepted_at_ms,
             slack_s=round(slack_s, 3),
             priority=job.policy.priority,
-            task_cpu_millicores=first.room.cpu_millicores,
+            task_cpu_millicores=first.resources.cpu_millicores,
             fitting_hosts=sum(1 for _ in iter_fitting(pool, first, usable, now_s)),
             usable_hosts=len(usable),
             free_cpu_max_millicores=max((host.free.cpu_millicores for host in usable), default=0),
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -39,7 +39,7 @@
     """
 
     work_s: float | None
-    room: Resources = NO_RESOURCES
+    resources: Resources = NO_RESOURCES
     end: RunEnd = RunEnd.DONE
     gang_size: int = 0
     crashes_after_s: float | None = None
@@ -116,7 +116,9 @@
         if not self._takes_ticket(order):
             raise TicketRejectedError("ticket")
         plan = self._plan_task(order.task)
-        taken = sum((present.plan.room for present in self._present.values()), start=plan.room)
+        taken = sum(
+            (present.plan.resources for present in self._present.values()), start=plan.resources
+        )
         if not taken.fits_in(self.record.capacity) and self._checks_room():
             raise NoRoomError("room")
         if not any(taken.fits_in(room) for room in self._list_known_rooms()):
@@ -204,7 +206,7 @@
             self.record.id,
             loop.time(),
             is_stray=is_stray,
-            room=plan.room,
+            resources=plan.resources,
         )
         self._ledger.add(ledger_run)
         present = _Present(order, plan, ledger_run, loop.time())
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -12,7 +12,7 @@
 class RunningTask(Protocol):
     """A run as the hosts saw it."""
 
-    room: Resources
+    resources: Resources
     ended_at_s: float | None
 
 
@@ -36,14 +36,14 @@
         """Return what a workspace has running."""
         running = [run for run in self._open.get(workspace, ()) if run.ended_at_s is None]
         self._open[workspace] = running
-        return sum((run.room for run in running), start=NO_RESOURCES)
+        return sum((run.resources for run in running), start=NO_RESOURCES)
 
     def note_begun(self, job_id: str, run: RunningTask, now_s: float) -> None:
         """Note a run that begins, and whether it may."""
         workspace = self.workspaces.get(job_id)
         if workspace is None:
             return
-        after = self.get_running(workspace) + run.room
+        after = self.get_running(workspace) + run.resources
         self._open[workspace].append(run)
         part = min(
             (after.get_part_of(limit) for limit in self._list_in_force(workspace, now_s)),
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -38,7 +38,7 @@
     is_noted: bool = False
     is_cause: bool = False
     is_stray: bool = False
-    room: Resources = NO_RESOURCES
+    resources: Resources = NO_RESOURCES
 
 
 class RunLedger:
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -164,8 +164,8 @@
 
         def plan(task: TaskKey) -> TaskPlan:
             if task.job_id == LASTING_JOB:
-                return TaskPlan(None, LARGE.room)
-            return TaskPlan(1.0 + 0.13 * task.index, SMALL.room)
+                return TaskPlan(None, LARGE.resources)
+            return TaskPlan(1.0 + 0.13 * task.index, SMALL.resources)
 
         async def feed(platform: PlatformStandin) -> None:
             for number in itertools.count(LASTING_NUMBER + 1):
--- a/tests/functional/test_lasting_behind_urgent.py
+++ b/tests/functional/test_lasting_behind_urgent.py
@@ -35,8 +35,8 @@
     def test_lasting_task_of_a_less_urgent_queue_runs_again(self) -> None:
         def plan(task: TaskKey) -> TaskPlan:
             if task.job_id == LASTING_JOB:
-                return TaskPlan(None, LARGE.room)
-            return TaskPlan(1.0 + 0.13 * task.index, SMALL.room)
+                return TaskPlan(None, LARGE.resources)
+            return TaskPlan(1.0 + 0.13 * task.index, SMALL.resources)
 
         async def feed(platform: PlatformStandin) -> None:
             for number in itertools.count(LASTING_NUMBER + 1):
--- a/tests/functional/test_lasting_in_full_pool.py
+++ b/tests/functional/test_lasting_in_full_pool.py
@@ -66,8 +66,10 @@
 
         def plan(task: TaskKey) -> TaskPlan:
             if task.job_id == LASTING_JOB:
-                return TaskPlan(None, step.room, gang_size=step.task_count if step.is_gang else 0)
-            return TaskPlan(SMALL_MIN_S + SMALL_STEP_S * task.index, SMALL.room)
+                return TaskPlan(
+                    None, step.resources, gang_size=step.task_count if step.is_gang else 0
+                )
+            return TaskPlan(SMALL_MIN_S + SMALL_STEP_S * task.index, SMALL.resources)
 
         async def work() -> None:
             platform = await start_platform(plan, nodes=4, hosts=hosts)
--- a/tests/functional/test_stop_under_way.py
+++ b/tests/functional/test_stop_under_way.py
@@ -51,15 +51,15 @@
 def plan_many(task: TaskKey) -> TaskPlan:
     """Have one task last, and many end."""
     if task.job_id == LASTING_JOB:
-        return TaskPlan(None, ALONE.room)
-    return TaskPlan(0.4 + 0.05 * task.index, MANY.room)
+        return TaskPlan(None, ALONE.resources)
+    return TaskPlan(0.4 + 0.05 * task.index, MANY.resources)
 
 
 def plan_beside_pair(task: TaskKey) -> TaskPlan:
     """Have a pair last, and on each host a task end each 0.15 s once the owner is replaced."""
     if task.job_id == LASTING_JOB:
-        return TaskPlan(None, PAIR.room)
-    return TaskPlan(2.0 + 0.15 * (task.index % 14), BESIDE_PAIR.room)
+        return TaskPlan(None, PAIR.resources)
+    return TaskPlan(2.0 + 0.15 * (task.index % 14), BESIDE_PAIR.resources)
 
 
 class StopUnderWayTest(TestCase):
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -130,7 +130,7 @@
     def plan(task: TaskKey) -> TaskPlan:
         step = next(spec for spec in day.specs if spec.job_id == task.job_id).steps[task.step]
         gang_size = step.task_count if step.is_gang else 0
-        return TaskPlan(day.work_s, step.room, gang_size=gang_size)
+        return TaskPlan(day.work_s, step.resources, gang_size=gang_size)
 
     pools = tuple(_let_start_whatever(pool) for pool in POOLS)
     platform = await start_platform(plan, hosts=day.hosts, seed=day.seed, pools=pools)
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -143,7 +143,7 @@
     def plan_gangs(task: TaskKey) -> TaskPlan:
         usual = plan(task)
         size = GANG.task_count if task.job_id in gangs else 0
-        return TaskPlan(usual.work_s, usual.room, gang_size=size)
+        return TaskPlan(usual.work_s, usual.resources, gang_size=size)
 
     platform.plan_task = plan_gangs
     for host in platform.hosts.hosts.values():
--- a/tests/lib/turns.py
+++ b/tests/lib/turns.py
@@ -67,7 +67,7 @@
         urgent = _as_room(rate + fresh / DRAIN_S)
         wanted = _as_room(rate + (fresh + LATE_SHARE * late) / DRAIN_S)
         hosts = tuple(self._stand(host, now_s) for host in sorted(self.hosts))
-        return PoolReport(True, wanted, wanted, hosts, urgent_room=urgent)
+        return PoolReport(True, wanted, wanted, hosts, urgent_resources=urgent)
 
     def _stand(self, host: str, now_s: float) -> HostStanding:
         since_s = self.vacating_since_s.get(host)
--- a/tests/unit/test_fleet_planner.py
+++ b/tests/unit/test_fleet_planner.py
@@ -70,7 +70,7 @@
         HostStanding(host.machine, host.host_id, True, host.machine in vacating, host.run_count, 0)
         for host in pool.report.hosts
     )
-    report = PoolReport(True, pool.report.fetch_room, pool.report.keep_room, hosts)
+    report = PoolReport(True, pool.report.fetch_resources, pool.report.keep_resources, hosts)
     return replace(pool, report=report)
 
 
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -137,7 +137,7 @@
         pool = make_pool(2)
         wide, other = (add_job(pool, number, LESS, LARGE)[0] for number in (1, 2))
         lose_runs(pool, [wide, other])
-        wide.room = Resources(5000)
+        wide.resources = Resources(5000)
         fill(pool)
         end_one_on_each(pool)
         self.assertEqual(1, place(pool, OVERDUE_AT_S + 10))
--- a/tests/unit/test_room_need.py
+++ b/tests/unit/test_room_need.py
@@ -174,4 +174,4 @@
     def test_it_does_not_count_by_room_that_its_lasting_tasks_take(self) -> None:
         step = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000, is_lasting=True)
         (missing,) = self._read(step, leaves_runs=True).on_hosts.missing
-        self.assertEqual(MissingHosts(1, step.room, "", True), missing)
+        self.assertEqual(MissingHosts(1, step.resources, "", True), missing)
