--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -16,10 +16,10 @@
     iter_forecasts,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
+from robinthread._internal.jobs.resource_vector import ZERO_VECTOR, ResourceVector, as_vector
 from robinthread._internal.jobs.room_need import RoomNeed, StepNeed, find_room_need
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.waiting_steps import WaitingStep, list_waiting_steps
-from robinthread._internal.jobs.work import NO_WORK, Work, as_work
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
@@ -69,7 +69,7 @@
         self._lead_s = lead_s
         self._policy = policy
         self._arrivals_s: deque[float] = deque()
-        self._mean_work: Work | None = None
+        self._mean_work: ResourceVector | None = None
         self._mean_chain_s = 0.0
 
     def note_job(self, job: Job, times: RunTimes, now_s: float) -> None:
@@ -114,8 +114,8 @@
         )
 
     def _get_rooms(
-        self, forecasts: Sequence[StepForecast], waiting: Work, arriving: Work
-    ) -> tuple[Work, Work]:
+        self, forecasts: Sequence[StepForecast], waiting: ResourceVector, arriving: ResourceVector
+    ) -> tuple[ResourceVector, ResourceVector]:
         """Return the room to fetch hosts for, and the room to keep them for."""
         soon = self._forecast(forecasts, arriving, self._lead_s).scale(1 + HEADROOM_SHARE)
         fetch = keep = soon + waiting.scale(1 / DRAIN_S)
@@ -123,13 +123,15 @@
             keep = keep.max(self._forecast(forecasts, arriving, ahead_s))
         return fetch, keep
 
-    def _forecast(self, forecasts: Iterable[StepForecast], arriving: Work, ahead_s: float) -> Work:
+    def _forecast(
+        self, forecasts: Iterable[StepForecast], arriving: ResourceVector, ahead_s: float
+    ) -> ResourceVector:
         """Return the room that all tasks would take ``ahead_s`` from now, given room."""
         known = (
             step.resources for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s
         )
         begun_share = min(1.0, ahead_s / self._mean_chain_s) if self._mean_chain_s else 0.0
-        return sum(known, start=NO_WORK) + arriving.scale(begun_share)
+        return sum(known, start=ZERO_VECTOR) + arriving.scale(begun_share)
 
     def _forecast_all(
         self, pool: PoolJobs, late: frozenset[Place], now_s: float
@@ -163,7 +165,7 @@
         """Return the share of an occurrence's room for which to ask for hosts."""
         return self._policy.late_share if place in late else 1.0
 
-    def _get_arriving_work(self, now_s: float) -> Work:
+    def _get_arriving_work(self, now_s: float) -> ResourceVector:
         """Return the room that jobs of usual size need at the rate they arrive at.
 
         One large job tells nothing of the next: it is counted where its tasks are.
@@ -171,7 +173,7 @@
         while self._arrivals_s and now_s - self._arrivals_s[0] > 2 * RATE_WINDOW_S:
             self._arrivals_s.popleft()
         if self._mean_work is None:
-            return NO_WORK
+            return ZERO_VECTOR
         return self._mean_work.scale(self._get_rate_per_s(now_s))
 
     def _get_rate_per_s(self, now_s: float) -> float:
@@ -195,25 +197,25 @@
 
 def _sum_waiting(
     pool: PoolJobs, steps: Iterable[WaitingStep], late: frozenset[Place]
-) -> tuple[Work, Work]:
+) -> tuple[ResourceVector, ResourceVector]:
     """Sum the work of the tasks that wait for a host: of jobs in time, and of late ones."""
-    sums = {False: NO_WORK, True: NO_WORK}
+    sums = {False: ZERO_VECTOR, True: ZERO_VECTOR}
     for step in steps:
         if not step.spec.is_lasting:
             takes_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
             is_late = (step.job.id, step.occurrence) in late
-            sums[is_late] += as_work(step.spec.resources).scale(step.task_count * takes_s)
+            sums[is_late] += as_vector(step.spec.resources).scale(step.task_count * takes_s)
     return sums[False], sums[True]
 
 
-def _get_widest_gang(steps: Iterable[WaitingStep]) -> Work:
+def _get_widest_gang(steps: Iterable[WaitingStep]) -> ResourceVector:
     """Return the room that the widest waiting gang that ends needs at once, late or not."""
     rooms = (
-        as_work(step.spec.resources).scale(step.task_count)
+        as_vector(step.spec.resources).scale(step.task_count)
         for step in steps
         if step.spec.is_gang and not step.spec.is_lasting
     )
-    return reduce(Work.max, rooms, NO_WORK)
+    return reduce(ResourceVector.max, rooms, ZERO_VECTOR)
 
 
 def _find_late(pool: PoolJobs, now_ms: int) -> frozenset[Place]:
@@ -239,7 +241,7 @@
     return max(counts, default=0)
 
 
-def _sum_lasting(pool: PoolJobs) -> Work:
+def _sum_lasting(pool: PoolJobs) -> ResourceVector:
     """Sum the room of all lasting tasks."""
     rooms = (
         step.resources.scale(step.task_count)
@@ -248,4 +250,4 @@
         for step in job.spec.steps
         if step.is_lasting
     )
-    return as_work(sum(rooms, start=NO_RESOURCES))
+    return as_vector(sum(rooms, start=NO_RESOURCES))
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 from robinthread._internal.jobs.job import Job
+from robinthread._internal.jobs.resource_vector import ResourceVector, as_vector
 from robinthread._internal.jobs.run_times import RunTimes
-from robinthread._internal.jobs.work import Work, as_work
 
 # Least time that a step counts as taking that should have ended by now.
 OVERDUE_S: Final = 0.2
@@ -18,7 +18,7 @@
 
     begins_in_s: float
     ends_in_s: float
-    resources: Work
+    resources: ResourceVector
 
 
 def get_slack_s(job: Job, occurrence: int, times: RunTimes, now_ms: int) -> float:
@@ -47,14 +47,14 @@
     return max(ends_s, default=0.0)
 
 
-def get_work(job: Job, times: RunTimes) -> Work:
+def get_work(job: Job, times: RunTimes) -> ResourceVector:
     """Return the work of a job that has not begun."""
     steps = job.spec.steps
     parts = (
-        as_work(step.resources).scale(step.task_count * times.estimate_s(job.spec.queue, step))
+        as_vector(step.resources).scale(step.task_count * times.estimate_s(job.spec.queue, step))
         for step in steps
     )
-    return sum(parts, start=Work())
+    return sum(parts, start=ResourceVector())
 
 
 def iter_forecasts(
@@ -73,7 +73,7 @@
             ran_s = _get_longest_run_s(job, occurrence, number, now_s)
             takes_s = max(OVERDUE_S, takes_s - ran_s)
         ends_s.append(begins_s + takes_s)
-        yield StepForecast(begins_s, ends_s[-1], as_work(step.resources).scale(open_count))
+        yield StepForecast(begins_s, ends_s[-1], as_vector(step.resources).scale(open_count))
 
 
 def _get_longest_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
--- a/src/robinthread/_internal/jobs/work.py
+++ b/src/robinthread/_internal/jobs/resource_vector.py
@@ -6,23 +6,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class ResourceVector:
     """Room as real numbers, or room times seconds: thousandths of a core, MB, accelerators."""
 
     cpu: float = 0.0
     memory: float = 0.0
     gpu: float = 0.0
 
-    def __add__(self, other: "Work") -> "Work":
-        return Work(self.cpu + other.cpu, self.memory + other.memory, self.gpu + other.gpu)
+    def __add__(self, other: "ResourceVector") -> "ResourceVector":
+        return ResourceVector(
+            self.cpu + other.cpu, self.memory + other.memory, self.gpu + other.gpu
+        )
 
-    def scale(self, factor: float) -> "Work":
+    def scale(self, factor: float) -> "ResourceVector":
         """Return the work times a factor."""
-        return Work(self.cpu * factor, self.memory * factor, self.gpu * factor)
+        return ResourceVector(self.cpu * factor, self.memory * factor, self.gpu * factor)
 
-    def max(self, other: "Work") -> "Work":
+    def max(self, other: "ResourceVector") -> "ResourceVector":
         """Return the greater of each kind."""
-        return Work(
+        return ResourceVector(
             max(self.cpu, other.cpu), max(self.memory, other.memory), max(self.gpu, other.gpu)
         )
 
@@ -31,9 +33,9 @@
         return Resources(round(self.cpu), round(self.memory), round(self.gpu))
 
 
-NO_WORK = Work()
+ZERO_VECTOR = ResourceVector()
 
 
-def as_work(room: Resources) -> Work:
+def as_vector(room: Resources) -> ResourceVector:
     """Return a room as real numbers."""
-    return Work(room.cpu_millicores, room.memory_mb, room.gpu_count)
+    return ResourceVector(room.cpu_millicores, room.memory_mb, room.gpu_count)
