--- a/src/robinthread/_internal/jobs/room_keeping.py
+++ b/src/robinthread/_internal/jobs/capacity_reservation.py
@@ -13,9 +13,9 @@
 from robinthread._internal.jobs.gangs import choose_gang_hosts, get_waiting_gang
 from robinthread._internal.jobs.host import Host
 from robinthread._internal.jobs.placement import (
-    get_room_to_come,
+    allows_another_run,
+    get_future_capacity,
     get_usable_hosts,
-    may_carry_another,
     may_run,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
@@ -34,7 +34,7 @@
 KEPT_AHEAD_SHARE: Final = 0.5
 
 
-class RoomKeeper:
+class CapacityReserver:
     """The hosts that are kept for lasting tasks, in one look at all waiting tasks.
 
     A task keeps the one that lacks least, of equal ones the one that it kept before.  A gang
@@ -46,7 +46,7 @@
         self._now_s = now_s
         self._ran_until_max_s = now_s - OVERDUE_S
         self._rooms: dict[str, Resources] = {}
-        self._last_kept, pool.kept_hosts = pool.kept_hosts, {}
+        self._last_kept, pool.reserved_host_ids = pool.reserved_host_ids, {}
         self._in_vain: set[StepKey] = set()
         self.kept: set[str] = set()
 
@@ -70,7 +70,7 @@
         kept_max = max(1, int(KEPT_AHEAD_SHARE * len(usable)))
         return takewhile(lambda _task: len(self.kept) < kept_max, overdue)
 
-    def keep_for(self, task: Task, hosts: list[Host]) -> None:
+    def reserve_for(self, task: Task, hosts: list[Host]) -> None:
         """Take the host off ``hosts`` to which nothing is to go until the task fits there.
 
         A task that ends is not kept room for: others like it will end.
@@ -83,7 +83,7 @@
             for host in hosts
             if task.resources.fits_in(self._get_room_to_come(host))
             and may_run(self._pool, job, task, host, self._now_s)
-            and may_carry_another(task, host)
+            and allows_another_run(task, host)
         )
         last_id = self._last_kept.get(task.key)
         host = min(
@@ -96,7 +96,7 @@
         self._keep(task, host)
         hosts.remove(host)
 
-    def keep_for_gang(self, task: Task) -> None:
+    def reserve_for_gang(self, task: Task) -> None:
         """Keep the hosts to which nothing is to go until a task's overdue gang fits there.
 
         It begins whole or not at all, so it may keep more than the share that is kept ahead.
@@ -119,14 +119,14 @@
         return task.step.is_lasting and self._pool.policy.keeps_room_for_lasting
 
     def _keep(self, task: Task, host: Host) -> None:
-        self._pool.kept_hosts[task.key] = host.id
+        self._pool.reserved_host_ids[task.key] = host.id
         self.kept.add(host.id)
 
     def _get_room_to_come(self, host: Host) -> Resources:
         """Return the room that a host has once all that ends by itself has ended."""
         room = self._rooms.get(host.id)
         if room is None:
-            room = self._rooms[host.id] = get_room_to_come(self._pool, host)
+            room = self._rooms[host.id] = get_future_capacity(self._pool, host)
         return room
 
 
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -29,7 +29,7 @@
         and not task.step.is_lasting
         and task.resources.fits_in(host.free)
         and host.id not in task.failed_host_ids
-        and may_carry_another(task, host)
+        and allows_another_run(task, host)
     )
 
 
@@ -41,7 +41,7 @@
         for host in hosts
         if task.resources.fits_in(host.free)
         and may_run(pool, job, task, host, now_s)
-        and may_carry_another(task, host)
+        and allows_another_run(task, host)
     )
 
 
@@ -83,7 +83,7 @@
     return pool.tickets.get(task.key.step_key, host.id, now_s) is not None
 
 
-def may_carry_another(task: Task, host: Host) -> bool:
+def allows_another_run(task: Task, host: Host) -> bool:
     """Tell whether a host may carry one more task of a step, and no copy of its own."""
     if any(run.host_id == host.id for run in task.runs):
         return False
@@ -91,7 +91,7 @@
     return not limit or count_step_runs(task, host) < limit
 
 
-def get_room_to_come(pool: PoolJobs, host: Host) -> Resources:
+def get_future_capacity(pool: PoolJobs, host: Host) -> Resources:
     """Return the room that a host has once all that ends by itself has ended."""
     ending = (run for run in host.runs.values() if not run.is_lasting)
     rooms = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -32,7 +32,7 @@
     """Jobs, hosts and the tasks that wait for a host.
 
     ``unrecorded`` are the jobs whose progress the store does not hold yet, and
-    ``to_stop`` the runs that must be told to stop.  ``kept_hosts`` are those that get no
+    ``to_stop`` the runs that must be told to stop.  ``reserved_host_ids`` are those that get no
     other work until a waiting task fits there.  Times in seconds are of the
     event loop's clock.  ``foreign_leases`` are those that earlier owners granted.  While
     ``are_rooms_known`` is False no host gets any work.
@@ -46,7 +46,7 @@
         self.waiting: dict[TaskKey, Task] = {}
         self.unrecorded: dict[str, Job] = {}
         self.to_stop: list[Run] = []
-        self.kept_hosts: dict[TaskKey, str] = {}
+        self.reserved_host_ids: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
         self.tickets = TicketBook()
         self.crash_book = CrashBook()
--- a/src/robinthread/_internal/jobs/scheduling.py
+++ b/src/robinthread/_internal/jobs/scheduling.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Collection, Iterator
 
+from robinthread._internal.jobs.capacity_reservation import CapacityReserver
 from robinthread._internal.jobs.gangs import place_gang
 from robinthread._internal.jobs.host import Host
 from robinthread._internal.jobs.placement import (
@@ -11,7 +12,6 @@
     stays_best,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
-from robinthread._internal.jobs.room_keeping import RoomKeeper
 from robinthread._internal.jobs.suspects import place_suspects
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.models.resources import Resources
@@ -42,23 +42,23 @@
         return placed
     last: tuple[Task, Host] | None = None
     without_host: set[StepKey] = set()
-    keeper = RoomKeeper(pool, now_s)
+    keeper = CapacityReserver(pool, now_s)
     for task in _iter_in_order(pool, keeper, usable, hosts, now_ms):
         if not hosts:
             break
-        if task.key not in pool.waiting or task.key in pool.kept_hosts:
+        if task.key not in pool.waiting or task.key in pool.reserved_host_ids:
             # It has been placed, with its gang or as overdue, or a host is kept for it.
             continue
         if pool.is_held(task) or not pool.may_begin(task):
             continue
         if task.key.step_key in without_host:
-            keeper.keep_for(task, hosts)
+            keeper.reserve_for(task, hosts)
             continue
         if task.step.is_gang:
             free = [host for host in usable if host.id not in keeper.kept]
             begun_count = place_gang(pool, task, free, now_s)
             if not begun_count:
-                keeper.keep_for_gang(task)
+                keeper.reserve_for_gang(task)
             placed += begun_count
             hosts[:] = [
                 host for host in hosts if smallest.fits_in(host.free) and host.id not in keeper.kept
@@ -72,7 +72,7 @@
         if host is None:
             if not task.runs:
                 without_host.add(task.key.step_key)
-                keeper.keep_for(task, hosts)
+                keeper.reserve_for(task, hosts)
             continue
         pool.place(task, host)
         placed += 1
@@ -83,7 +83,7 @@
 
 
 def _iter_in_order(
-    pool: PoolJobs, keeper: RoomKeeper, usable: list[Host], hosts: list[Host], now_ms: int
+    pool: PoolJobs, keeper: CapacityReserver, usable: list[Host], hosts: list[Host], now_ms: int
 ) -> Iterator[Task]:
     """Iterate over the overdue tasks, then over all in their usual order while hosts are left.
 
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -24,10 +24,10 @@
 from robinthread._internal.jobs.gangs import choose_gang_hosts, get_waiting_gang, place_gang
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.placement import (
-    get_room_to_come,
+    allows_another_run,
+    get_future_capacity,
     get_usable_hosts,
     iter_fitting,
-    may_carry_another,
     may_run,
     sort_tasks,
 )
@@ -136,7 +136,7 @@
     members = get_waiting_gang(pool, task)
     job = pool.jobs[task.key.job_id]
     chosen = members and choose_gang_hosts(
-        pool, job, members, usable, now_s, partial(get_room_to_come, pool)
+        pool, job, members, usable, now_s, partial(get_future_capacity, pool)
     )
     return Trial(task.key, frozenset(host.id for host in chosen), is_alone) if chosen else None
 
@@ -150,9 +150,9 @@
     fitting = (
         host
         for host in usable
-        if task.resources.fits_in(get_room_to_come(pool, host))
+        if task.resources.fits_in(get_future_capacity(pool, host))
         and may_run(pool, job, task, host, now_s)
-        and may_carry_another(task, host)
+        and allows_another_run(task, host)
     )
     return min(
         fitting,
--- a/tests/unit/test_kept_hosts.py
+++ b/tests/unit/test_capacity_reservation.py
@@ -38,7 +38,7 @@
 
     def _check(self, step: StepSpec) -> None:
         job = self._add(step)
-        self.assertEqual(["h0"], list(self.pool.kept_hosts.values()))
+        self.assertEqual(["h0"], list(self.pool.reserved_host_ids.values()))
         self.assertEqual([], list(job.iter_running()))
         (task,) = self.ending.iter_running()
         self.pool.end_run(task.runs[0], RunEnd.DONE, "", 0)
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
+from robinthread._internal.jobs.capacity_reservation import OVERDUE_S
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import decode_progress, encode_progress
-from robinthread._internal.jobs.room_keeping import OVERDUE_S
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.scheduling import place_waiting
 from robinthread._internal.jobs.task import Task
@@ -131,7 +131,7 @@
         fill(pool)
         end_one_on_each(pool)
         self.assertEqual(2, place(pool, OVERDUE_AT_S + 10))
-        self.assertEqual({task.key for task in tasks[:2]}, pool.kept_hosts.keys())
+        self.assertEqual({task.key for task in tasks[:2]}, pool.reserved_host_ids.keys())
 
     def test_task_that_fits_nowhere_takes_no_turn_of_another(self) -> None:
         pool = make_pool(2)
@@ -141,7 +141,7 @@
         fill(pool)
         end_one_on_each(pool)
         self.assertEqual(1, place(pool, OVERDUE_AT_S + 10))
-        self.assertEqual({other.key}, pool.kept_hosts.keys())
+        self.assertEqual({other.key}, pool.reserved_host_ids.keys())
 
     def test_next_owner_takes_a_task_without_run_for_overdue(self) -> None:
         before = make_pool(1)
@@ -154,7 +154,7 @@
         pool.open_due(pool.add_job(job.spec, LESS, 1, 0.0, progress), 1_000)
         end_one_on_each(pool)
         self.assertEqual(0, place(pool, HEARD_AT_S))
-        self.assertEqual({lasting.key}, pool.kept_hosts.keys())
+        self.assertEqual({lasting.key}, pool.reserved_host_ids.keys())
 
     def test_overdue_gang_keeps_a_host_for_each_member_that_fits_on_none_together(self) -> None:
         pool = make_pool(3)
@@ -166,7 +166,7 @@
         for _ in range(2):
             end_one_on_each(pool)
             self.assertEqual(1, place(pool, OVERDUE_AT_S + 1))
-            self.assertEqual({task.key for task in gang}, pool.kept_hosts.keys())
+            self.assertEqual({task.key for task in gang}, pool.reserved_host_ids.keys())
         end_one_on_each(pool)
         self.assertEqual(3, place(pool, OVERDUE_AT_S + 1))
         self.assertEqual([1, 1], [len(task.runs) for task in gang])
@@ -188,4 +188,4 @@
         self.assertEqual(5, place(pool, HEARD_AT_S))
         end_one_on_each(pool)
         self.assertEqual(2, place(pool, 10 * OVERDUE_AT_S))
-        self.assertEqual({}, pool.kept_hosts)
+        self.assertEqual({}, pool.reserved_host_ids)
