--- a/bench/job_slopes.py
+++ b/bench/job_slopes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from robinthread._internal.durable.inbox_records import make_job_record
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import encode_progress
@@ -62,7 +62,7 @@
     with _timed("place a task", task_count):
         placed = place_waiting(pool, 0.0, 0)
     with _timed("read a pool's demand", 1):
-        DemandMeter(1.8, DemandPolicy()).read(pool, 0.5, 0)
+        DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.5, 0)
     with _timed("look for stragglers", 1):
         find_stragglers(pool)
     with _timed("encode a job's progress", job_count):
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from bench.result import BenchResult
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.scheduling import place_waiting
@@ -61,7 +61,7 @@
     place_waiting(pool, 0.0, 0)
     _add_jobs(pool, waiting, step)
     with _counted_looks() as looks:
-        DemandMeter(1.8, DemandPolicy()).read(pool, 0.0, 0)
+        DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
     return sum(looks)
 
 
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -62,7 +62,7 @@
 
     Rooms are thousandths of a core, MB and accelerators.  ``hosts_min`` hosts are
     needed for tasks that may not share one.  ``lasting_resources`` is the part of the room that
-    lasting tasks take.  ``apart_count`` hosts that carry none are needed by tasks that end.
+    lasting tasks take.  ``separate_host_count`` hosts that carry none are needed by tasks that end.
     ``urgent_resources`` is the room to keep without jobs that can no longer be on time; an older
     process does not tell.  ``share_state`` are the shares in force once the question was taken
     in, and ``workspaces`` those whose use the steward must know.
@@ -74,7 +74,7 @@
     hosts: tuple[HostStanding, ...] = ()
     hosts_min: int = 0
     lasting_resources: tuple[int, int, int] = (0, 0, 0)
-    apart_count: int = 0
+    separate_host_count: int = 0
     lacks: tuple[LackReport, ...] = ()
     urgent_resources: tuple[int, int, int] | None = None
     share_state: ShareState | None = None
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -81,8 +81,8 @@
 def _count_apart(report: PoolReport, room: Resources) -> int:
     """Return how many hosts are needed for lasting tasks, and beside these for wide ones."""
     lack_count = sum(lack.count for lack in report.lacks)
-    apart_count = report.apart_count + lack_count - _count_lasting_lack(report)
-    return _count_lasting(report, room) + apart_count
+    separate_host_count = report.separate_host_count + lack_count - _count_lasting_lack(report)
+    return _count_lasting(report, room) + separate_host_count
 
 
 def _count_lasting(report: PoolReport, room: Resources) -> int:
--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -7,6 +7,11 @@
 from functools import reduce
 from typing import Final
 
+from robinthread._internal.jobs.host_requirements import (
+    HostRequirements,
+    StepDemand,
+    find_host_requirements,
+)
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.job_timing import (
     StepForecast,
@@ -17,7 +22,6 @@
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.resource_vector import ZERO_VECTOR, ResourceVector, as_vector
-from robinthread._internal.jobs.room_need import RoomNeed, StepNeed, find_room_need
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.waiting_steps import WaitingStep, list_waiting_steps
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
@@ -47,7 +51,7 @@
 
     Of the latter, ``urgent`` is without jobs that can no longer be on time.  Whatever the room,
     ``hosts_min`` hosts are needed for tasks that may not share one.  ``lasting`` is the part of
-    the room that lasting tasks take.  ``on_hosts`` tells what is needed for tasks that do not
+    the room that lasting tasks take.  ``host_requirements`` are those of tasks that do not
     fit on every host.
     """
 
@@ -56,10 +60,10 @@
     urgent: Resources
     hosts_min: int
     lasting: Resources
-    on_hosts: RoomNeed
+    host_requirements: HostRequirements
 
 
-class DemandMeter:
+class DemandForecaster:
     """Forecasts a pool's need from the jobs it has and those that should arrive.
 
     ``lead_s`` is how long a host takes from being asked for to its first task.
@@ -72,7 +76,7 @@
         self._mean_work: ResourceVector | None = None
         self._mean_chain_s = 0.0
 
-    def note_job(self, job: Job, times: RunTimes, now_s: float) -> None:
+    def record_job(self, job: Job, times: RunTimes, now_s: float) -> None:
         """Note a job that was handed in."""
         if job.spec.is_lasting or job.spec.is_timed:
             return
@@ -83,7 +87,7 @@
         self._mean_chain_s += WORK_WEIGHT * (chain_s - self._mean_chain_s)
         self._arrivals_s.append(now_s)
 
-    def read(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
+    def forecast(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
         """Return what the pool's tasks need."""
         late = _find_late(pool, now_ms)
         lasting = _sum_lasting(pool)
@@ -110,7 +114,7 @@
             (urgent + lasting).round(),
             _count_hosts_for_lasting(pool),
             lasting.round(),
-            find_room_need(pool, needs, now_s) if needs else RoomNeed(),
+            find_host_requirements(pool, needs, now_s) if needs else HostRequirements(),
         )
 
     def _get_rooms(
@@ -149,17 +153,17 @@
                 found += iter_forecasts(job, occurrence, pool.run_times, now_s)
         return in_time, too_late
 
-    def _get_need(self, pool: PoolJobs, step: WaitingStep, late: frozenset[Place]) -> StepNeed:
+    def _get_need(self, pool: PoolJobs, step: WaitingStep, late: frozenset[Place]) -> StepDemand:
         """Return how many tasks of a step should run at a time for all to begin in time."""
         count = step.task_count - step.copy_count
         if step.spec.is_lasting:
-            return StepNeed(step, count)
+            return StepDemand(step, count)
         if step.spec.is_gang:
             # It begins whole or not at all, however late it is.
-            return StepNeed(step, count)
+            return StepDemand(step, count)
         takes_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
         share = self._get_share((step.job.id, step.occurrence), late)
-        return StepNeed(step, share * count * min(1.0, takes_s / DRAIN_S))
+        return StepDemand(step, share * count * min(1.0, takes_s / DRAIN_S))
 
     def _get_share(self, place: Place, late: frozenset[Place]) -> float:
         """Return the share of an occurrence's room for which to ask for hosts."""
--- a/src/robinthread/_internal/jobs/room_need.py
+++ b/src/robinthread/_internal/jobs/host_requirements.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StepNeed:
+class StepDemand:
     """A step of which tasks wait, and how many should run at a time."""
 
     waiting: WaitingStep
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoomNeed:
+class HostRequirements:
     """The pool's hosts that tasks wait for which do not fit on all, and hosts it lacks.
 
-    ``apart_count`` of the hosts are needed by tasks that end and carry no lasting ones.
+    ``separate_host_count`` of the hosts are needed by tasks that end and carry no lasting ones.
     """
 
     host_ids: frozenset[str] = frozenset()
-    apart_count: int = 0
+    separate_host_count: int = 0
     missing: tuple[MissingHosts, ...] = ()
 
 
@@ -81,7 +81,9 @@
     resources: Resources = field(default=NO_RESOURCES)
 
 
-def find_room_need(pool: PoolJobs, needs: Iterable[StepNeed], now_s: float) -> RoomNeed:
+def find_host_requirements(
+    pool: PoolJobs, needs: Iterable[StepDemand], now_s: float
+) -> HostRequirements:
     """Return the hosts for tasks that do not fit on every host.
 
     What ends leaves its room to others: a host that is full now counts by what it has
@@ -91,11 +93,11 @@
     hosts = [*get_willing_hosts(pool, now_s), *_list_awaited(pool, now_s)]
     serving = [host for host in hosts if not host.is_vacating(now_s)]
     if not serving:
-        return RoomNeed()
+        return HostRequirements()
     common = reduce(Resources.min, (host.capacity_beside_lasting for host in serving))
     narrow = [need for need in needs if not _fits_everywhere(need.spec, common)]
     if not narrow:
-        return RoomNeed()
+        return HostRequirements()
     largest = max((host.record.capacity for host in hosts), key=lambda room: room.cpu_millicores)
     narrow.sort(key=lambda need: _get_width(need.spec, largest), reverse=True)
     spaces = [_Space(host) for host in sorted(hosts, key=lambda host: _get_order(host, now_s))]
@@ -111,8 +113,12 @@
         for (label, is_lasting), lack in lacks.items()
     )
     needed = [space for space in spaces if space.is_needed]
-    apart_count = sum(space.share < 1.0 and not space.host.lasting_count for space in needed)
-    return RoomNeed(frozenset(space.host.id for space in needed), apart_count, tuple(missing))
+    separate_host_count = sum(
+        space.share < 1.0 and not space.host.lasting_count for space in needed
+    )
+    return HostRequirements(
+        frozenset(space.host.id for space in needed), separate_host_count, tuple(missing)
+    )
 
 
 def _list_awaited(pool: PoolJobs, now_s: float) -> list[Host]:
@@ -140,7 +146,7 @@
     return (False, -host.lasting_count, -len(host.runs), host.id)
 
 
-def _fill(need: StepNeed, spaces: Sequence[_Space]) -> float:
+def _fill(need: StepDemand, spaces: Sequence[_Space]) -> float:
     """Give a step's tasks room, and note where; return how many are left."""
     step, room, left = need.spec, need.spec.resources, need.parallel
     counts = _count_lasting_runs(need.waiting)
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -9,7 +9,7 @@
 from robinthread._internal.durable.store import Partition
 from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
 from robinthread._internal.fleet.share_dealing import get_kept_share
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress
@@ -88,7 +88,7 @@
         self._advice_taker = AdviceTaker(self._runtime, context.advice)
         self._retention = Retention(self._runtime, self._journal)
         self._hosts = PoolHosts(self._runtime, self._recorder, self._orders)
-        self._demand = DemandMeter(
+        self._demand = DemandForecaster(
             context.settings.bounds.machine_move_s + HOST_START_S, context.policy.demand
         )
         self._progress_count = 0
@@ -188,7 +188,7 @@
         self._take_limits()
         share_state = self.jobs.workspaces.take_order(question.shares)
         self._runtime.wake()
-        demand = self._demand.read(self.jobs, now_s, self._context.get_wall_ms())
+        demand = self._demand.forecast(self.jobs, now_s, self._context.get_wall_ms())
         return make_pool_report(self.jobs, demand, now_s, share_state)
 
     def _take_limits(self) -> None:
@@ -250,7 +250,7 @@
         ranks = self._context.policy.workspaces.ranks_beyond_share
         job.is_beyond_share = ranks and indexed.is_beyond_share
         if progress is None:
-            self._demand.note_job(job, self.jobs.run_times, get_loop_s())
+            self._demand.record_job(job, self.jobs.run_times, get_loop_s())
         if job.status.is_final:
             for task in list(job.iter_running()):
                 for run in list(task.runs):
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -26,7 +26,7 @@
 ) -> PoolReport:
     """Tell how a pool stands, and which of its listed hosts can be used."""
     doubted = list_doubted(pool, now_s)
-    needed = demand.on_hosts.host_ids
+    needed = demand.host_requirements.host_ids
     return PoolReport(
         is_owner=True,
         fetch_resources=demand.fetch.astuple(),
@@ -38,12 +38,12 @@
         ),
         hosts_min=demand.hosts_min,
         lasting_resources=demand.lasting.astuple(),
-        apart_count=demand.on_hosts.apart_count,
+        separate_host_count=demand.host_requirements.separate_host_count,
         lacks=tuple(
             LackReport(
                 missing.count, missing.resources.astuple(), missing.label, missing.is_lasting
             )
-            for missing in demand.on_hosts.missing
+            for missing in demand.host_requirements.missing
         ),
         urgent_resources=demand.urgent.astuple(),
         share_state=share_state,
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.queue_policy import QueuePolicy
@@ -19,7 +19,7 @@
     spec = JobSpec("0" * 16, "queue", "pool", "", (STEP,), accepted_at_ms=1_000)
     job = jobs.add_job(spec, POLICY, 0, 0.0)
     jobs.open_due(job, 1_000)
-    demand = DemandMeter(LEAD_S, policy).read(jobs, 0.0, 1_000 + waited_ms)
+    demand = DemandForecaster(LEAD_S, policy).forecast(jobs, 0.0, 1_000 + waited_ms)
     return demand.fetch.cpu_millicores / 1000
 
 
--- a/tests/unit/test_fleet_planner.py
+++ b/tests/unit/test_fleet_planner.py
@@ -82,8 +82,10 @@
         )
         for host in pool.report.hosts
     )
-    apart_count = len(set(needed) - set(lasting))
-    report = msgspec.structs.replace(pool.report, hosts=hosts, apart_count=apart_count)
+    separate_host_count = len(set(needed) - set(lasting))
+    report = msgspec.structs.replace(
+        pool.report, hosts=hosts, separate_host_count=separate_host_count
+    )
     return replace(pool, report=report)
 
 
--- a/tests/unit/test_room_need.py
+++ b/tests/unit/test_host_requirements.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.demand import Demand, DemandMeter
+from robinthread._internal.jobs.demand import Demand, DemandForecaster
 from robinthread._internal.jobs.host import HostContact
+from robinthread._internal.jobs.host_requirements import HostRequirements, MissingHosts
 from robinthread._internal.jobs.pool_jobs import PoolJobs
-from robinthread._internal.jobs.room_need import MissingHosts, RoomNeed
 from robinthread._internal.jobs.scheduling import place_waiting
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.queue_policy import QueuePolicy
@@ -42,7 +42,7 @@
 
 def read(pool: PoolJobs) -> Demand:
     """Return what the pool's tasks need now."""
-    return DemandMeter(1.8, DemandPolicy()).read(pool, 0.0, 0)
+    return DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
 
 
 def vacate(pool: PoolJobs, host_id: str) -> None:
@@ -54,14 +54,14 @@
     def test_nothing_is_needed_where_nothing_waits(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
-        self.assertEqual(RoomNeed(), read(pool).on_hosts)
+        self.assertEqual(HostRequirements(), read(pool).host_requirements)
 
     def test_tasks_that_fit_on_each_host_are_left_to_the_sum(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, StepSpec(400, cpu_millicores=10_000, estimate_ms=1_000))
         self.assertEqual(397, len(pool.waiting))
-        self.assertEqual(RoomNeed(), read(pool).on_hosts)
+        self.assertEqual(HostRequirements(), read(pool).host_requirements)
 
     def test_copies_ask_for_no_host(self) -> None:
         pool = make_pool(1)
@@ -69,7 +69,7 @@
         (task,) = next(iter(pool.jobs.values())).tasks.values()
         pool.ask_for_copy(task)
         self.assertEqual(1, len(pool.waiting))
-        self.assertEqual(RoomNeed(), read(pool).on_hosts)
+        self.assertEqual(HostRequirements(), read(pool).host_requirements)
 
 
 class WideTaskTest(TestCase):
@@ -79,13 +79,13 @@
         add_job(pool, WIDE)
         # Four tasks of a second, to begin within two: two at a time.
         missing = MissingHosts(2, Resources(13_000, 1_000), "", False)
-        self.assertEqual(RoomNeed(missing=(missing,)), read(pool).on_hosts)
+        self.assertEqual(HostRequirements(missing=(missing,)), read(pool).host_requirements)
 
     def test_a_late_job_asks_for_one_host_at_least(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, WIDE, accepted_at_ms=-60_000)
-        (missing,) = read(pool).on_hosts.missing
+        (missing,) = read(pool).host_requirements.missing
         self.assertEqual(1, missing.count)
 
     def test_host_that_is_full_for_a_while_is_room(self) -> None:
@@ -96,7 +96,9 @@
         self.assertEqual(1, len(bare.runs))
         # Three are left, of which one and a half should run at a time.
         missing = MissingHosts(1, Resources(13_000, 1_000), "", False)
-        self.assertEqual(RoomNeed(frozenset({bare.id}), 1, (missing,)), read(pool).on_hosts)
+        self.assertEqual(
+            HostRequirements(frozenset({bare.id}), 1, (missing,)), read(pool).host_requirements
+        )
 
     def test_host_that_is_being_emptied_is_needed_only_where_no_other_fits(self) -> None:
         pool = make_pool(5)
@@ -105,11 +107,11 @@
         for host_id in bare:
             vacate(pool, host_id)
         add_job(pool, StepSpec(1, cpu_millicores=13_000, estimate_ms=1_000))
-        need = read(pool).on_hosts
+        need = read(pool).host_requirements
         self.assertEqual(1, len(need.host_ids & set(bare)))
         self.assertEqual((), need.missing)
         pool.hosts[bare[0]].vacating_until_s = 0.0
-        self.assertEqual(frozenset({bare[0]}), read(pool).on_hosts.host_ids)
+        self.assertEqual(frozenset({bare[0]}), read(pool).host_requirements.host_ids)
 
     def test_lasting_tasks_each_take_their_room(self) -> None:
         pool = make_pool()
@@ -117,14 +119,14 @@
         wide = StepSpec(3, cpu_millicores=1_000, memory_mb=20_000, is_lasting=True)
         add_job(pool, wide, wide, wide)
         # Three found room beside the others; each of the rest fills a host.
-        (missing,) = read(pool).on_hosts.missing
+        (missing,) = read(pool).host_requirements.missing
         self.assertEqual(6, missing.count)
 
     def test_gang_needs_all_its_hosts_at_once(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, StepSpec(4, cpu_millicores=13_000, estimate_ms=500, is_gang=True))
-        (missing,) = read(pool).on_hosts.missing
+        (missing,) = read(pool).host_requirements.missing
         self.assertEqual(4, missing.count)
 
 
@@ -135,7 +137,7 @@
             pool, StepSpec(3, cpu_millicores=1_000, memory_mb=1, is_lasting=True, per_host_max=1)
         )
         self.assertEqual(
-            (MissingHosts(1, Resources(1_000, 1), "", True),), read(pool).on_hosts.missing
+            (MissingHosts(1, Resources(1_000, 1), "", True),), read(pool).host_requirements.missing
         )
 
     def test_host_without_the_label_is_no_room(self) -> None:
@@ -144,14 +146,14 @@
         add_job(pool, lasting)
         add_job(pool, StepSpec(1, cpu_millicores=8_000, required_label="r1"))
         self.assertEqual(
-            (MissingHosts(1, Resources(8_000), "r1", False),), read(pool).on_hosts.missing
+            (MissingHosts(1, Resources(8_000), "r1", False),), read(pool).host_requirements.missing
         )
-        self.assertEqual(frozenset(), read(pool).on_hosts.host_ids)
+        self.assertEqual(frozenset(), read(pool).host_requirements.host_ids)
 
     def test_host_that_has_the_label_is_needed(self) -> None:
         pool = make_pool(2)
         add_job(pool, StepSpec(20, cpu_millicores=16_000, required_label="r1", estimate_ms=1_000))
-        self.assertEqual(frozenset({"h1"}), read(pool).on_hosts.host_ids)
+        self.assertEqual(frozenset({"h1"}), read(pool).host_requirements.host_ids)
 
 
 class AwaitedHostTest(TestCase):
@@ -168,10 +170,10 @@
 
     def test_it_counts_by_its_room(self) -> None:
         step = StepSpec(3, cpu_millicores=13_000, memory_mb=1_000, is_lasting=True, per_host_max=1)
-        need = self._read(step, leaves_runs=False).on_hosts
+        need = self._read(step, leaves_runs=False).host_requirements
         self.assertEqual(((), {"h2"}), (need.missing, need.host_ids))
 
     def test_it_does_not_count_by_room_that_its_lasting_tasks_take(self) -> None:
         step = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000, is_lasting=True)
-        (missing,) = self._read(step, leaves_runs=True).on_hosts.missing
+        (missing,) = self._read(step, leaves_runs=True).host_requirements.missing
         self.assertEqual(MissingHosts(1, step.resources, "", True), missing)
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_errors import (
     HostNoAnswerError,
@@ -93,7 +93,7 @@
         pool = PoolJobs()
         record = UpstreamHost("h1", "m1", "", "", "", "", NO_RESOURCES, frozenset())
         pool.add_host(record).awaited_until_s = 3.0
-        demand = DemandMeter(1.8, DemandPolicy()).read(pool, 0.0, 0)
+        demand = DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
         for now_s, expected in ((0.0, True), (3.0, False)):
             (standing,) = make_pool_report(pool, demand, now_s).hosts
             self.assertEqual((False, expected), (standing.is_usable, standing.is_awaited))
