--- a/src/robinthread/_internal/dispatch/host_choice.py
+++ b/src/robinthread/_internal/dispatch/host_choice.py
@@ -51,13 +51,13 @@
         return sum(
             slots.limit - slots.in_use
             for slots in self._hosts.values()
-            if slots.has_room() and not slots.health.is_suspended(now_s)
+            if slots.has_capacity() and not slots.health.is_suspended(now_s)
         )
 
     def pick(self, ask: SlotAsk) -> HostSlots | None:
         """Return the best host for an ask, one that it does not avoid if there is one."""
         now_s = asyncio.get_running_loop().time()
-        roomy = [slots for slots in self._hosts.values() if slots.has_room()]
+        roomy = [slots for slots in self._hosts.values() if slots.has_capacity()]
         fit = [slots for slots in roomy if self._is_fit(slots, ask, now_s)]
         avoided = [slots for slots in fit if slots.host.name not in ask.avoid]
         return min(avoided or fit, key=self._get_preference, default=None)
--- a/src/robinthread/_internal/dispatch/host_slots.py
+++ b/src/robinthread/_internal/dispatch/host_slots.py
@@ -35,7 +35,7 @@
         """Return the slots that may be taken at once."""
         return min(self.host.slots, self.host.connections)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Tell whether a slot is free and the host may get new work."""
         return self.is_counted and self.host.is_serving and self.in_use < self.limit
 
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -15,7 +15,7 @@
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.jobs.tickets import TicketBook
-from robinthread._internal.jobs.workspace_room import WorkspaceRoom
+from robinthread._internal.jobs.workspace_limiter import WorkspaceLimiter
 from robinthread._internal.models.host_report import RunEnd
 from robinthread._internal.models.job_spec import JobSpec
 from robinthread._internal.models.job_status import JobStatus
@@ -51,7 +51,7 @@
         self.tickets = TicketBook()
         self.crash_book = CrashBook()
         self.late_starts = LateStarts()
-        self.workspaces = WorkspaceRoom()
+        self.workspaces = WorkspaceLimiter()
         self.are_rooms_known = True
 
     def add_job(
@@ -81,7 +81,7 @@
                 run.is_resumed = run.is_inherited = True
                 run.settled_at_s = now_s
                 self._get_host(run.host_id).add_run(run, task.step.resources)
-                self.workspaces.note_begun(spec.workspace, task.step.claim)
+                self.workspaces.record_start(spec.workspace, task.step.claim)
         self.crash_book.resume_trials(job)
         return job
 
@@ -106,7 +106,7 @@
         run = task.add_run(host.id, number)
         host.add_run(run, task.resources)
         job = self.jobs[task.key.job_id]
-        self.workspaces.note_begun(job.spec.workspace, task.step.claim)
+        self.workspaces.record_start(job.spec.workspace, task.step.claim)
         self._mark(job)
         return run
 
@@ -118,9 +118,9 @@
             return True
         if task.step.is_gang:
             claim = claim.scale(task.step.task_count)
-        if self.workspaces.has_room(workspace, claim):
+        if self.workspaces.has_capacity(workspace, claim):
             return True
-        self.workspaces.hold_back(workspace, claim)
+        self.workspaces.record_held_back(workspace, claim)
         return False
 
     def ask_for_copy(self, task: Task) -> None:
@@ -139,7 +139,7 @@
 
         A workspace whose limit has fallen keeps what it runs, and begins nothing.
         """
-        return self.workspaces.has_room(self.jobs[task.key.job_id].spec.workspace, NO_RESOURCES)
+        return self.workspaces.has_capacity(self.jobs[task.key.job_id].spec.workspace, NO_RESOURCES)
 
     def has_silent_runs(self) -> bool:
         """Tell whether there are runs on hosts that do not answer."""
@@ -285,7 +285,7 @@
         run.phase = RunPhase.OVER
         task.runs.remove(run)
         self.hosts[run.host_id].remove_run(run, task.step.resources)
-        self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
+        self.workspaces.record_end(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
         if self.crash_book.trials.is_run_of(task.counted_key, run.number):
             self.crash_book.trials.drop(task.counted_key)
         return True
--- a/src/robinthread/_internal/jobs/workspace_room.py
+++ b/src/robinthread/_internal/jobs/workspace_limiter.py
@@ -17,12 +17,12 @@
 ROUNDING: Final = 1e-9
 
 
-class WorkspaceRoom:
+class WorkspaceLimiter:
     """Room that workspaces' runs take in a pool, and the share of its limit that each may take.
 
     All that may be running counts: what was recorded before it was sent, also by earlier
     owners, until its end is known.  ``held_back`` are the workspaces whose tasks would have
-    begun in the last look, with what the first of them takes.  ``untold_share`` may be used
+    begun in the last look, with what the first of them takes.  ``default_share`` may be used
     where no steward has told any share.
     """
 
@@ -32,19 +32,19 @@
         self._fell_in: Mapping[str, int] = {}
         self._state = ShareState()
         self.held_back: dict[str, Resources] = {}
-        self.untold_share = 0.0
+        self.default_share = 0.0
 
     def set_limits(self, config: FleetConfig, fell_in: Mapping[str, int]) -> None:
         """Take the limits in force, and the versions in which limits last fell."""
         self._fell_in = fell_in
         self._limits = config.limits
 
-    def note_begun(self, workspace: str, room: Resources) -> None:
+    def record_start(self, workspace: str, room: Resources) -> None:
         """Note that a run may begin from now on."""
         if workspace:
             self._used[workspace] = self.get_used(workspace) + room
 
-    def note_over(self, workspace: str, room: Resources) -> None:
+    def record_end(self, workspace: str, room: Resources) -> None:
         """Note that a run has surely ended, or never began and never will."""
         if workspace:
             self._used[workspace] = self.get_used(workspace) - room
@@ -64,12 +64,12 @@
         """
         table = self._state.table
         if table is None:
-            return 0.0 if workspace in self._fell_in else self.untold_share
+            return 0.0 if workspace in self._fell_in else self.default_share
         if table.config_version < self._fell_in.get(workspace, 0):
             return 0.0
         return table.get(workspace)
 
-    def has_room(self, workspace: str, room: Resources) -> bool:
+    def has_capacity(self, workspace: str, room: Resources) -> bool:
         """Tell whether a workspace may begin what takes so much room."""
         limit = self._limits.get(workspace)
         if limit is None:
@@ -78,11 +78,11 @@
             workspace
         ) + ROUNDING
 
-    def hold_back(self, workspace: str, room: Resources) -> None:
+    def record_held_back(self, workspace: str, room: Resources) -> None:
         """Note that something is not begun for want of a share."""
         self.held_back.setdefault(workspace, room)
 
-    def take_order(self, order: ShareOrder | None) -> ShareState:
+    def apply_order(self, order: ShareOrder | None) -> ShareState:
         """Take shares from the steward; return those in force.
 
         None of an earlier steward counts once a later one was heard, nor any that was
@@ -96,7 +96,7 @@
             self._state = ShareState(order.token, order.number, table)
         return self._state
 
-    def list_standings(self, waiting: Mapping[str, Resources]) -> tuple[WorkspaceStanding, ...]:
+    def list_usage(self, waiting: Mapping[str, Resources]) -> tuple[WorkspaceStanding, ...]:
         """Tell of the workspaces that are near their share or whose share is a set one.
 
         ``waiting`` is what the tasks that wait would take, by workspace.
@@ -108,10 +108,10 @@
                 waiting.get(name, NO_RESOURCES).astuple(),
                 self.held_back.get(name, NO_RESOURCES).astuple(),
             )
-            for name in self.list_told()
+            for name in self.list_reported()
         )
 
-    def list_parts(self) -> dict[str, float]:
+    def get_used_fractions(self) -> dict[str, float]:
         """Return which part of its limit each workspace that has one takes here."""
         return {
             name: self._used[name].get_part_of(limit)
@@ -119,7 +119,7 @@
             if name in self._used
         }
 
-    def list_told(self) -> Collection[str]:
+    def list_reported(self) -> Collection[str]:
         """List the workspaces that the steward must hear of."""
         table = self._state.table
         named = set(self.held_back) if table is None else {*self.held_back, *table.shares}
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -186,7 +186,7 @@
             self._context.expect_hosts()
         self._hosts.end_lost(question.ended)
         self._take_limits()
-        share_state = self.jobs.workspaces.take_order(question.shares)
+        share_state = self.jobs.workspaces.apply_order(question.shares)
         self._runtime.wake()
         demand = self._demand.forecast(self.jobs, now_s, self._context.get_wall_ms())
         return make_pool_report(self.jobs, demand, now_s, share_state)
@@ -199,7 +199,7 @@
         self.jobs.workspaces.set_limits(holder.config, holder.limit_fell_in)
         if get_loop_s() - self._runtime.opened_at_s >= UNTOLD_S:
             kept = self._context.policy.workspaces.kept_share
-            self.jobs.workspaces.untold_share = get_kept_share(kept, holder.config)
+            self.jobs.workspaces.default_share = get_kept_share(kept, holder.config)
 
     async def _load_progress(self) -> None:
         """Shut out older owners, then read what they have recorded, and of which jobs."""
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -47,7 +47,7 @@
         ),
         urgent_resources=demand.urgent.astuple(),
         share_state=share_state,
-        workspaces=pool.workspaces.list_standings(_sum_waiting(pool)),
+        workspaces=pool.workspaces.list_usage(_sum_waiting(pool)),
     )
 
 
@@ -113,7 +113,7 @@
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
     """Return what the waiting tasks would take of those workspaces that are to be told of."""
-    told = pool.workspaces.list_told()
+    told = pool.workspaces.list_reported()
     sums = dict.fromkeys(told, NO_RESOURCES)
     if sums:
         for task in pool.waiting.values():
--- a/src/robinthread/_internal/node/standing.py
+++ b/src/robinthread/_internal/node/standing.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from robinthread._internal.jobs.host import Host
-from robinthread._internal.jobs.workspace_room import WorkspaceRoom
+from robinthread._internal.jobs.workspace_limiter import WorkspaceLimiter
 from robinthread._internal.node.loop_lag import LoopLag
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.pool_owner import PoolOwner
@@ -70,7 +70,7 @@
         return {
             f"{pool}/{workspace}": part
             for pool, owner in self._owned.owners.items()
-            for workspace, part in owner.jobs.workspaces.list_parts().items()
+            for workspace, part in owner.jobs.workspaces.get_used_fractions().items()
         }
 
     def _tell_slow(self, owner: PoolOwner) -> None:
@@ -100,12 +100,12 @@
         )
 
 
-def _tell_workspaces(room: WorkspaceRoom) -> dict[str, Any]:
+def _tell_workspaces(room: WorkspaceLimiter) -> dict[str, Any]:
     """Tell of the workspaces that are near their share here, and of those held back by it."""
-    parts = room.list_parts()
+    parts = room.get_used_fractions()
     told = {
         name: [round(parts.get(name, 0.0), 3), round(room.get_share(name), 3)]
-        for name in room.list_told()
+        for name in room.list_reported()
     }
     return {"workspaces": told, "held_back": sorted(room.held_back)} if told else {}
 
