--- a/src/robinthread/_internal/fleet/share_dealing.py
+++ b/src/robinthread/_internal/fleet/share_allocation.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolUse:
+class PoolUsage:
     """A workspace in one pool, in shares of its limit.
 
     ``bound`` is the most that the pool may let it take by what it was told.  ``held_back`` is
@@ -35,12 +35,12 @@
         return max(self.used, self.bound)
 
 
-def get_kept_share(kept_share: float, config: FleetConfig) -> float:
+def get_reserved_share(kept_share: float, config: FleetConfig) -> float:
     """Return the share of each limit that every pool keeps: that part is never lent."""
     return kept_share / max(1, len(config.list_working_pools()))
 
 
-def deal_shares(uses: Mapping[str, PoolUse], room: float, kept: float) -> dict[str, float]:
+def allocate_shares(uses: Mapping[str, PoolUsage], room: float, kept: float) -> dict[str, float]:
     """Return the share that each pool should have, of ``room`` in all.
 
     Pools get what they take and want, up to a common level, and ``kept`` at least where that
@@ -64,7 +64,7 @@
 
 
 def find_next_shares(
-    uses: Mapping[str, PoolUse], targets: Mapping[str, float], room: float
+    uses: Mapping[str, PoolUsage], targets: Mapping[str, float], room: float
 ) -> dict[str, float]:
     """Return what each pool may be told now: shares rise only by what no pool may hold any more.
 
@@ -82,7 +82,7 @@
     return told
 
 
-def _find_level(uses: Mapping[str, PoolUse], wanted: Mapping[str, float], room: float) -> float:
+def _find_level(uses: Mapping[str, PoolUsage], wanted: Mapping[str, float], room: float) -> float:
     """Return the highest level up to which all wants can be met."""
 
     def fits(level: float) -> bool:
@@ -99,7 +99,7 @@
 
 
 def _let_one_begin(
-    uses: Mapping[str, PoolUse], shares: dict[str, float], room: float, kept: float
+    uses: Mapping[str, PoolUsage], shares: dict[str, float], room: float, kept: float
 ) -> dict[str, float]:
     """Let a pool in which nothing runs begin one task where its share lets none begin.
 
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -8,7 +8,7 @@
 from robinthread._internal.durable.settled_record import make_settled_record
 from robinthread._internal.durable.store import Partition
 from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
-from robinthread._internal.fleet.share_dealing import get_kept_share
+from robinthread._internal.fleet.share_allocation import get_reserved_share
 from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.pool_jobs import PoolJobs
@@ -199,7 +199,7 @@
         self.jobs.workspaces.set_limits(holder.config, holder.limit_fell_in)
         if get_loop_s() - self._runtime.opened_at_s >= UNTOLD_S:
             kept = self._context.policy.workspaces.kept_share
-            self.jobs.workspaces.default_share = get_kept_share(kept, holder.config)
+            self.jobs.workspaces.default_share = get_reserved_share(kept, holder.config)
 
     async def _load_progress(self) -> None:
         """Shut out older owners, then read what they have recorded, and of which jobs."""
--- a/src/robinthread/_internal/node/share_keeper.py
+++ b/src/robinthread/_internal/node/share_keeper.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 from robinthread._internal.fleet.pool_report import PoolReport
-from robinthread._internal.fleet.share_dealing import (
-    PoolUse,
-    deal_shares,
+from robinthread._internal.fleet.share_allocation import (
+    PoolUsage,
+    allocate_shares,
     find_next_shares,
-    get_kept_share,
+    get_reserved_share,
 )
 from robinthread._internal.models.fleet_config import FleetConfig
 from robinthread._internal.models.resources import Resources
@@ -96,7 +96,7 @@
 
     def note_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
         """Take in what pools answered to their last orders."""
-        untold = ShareTable(0, get_kept_share(self._kept_share, config))
+        untold = ShareTable(0, get_reserved_share(self._kept_share, config))
         for pool, report in reports.items():
             state = report.share_state
             if state is None or state.token != self._token:
@@ -115,7 +115,7 @@
         self._pools = {pool: known for pool, known in self._pools.items() if pool in pools}
         are_all_heard = len(self._pools) == len(pools)
         self._note_fallen(config, fell_in, are_all_heard)
-        kept = get_kept_share(self._kept_share, config)
+        kept = get_reserved_share(self._kept_share, config)
         if are_all_heard:
             defaults = self._find_defaults()
             named = self._deal_all(config, kept, defaults)
@@ -166,7 +166,8 @@
     def _find_defaults(self) -> dict[str, float]:
         """Return what each pool is told of the workspaces that have no share of their own."""
         uses = {
-            pool: PoolUse(0.0, 0.0, 0.0, known.default_bound) for pool, known in self._pools.items()
+            pool: PoolUsage(0.0, 0.0, 0.0, known.default_bound)
+            for pool, known in self._pools.items()
         }
         return find_next_shares(uses, dict.fromkeys(uses, 1 / len(uses)), 1.0)
 
@@ -221,7 +222,7 @@
         told = {pool: known.get_bound(workspace) for pool, known in self._pools.items()}
         if uses:
             room = 1.0 - sum(share for pool, share in told.items() if pool not in uses)
-            told |= find_next_shares(uses, deal_shares(uses, room, kept), room)
+            told |= find_next_shares(uses, allocate_shares(uses, room, kept), room)
         return told
 
     def _is_usual(
@@ -262,13 +263,13 @@
         self._written = rounded
 
 
-def _make_use(standing: WorkspaceStanding, limit: Resources, bound: float) -> PoolUse:
+def _make_use(standing: WorkspaceStanding, limit: Resources, bound: float) -> PoolUsage:
     used, waiting, held_back = (
         Resources(*room).get_part_of(limit)
         for room in (standing.used, standing.waiting, standing.held_back)
     )
-    return PoolUse(used, waiting, held_back, bound)
+    return PoolUsage(used, waiting, held_back, bound)
 
 
-def _is_small(use: PoolUse) -> bool:
+def _is_small(use: PoolUsage) -> bool:
     return not use.held_back and use.used + use.waiting <= USUAL_PART * use.bound
--- a/tests/unit/test_share_dealing.py
+++ b/tests/unit/test_share_allocation.py
@@ -4,7 +4,11 @@
 
 from testtools import TestCase
 
-from robinthread._internal.fleet.share_dealing import PoolUse, deal_shares, find_next_shares
+from robinthread._internal.fleet.share_allocation import (
+    PoolUsage,
+    allocate_shares,
+    find_next_shares,
+)
 
 KEPT = 0.05
 ROUNDING = 1e-6
@@ -12,45 +16,45 @@
 
 def make_use(
     used: float = 0.0, waiting: float = 0.0, held_back: float = 0.0, bound: float = 0.25
-) -> PoolUse:
+) -> PoolUsage:
     """Make a pool's use."""
-    return PoolUse(used, waiting, held_back, bound)
+    return PoolUsage(used, waiting, held_back, bound)
 
 
-def get_held(uses: dict[str, PoolUse], shares: dict[str, float]) -> float:
+def get_held(uses: dict[str, PoolUsage], shares: dict[str, float]) -> float:
     """Return what pools may hold in all by their shares."""
     return sum(max(use.used, shares[pool]) for pool, use in uses.items())
 
 
 class DealSharesTest(TestCase):
     def test_idle_pools_have_even_shares(self) -> None:
-        shares = deal_shares({pool: make_use(0.1) for pool in "abcd"}, 1.0, KEPT)
+        shares = allocate_shares({pool: make_use(0.1) for pool in "abcd"}, 1.0, KEPT)
         self.assertEqual(dict.fromkeys("abcd", 0.25), shares)
 
     def test_pool_in_its_turn_gets_all_but_what_is_never_lent(self) -> None:
         uses = {pool: make_use() for pool in "bcd"} | {"a": make_use(0.25, 3.0, 0.01)}
-        shares = deal_shares(uses, 1.0, KEPT)
+        shares = allocate_shares(uses, 1.0, KEPT)
         self.assertAlmostEqual(1 - 3 * KEPT, shares["a"], places=5)
         self.assertEqual({KEPT}, {shares[pool] for pool in "bcd"})
 
     def test_pools_that_all_want_more_get_the_same(self) -> None:
-        shares = deal_shares({pool: make_use(0.1, 2.0, 0.01) for pool in "abcd"}, 1.0, KEPT)
+        shares = allocate_shares({pool: make_use(0.1, 2.0, 0.01) for pool in "abcd"}, 1.0, KEPT)
         for share in shares.values():
             self.assertAlmostEqual(0.25, share, places=5)
 
     def test_nothing_begins_while_more_runs_than_the_limit_allows(self) -> None:
         uses = {"a": make_use(1.2), "b": make_use(0.1, 1.0, 0.05), "c": make_use()}
-        shares = deal_shares(uses, 1.0, KEPT)
+        shares = allocate_shares(uses, 1.0, KEPT)
         for pool, use in uses.items():
             self.assertLessEqual(shares[pool], use.used + ROUNDING)
 
     def test_limit_of_one_task_goes_to_one_pool_whole(self) -> None:
         uses = {pool: make_use(0.0, 4.0, 1.0) for pool in "abc"}
-        self.assertEqual({"a": 1.0, "b": 0.0, "c": 0.0}, deal_shares(uses, 1.0, KEPT))
+        self.assertEqual({"a": 1.0, "b": 0.0, "c": 0.0}, allocate_shares(uses, 1.0, KEPT))
 
     def test_whole_limit_kept_is_an_even_split_whatever_is_wanted(self) -> None:
         uses = {pool: make_use() for pool in "bcd"} | {"a": make_use(0.25, 3.0, 0.01)}
-        for share in deal_shares(uses, 1.0, 0.25).values():
+        for share in allocate_shares(uses, 1.0, 0.25).values():
             self.assertAlmostEqual(0.25, share, places=5)
 
     def test_shares_never_hold_more_than_the_room(self) -> None:
@@ -66,7 +70,7 @@
                 for pool in "abc"
             }
             room = drawn.uniform(0.2, 1.0)
-            shares = deal_shares(uses, room, KEPT)
+            shares = allocate_shares(uses, room, KEPT)
             used = sum(use.used for use in uses.values())
             self.assertLessEqual(get_held(uses, shares), max(room, used) + ROUNDING)
             told = find_next_shares(uses, shares, room)
