--- a/src/robinthread/_internal/fleet/sharing.py
+++ b/src/robinthread/_internal/fleet/host_apportionment.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Final
 
-from robinthread._internal.fleet.sizing import HostRanks, PoolSize
+from robinthread._internal.fleet.sizing import HostTiers, PoolSize
 
 # A pool gives machines up where it has so much more than its share.  Shares follow arrivals,
 # which vary by chance by some tenth from one second to the next, and a machine that moves
@@ -13,8 +13,8 @@
 SLACK_SHARE: Final = 0.1
 
 
-def share_hosts(
-    sizes: Mapping[str, PoolSize], needs: Mapping[str, HostRanks], host_count: int
+def apportion_hosts(
+    sizes: Mapping[str, PoolSize], needs: Mapping[str, HostTiers], host_count: int
 ) -> dict[str, PoolSize]:
     """Return the pools' sizes, each no larger than its share where hosts are short.
 
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -19,13 +19,13 @@
     UpkeepOrder,
     WaveView,
 )
+from robinthread._internal.fleet.host_apportionment import apportion_hosts
 from robinthread._internal.fleet.pool_report import HostStanding
 from robinthread._internal.fleet.reserve import Reserve, list_unsupplied
-from robinthread._internal.fleet.sharing import share_hosts
 from robinthread._internal.fleet.sizing import (
     HOSTS_MIN,
     PoolSize,
-    get_host_ranks,
+    get_host_tiers,
     get_pool_size,
 )
 from robinthread._internal.fleet.wave_places import WavePlaces
@@ -95,9 +95,9 @@
         if not self._policy.shares_when_short:
             return wanted
         needs = {
-            pool.name: get_host_ranks(pool.report, wanted[pool.name], room) for pool in view.pools
+            pool.name: get_host_tiers(pool.report, wanted[pool.name], room) for pool in view.pools
         }
-        return share_hosts(wanted, needs, _count_all(view))
+        return apportion_hosts(wanted, needs, _count_all(view))
 
     def _choose_vacating(
         self,
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostRanks:
+class HostTiers:
     """Hosts that a pool needs, each count within the next one.
 
     ``least_count`` for what lasts, ``urgent_count`` with jobs that can be on time, and
@@ -56,7 +56,7 @@
     return PoolSize(fetch_count, keep_count, sum(lack.count for lack in report.lacks))
 
 
-def get_host_ranks(report: PoolReport, size: PoolSize, room: Resources) -> HostRanks:
+def get_host_tiers(report: PoolReport, size: PoolSize, room: Resources) -> HostTiers:
     """Return how many hosts of ``room`` a pool of such a size needs, by what for."""
     urgent_resources = (
         report.keep_resources if report.urgent_resources is None else report.urgent_resources
@@ -65,7 +65,7 @@
     urgent_count = max(
         least_count, _count_hosts(urgent_resources, room), _count_apart(report, room)
     )
-    return HostRanks(least_count, min(urgent_count, size.keep_count), size.keep_count)
+    return HostTiers(least_count, min(urgent_count, size.keep_count), size.keep_count)
 
 
 def _count_least(report: PoolReport, room: Resources) -> int:
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_host_apportionment.py
@@ -2,8 +2,8 @@
 
 from testtools import TestCase
 
-from robinthread._internal.fleet.sharing import share_hosts
-from robinthread._internal.fleet.sizing import HostRanks, PoolSize
+from robinthread._internal.fleet.host_apportionment import apportion_hosts
+from robinthread._internal.fleet.sizing import HostTiers, PoolSize
 from robinthread._internal.settings.policy_settings import FleetPolicy
 from tests.lib.turns import get_oracle_share, play_turns
 
@@ -15,9 +15,9 @@
 
 def share(machines: int, **needs: tuple[int, int, int]) -> dict[str, tuple[int, int]]:
     """Return how many hosts each pool fetches and keeps, by what it needs for what."""
-    ranks = {pool: HostRanks(*counts) for pool, counts in needs.items()}
+    ranks = {pool: HostTiers(*counts) for pool, counts in needs.items()}
     sizes = {pool: PoolSize(counts[2], counts[2]) for pool, counts in needs.items()}
-    shared = share_hosts(sizes, ranks, machines)
+    shared = apportion_hosts(sizes, ranks, machines)
     return {pool: (size.fetch_count, size.keep_count) for pool, size in shared.items()}
 
 
