--- a/src/robinthread/_internal/fleet/fleet_view.py
+++ b/src/robinthread/_internal/fleet/fleet_view.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport
 from robinthread._internal.fleet.sizing import PoolSize
 from robinthread._internal.models.machine import Machine, MachineState
 
@@ -48,11 +48,11 @@
     arriving: tuple[Machine, ...] = ()
 
     @property
-    def hosts(self) -> tuple[HostStanding, ...]:
+    def hosts(self) -> tuple[HostStatus, ...]:
         """Return the standing of the hosts that are still lives of their machines."""
         return tuple(host for host in self.report.hosts if self._is_current(host))
 
-    def _is_current(self, host: HostStanding) -> bool:
+    def _is_current(self, host: HostStatus) -> bool:
         machine = self.machines.get(host.machine)
         return (
             machine is not None
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -20,8 +20,8 @@
     WaveView,
 )
 from robinthread._internal.fleet.host_apportionment import apportion_hosts
-from robinthread._internal.fleet.pool_report import HostStanding
-from robinthread._internal.fleet.reserve import Reserve, list_unsupplied
+from robinthread._internal.fleet.pool_report import HostStatus
+from robinthread._internal.fleet.reserve import Reserve, list_unmet_shortages
 from robinthread._internal.fleet.sizing import (
     HOSTS_MIN,
     PoolSize,
@@ -73,17 +73,17 @@
             pool.name: self._choose_vacating(view, pool, pending, sizes[pool.name], now_s)
             for pool in view.pools
         }
-        lacks: Counter[str] = Counter()
+        shortages: Counter[str] = Counter()
         for pool in sorted(view.pools, key=lambda pool: -pool.report.fetch_resources[0]):
             size, vacating = sizes[pool.name], self._vacating[pool.name]
-            taken = reserve.take_for(list_unsupplied(pool.report.lacks, pool.arriving))
+            taken = reserve.take_for(list_unmet_shortages(pool.report.shortages, pool.arriving))
             serving = _count_serving(pool, vacating, view.leaving)
             awaited = _count_awaited(view, pool)
             taken += reserve.take(size.fetch_count - serving - awaited - len(taken))
             orders += [MoveOrder(machine, pool.name) for machine in taken]
             lack = _count_lacking(view, pool, size, vacating, room)
-            lacks[pool.name] = max(0, lack - len(taken))
-        orders += self._order_emptied(view, sizes, places, lacks)
+            shortages[pool.name] = max(0, lack - len(taken))
+        orders += self._order_emptied(view, sizes, places, shortages)
         if not self._policy.upkeep_first:
             orders += _order_upkeep(view, reserve, places)
         return FleetPlan(tuple(orders), self._vacating, wanted, sizes)
@@ -178,12 +178,12 @@
         view: FleetView,
         sizes: dict[str, PoolSize],
         places: WavePlaces,
-        lacks: Counter[str],
+        shortages: Counter[str],
     ) -> list[MoveOrder | UpkeepOrder]:
         """Order the machines that have been emptied: to another pool, the reserve, or upkeep.
 
         Where the pool can do without a machine its upkeep is done in the reserve,
-        which costs nothing.  ``lacks`` counts the machines that each pool lacks, down with
+        which costs nothing.  ``shortages`` counts the machines that each pool lacks, down with
         each order.
         """
         orders: list[MoveOrder | UpkeepOrder] = []
@@ -197,23 +197,25 @@
                 is_urgent = wave is not None and _is_short_of_time(wave)
                 may_leave = wave is None or (spare >= 0 and not is_urgent)
                 if view.reserve_pool and may_leave:
-                    target = view.reserve_pool if wave else self._choose_target(view, pool, lacks)
+                    target = (
+                        view.reserve_pool if wave else self._choose_target(view, pool, shortages)
+                    )
                     orders.append(MoveOrder(host.machine, target))
                 elif wave is not None and places.take(host.machine):
                     orders.append(UpkeepOrder(host.machine, wave.number))
         return orders
 
-    def _choose_target(self, view: FleetView, pool: PoolView, lacks: Counter[str]) -> str:
+    def _choose_target(self, view: FleetView, pool: PoolView, shortages: Counter[str]) -> str:
         """Return where a machine goes that a pool has emptied: where most are lacking."""
-        others = Counter({name: lack for name, lack in lacks.items() if name != pool.name})
+        others = Counter({name: lack for name, lack in shortages.items() if name != pool.name})
         (name, lack), *_rest = others.most_common(1) or [("", 0)]
         if lack <= 0 or not self._policy.moves_directly:
             return view.reserve_pool
-        lacks[name] -= 1
+        shortages[name] -= 1
         return name
 
 
-def _is_emptied(host: HostStanding, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
+def _is_emptied(host: HostStatus, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
     return (
         host.machine in vacating
         and host.machine not in ordered
@@ -255,9 +257,11 @@
     view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], room: Resources
 ) -> int:
     """Return how many hosts a pool lacks that any machine of ``room`` could be."""
-    lacks = list_unsupplied(pool.report.lacks, pool.arriving)
+    shortages = list_unmet_shortages(pool.report.shortages, pool.arriving)
     missing = sum(
-        lack.count for lack in lacks if not lack.label and Resources(*lack.resources).fits_in(room)
+        lack.count
+        for lack in shortages
+        if not lack.label and Resources(*lack.resources).fits_in(room)
     )
     serving = _count_serving(pool, vacating, view.leaving) + _count_awaited(view, pool)
     return max(0, size.fetch_count - serving, missing)
@@ -274,7 +278,7 @@
     return sum(machine.name not in view.ordered for machine in view.reserve)
 
 
-def _get_leaving_order(host: HostStanding, pending: frozenset[str]) -> tuple[bool, int, int, str]:
+def _get_leaving_order(host: HostStatus, pending: frozenset[str]) -> tuple[bool, int, int, str]:
     """Order hosts to leave: due for upkeep, nothing lasting, little that runs."""
     return (host.machine not in pending, host.lasting_count, host.run_count, host.machine)
 
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -9,7 +9,7 @@
 )
 
 
-class FleetQuestion(msgspec.Struct, frozen=True, array_like=True):
+class FleetReportRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a pool's owner how it stands; it is to empty the machines in ``vacate``.
 
     The hosts in ``ended`` have surely ended.  ``shares`` are those of workspaces' limits that it
@@ -23,7 +23,7 @@
     shares: ShareOrder | None = None
 
 
-class HostStanding(msgspec.Struct, frozen=True, array_like=True):
+class HostStatus(msgspec.Struct, frozen=True, array_like=True):
     """One host of a pool.
 
     ``is_usable`` tells whether it answers and takes work, or would if it were
@@ -44,7 +44,7 @@
     born_ms: int | None = None
 
 
-class LackReport(msgspec.Struct, frozen=True, array_like=True):
+class ShortageReport(msgspec.Struct, frozen=True, array_like=True):
     """Hosts that a pool lacks for tasks that fit on none that it has.
 
     They need at least ``resources`` and, unless it is "", the label.  ``is_lasting`` tells
@@ -71,11 +71,11 @@
     is_owner: bool
     fetch_resources: tuple[int, int, int] = (0, 0, 0)
     keep_resources: tuple[int, int, int] = (0, 0, 0)
-    hosts: tuple[HostStanding, ...] = ()
+    hosts: tuple[HostStatus, ...] = ()
     hosts_min: int = 0
     lasting_resources: tuple[int, int, int] = (0, 0, 0)
     separate_host_count: int = 0
-    lacks: tuple[LackReport, ...] = ()
+    shortages: tuple[ShortageReport, ...] = ()
     urgent_resources: tuple[int, int, int] | None = None
     share_state: ShareState | None = None
     workspaces: tuple[WorkspaceStanding, ...] = ()
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from robinthread._internal.fleet.fleet_view import FleetView
-from robinthread._internal.fleet.pool_report import LackReport
+from robinthread._internal.fleet.pool_report import ShortageReport
 from robinthread._internal.models.machine import Machine
 from robinthread._internal.models.resources import Resources
 
@@ -33,11 +33,11 @@
         """Take those of the machines in ``due`` for which ``take_place`` finds a place."""
         return self._take(lambda machine: machine.name in due and take_place(machine.name))
 
-    def take_for(self, lacks: Iterable[LackReport]) -> list[str]:
+    def take_for(self, shortages: Iterable[ShortageReport]) -> list[str]:
         """Take machines that have what a pool lacks, as far as there are any."""
         taken: list[str] = []
-        for lack in lacks:
-            taken += self._take(lambda machine, lack=lack: supplies(machine, lack), lack.count)  # type: ignore[misc]
+        for lack in shortages:
+            taken += self._take(lambda machine, lack=lack: covers(machine, lack), lack.count)  # type: ignore[misc]
         return taken
 
     def _take(self, suits: Callable[[Machine], bool], count: int | None = None) -> list[str]:
@@ -47,23 +47,25 @@
         return taken
 
 
-def list_unsupplied(
-    lacks: Iterable[LackReport], arriving: Iterable[Machine]
-) -> tuple[LackReport, ...]:
+def list_unmet_shortages(
+    shortages: Iterable[ShortageReport], arriving: Iterable[Machine]
+) -> tuple[ShortageReport, ...]:
     """Return what a pool lacks beside the machines that arrive.
 
     Each counts for one host of one lack; what fewest of them supply is served first.
     """
     coming = list(arriving)
-    left: list[LackReport] = []
-    for lack in sorted(lacks, key=lambda lack: sum(supplies(machine, lack) for machine in coming)):
-        suiting = [machine for machine in coming if supplies(machine, lack)][: lack.count]
+    left: list[ShortageReport] = []
+    for lack in sorted(
+        shortages, key=lambda lack: sum(covers(machine, lack) for machine in coming)
+    ):
+        suiting = [machine for machine in coming if covers(machine, lack)][: lack.count]
         coming = [machine for machine in coming if machine not in suiting]
         left.append(msgspec.structs.replace(lack, count=lack.count - len(suiting)))
     return tuple(left)
 
 
-def supplies(machine: Machine, lack: LackReport) -> bool:
+def covers(machine: Machine, lack: ShortageReport) -> bool:
     """Tell whether a machine has the room and the label that a pool lacks."""
     has_label = not lack.label or lack.label in (machine.kind, machine.rack)
     return has_label and Resources(*lack.resources).fits_in(machine.capacity)
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -18,12 +18,12 @@
 class PoolSize:
     """Hosts below which a pool fetches more, and above which it lets some go.
 
-    ``lack_count`` hosts are to come in any case, for tasks that fit on none that is there.
+    ``shortage_count`` hosts are to come in any case, for tasks that fit on none that is there.
     """
 
     fetch_count: int
     keep_count: int
-    lack_count: int = 0
+    shortage_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
         _count_apart(report, room),
         _count_least(report, room),
     )
-    return PoolSize(fetch_count, keep_count, sum(lack.count for lack in report.lacks))
+    return PoolSize(fetch_count, keep_count, sum(lack.count for lack in report.shortages))
 
 
 def get_host_tiers(report: PoolReport, size: PoolSize, room: Resources) -> HostTiers:
@@ -80,8 +80,8 @@
 
 def _count_apart(report: PoolReport, room: Resources) -> int:
     """Return how many hosts are needed for lasting tasks, and beside these for wide ones."""
-    lack_count = sum(lack.count for lack in report.lacks)
-    separate_host_count = report.separate_host_count + lack_count - _count_lasting_lack(report)
+    shortage_count = sum(lack.count for lack in report.shortages)
+    separate_host_count = report.separate_host_count + shortage_count - _count_lasting_lack(report)
     return _count_lasting(report, room) + separate_host_count
 
 
@@ -90,7 +90,7 @@
 
 
 def _count_lasting_lack(report: PoolReport) -> int:
-    return sum(lack.count for lack in report.lacks if lack.is_lasting)
+    return sum(lack.count for lack in report.shortages if lack.is_lasting)
 
 
 def _count_hosts(needs: tuple[int, int, int], room: Resources) -> int:
--- a/src/robinthread/_internal/node/owned_pools.py
+++ b/src/robinthread/_internal/node/owned_pools.py
@@ -3,7 +3,7 @@
 import zlib
 
 from robinthread._internal.durable.errors import StoreError
-from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
+from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.peer_messages import (
@@ -73,7 +73,7 @@
             return PendingAnswer(is_owner=False)
         return PendingAnswer(is_owner=True, counts=owner.count_pending())
 
-    def answer_fleet(self, question: FleetQuestion) -> PoolReport:
+    def answer_fleet(self, question: FleetReportRequest) -> PoolReport:
         """Tell how a pool stands."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
--- a/src/robinthread/_internal/node/peer_answers.py
+++ b/src/robinthread/_internal/node/peer_answers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from robinthread._internal.durable.store import KeyedRecord
-from robinthread._internal.fleet.pool_report import FleetQuestion
+from robinthread._internal.fleet.pool_report import FleetReportRequest
 from robinthread._internal.node.handover import Handover
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_messages import (
@@ -35,7 +35,7 @@
                 return await self._owned.answer_job(question)
             case PendingQuestion():
                 return self._owned.answer_pending(question)
-            case FleetQuestion():
+            case FleetReportRequest():
                 return self._owned.answer_fleet(question)
             case StoreQuestion():
                 return self._handover.answer_store()
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from robinthread._internal.fleet.pool_report import FleetQuestion
+from robinthread._internal.fleet.pool_report import FleetReportRequest
 
 
 class JobQuestion(msgspec.Struct, frozen=True, array_like=True):
@@ -101,7 +101,7 @@
 QUESTION_PATHS: Final[dict[type[msgspec.Struct], str]] = {
     JobQuestion: "/job",
     PendingQuestion: "/pending",
-    FleetQuestion: "/fleet",
+    FleetReportRequest: "/fleet",
     StoreQuestion: "/store",
     TakeQuestion: "/take",
     StoppedQuestion: "/stopped",
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -7,7 +7,7 @@
 from robinthread._internal.durable.journal import Journal
 from robinthread._internal.durable.settled_record import make_settled_record
 from robinthread._internal.durable.store import Partition
-from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
+from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
 from robinthread._internal.fleet.share_allocation import get_reserved_share
 from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.job import Job
@@ -176,7 +176,7 @@
         """Count, by queue, the jobs of which nothing has begun."""
         return count_pending(self.jobs)
 
-    def report(self, question: FleetQuestion) -> PoolReport:
+    def report(self, question: FleetReportRequest) -> PoolReport:
         """Tell the steward how the pool stands, and empty what it asks for."""
         now_s = get_loop_s()
         for host in self.jobs.hosts.values():
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from robinthread._internal.fleet.pool_report import HostStanding, LackReport, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport, ShortageReport
 from robinthread._internal.jobs.crash_book import CrashNote
 from robinthread._internal.jobs.demand import Demand
 from robinthread._internal.jobs.doubts import list_doubted
@@ -39,8 +39,8 @@
         hosts_min=demand.hosts_min,
         lasting_resources=demand.lasting.astuple(),
         separate_host_count=demand.host_requirements.separate_host_count,
-        lacks=tuple(
-            LackReport(
+        shortages=tuple(
+            ShortageReport(
                 missing.count, missing.resources.astuple(), missing.label, missing.is_lasting
             )
             for missing in demand.host_requirements.missing
@@ -123,8 +123,8 @@
     return sums
 
 
-def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStanding:
-    return HostStanding(
+def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
+    return HostStatus(
         machine=host.record.machine,
         host_id=host.record.id,
         is_usable=is_trusted
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -14,7 +14,7 @@
 from robinthread._internal.fleet.machine_errors import MachineError
 from robinthread._internal.fleet.newcomers import UNHEARD_MAX_S
 from robinthread._internal.fleet.planner import FleetPlanner
-from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
+from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
 from robinthread._internal.fleet.sizing import PoolSize
 from robinthread._internal.models.fleet_config import FleetConfig
 from robinthread._internal.node.context import NodeContext
@@ -191,7 +191,7 @@
                     awaited=sum(host.is_awaited for host in pool.hosts),
                     arriving=len(pool.arriving),
                     vacating=len(plan.vacate[pool.name]),
-                    lacking=size.lack_count,
+                    lacking=size.shortage_count,
                     needed=sum(host.is_needed for host in pool.hosts),
                     fetch_room=pool.report.fetch_resources,
                     keep_room=pool.report.keep_resources,
@@ -227,7 +227,7 @@
 
     async def _ask_pool(self, pool: str, config: FleetConfig) -> PoolReport:
         owner = self._table.get(pool)
-        question = FleetQuestion(
+        question = FleetReportRequest(
             pool,
             tuple(sorted(self._vacate.get(pool, ()))),
             self._expects_hosts(pool),
--- a/tests/lib/turns.py
+++ b/tests/lib/turns.py
@@ -10,7 +10,7 @@
 
 from robinthread._internal.fleet.fleet_view import FleetView, MoveOrder, PoolView
 from robinthread._internal.fleet.planner import FleetPlanner
-from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
@@ -69,10 +69,10 @@
         hosts = tuple(self._stand(host, now_s) for host in sorted(self.hosts))
         return PoolReport(True, wanted, wanted, hosts, urgent_resources=urgent)
 
-    def _stand(self, host: str, now_s: float) -> HostStanding:
+    def _stand(self, host: str, now_s: float) -> HostStatus:
         since_s = self.vacating_since_s.get(host)
         is_empty = since_s is not None and now_s - since_s >= EMPTIES_S
-        return HostStanding(host, host, True, since_s is not None, int(not is_empty), 0)
+        return HostStatus(host, host, True, since_s is not None, int(not is_empty), 0)
 
 
 def _as_room(hosts: float) -> tuple[int, int, int]:
--- a/tests/unit/test_doubts.py
+++ b/tests/unit/test_doubts.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
 from robinthread._internal.jobs.doubts import DOUBT_AFTER_S, list_doubted
 from robinthread._internal.jobs.host import HostContact
@@ -88,8 +88,7 @@
 class SilentHallTest(TestCase):
     def find(self, usable: str) -> frozenset[str]:
         hosts = tuple(
-            HostStanding(name, f"host-{name}", name in usable.split(), False, 0, 0)
-            for name in HOSTS
+            HostStatus(name, f"host-{name}", name in usable.split(), False, 0, 0) for name in HOSTS
         )
         machines = {
             name: Machine(
--- a/tests/unit/test_fleet_planner.py
+++ b/tests/unit/test_fleet_planner.py
@@ -14,7 +14,7 @@
     WaveView,
 )
 from robinthread._internal.fleet.planner import FleetPlanner
-from robinthread._internal.fleet.pool_report import HostStanding, LackReport, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport, ShortageReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
 from robinthread._internal.fleet.sizing import PoolSize
 from robinthread._internal.models.machine import Machine, MachineState
@@ -34,7 +34,7 @@
 def make_pool(pool: str, names: str, cores: int, busy: str = "", vacating: str = "") -> PoolView:
     """Make a pool of machines that needs so many cores; each letter is a machine."""
     hosts = tuple(
-        HostStanding(name, f"host-{name}", True, name in vacating, int(name in busy), 0)
+        HostStatus(name, f"host-{name}", True, name in vacating, int(name in busy), 0)
         for name in names
     )
     room = (1000 * cores, 0, 0)
@@ -67,7 +67,7 @@
 
 def _confirm(pool: PoolView, vacating: frozenset[str]) -> PoolView:
     hosts = tuple(
-        HostStanding(host.machine, host.host_id, True, host.machine in vacating, host.run_count, 0)
+        HostStatus(host.machine, host.host_id, True, host.machine in vacating, host.run_count, 0)
         for host in pool.report.hosts
     )
     report = PoolReport(True, pool.report.fetch_resources, pool.report.keep_resources, hosts)
@@ -89,9 +89,9 @@
     return replace(pool, report=report)
 
 
-def with_lacks(pool: PoolView, *lacking: LackReport, hosts_min: int = 0) -> PoolView:
+def with_lacks(pool: PoolView, *lacking: ShortageReport, hosts_min: int = 0) -> PoolView:
     """Have a pool lack hosts for tasks that fit on none it has."""
-    report = msgspec.structs.replace(pool.report, lacks=lacking, hosts_min=hosts_min)
+    report = msgspec.structs.replace(pool.report, shortages=lacking, hosts_min=hosts_min)
     return replace(pool, report=report)
 
 
@@ -114,7 +114,7 @@
 class RoomOnHostTest(TestCase):
     """Tasks wait that do not fit on every host."""
 
-    wide = LackReport(1, (13_000, 1_000, 0))
+    wide = ShortageReport(1, (13_000, 1_000, 0))
 
     def test_host_is_fetched_though_the_sum_asks_for_none(self) -> None:
         pool = with_lacks(make_pool("p", "abc", 10), self.wide, hosts_min=3)
@@ -133,9 +133,9 @@
         narrow = replace(make_machine("w", "p"), capacity=Resources(8_000, 32_000))
         for lack, arriving in (
             (self.wide, (narrow,)),
-            (LackReport(1, (13_000, 1_000, 0), "a"), (narrow,)),
-            (LackReport(1, (1_000, 1_000, 0), "a"), (replace(narrow, kind="b"),)),
-            (LackReport(2, (13_000, 1_000, 0)), (narrow, make_machine("v", "p"))),
+            (ShortageReport(1, (13_000, 1_000, 0), "a"), (narrow,)),
+            (ShortageReport(1, (1_000, 1_000, 0), "a"), (replace(narrow, kind="b"),)),
+            (ShortageReport(2, (13_000, 1_000, 0)), (narrow, make_machine("v", "p"))),
         ):
             pool = replace(with_lacks(make_pool("p", "abc", 10), lack), arriving=arriving)
             plan = FleetPlanner(ALL).plan(make_view(pool, reserve="xy"), 0.0)
@@ -145,13 +145,13 @@
         """The one with the label is left to the lack that only it supplies."""
         labelled = make_machine("v", "p")
         other = replace(make_machine("w", "p"), kind="b")
-        label = LackReport(1, (1_000, 1_000, 0), "a")
-        for arriving, lacks, count in (
+        label = ShortageReport(1, (1_000, 1_000, 0), "a")
+        for arriving, shortages, count in (
             ((labelled,), (self.wide, label), 1),
             ((labelled, other), (self.wide, label), 0),
             ((labelled, other), (label, label), 1),
         ):
-            pool = with_lacks(make_pool("p", "abc", 10), *lacks)
+            pool = with_lacks(make_pool("p", "abc", 10), *shortages)
             pool = replace(pool, arriving=arriving)
             plan = FleetPlanner(ALL).plan(make_view(pool, reserve="xy"), 0.0)
             self.assertEqual(count, len(list_moves(plan)))
@@ -178,10 +178,10 @@
         )
         for lack, expected in (
             (self.wide, [("y", "p")]),
-            (LackReport(1, (13_000, 0, 0), "s"), [("z", "p")]),
-            (LackReport(1, (8_000, 0, 0), "a"), [("x", "p")]),
-            (LackReport(1, (17_000, 0, 0)), []),
-            (LackReport(1, (1, 0, 0), "t"), []),
+            (ShortageReport(1, (13_000, 0, 0), "s"), [("z", "p")]),
+            (ShortageReport(1, (8_000, 0, 0), "a"), [("x", "p")]),
+            (ShortageReport(1, (17_000, 0, 0)), []),
+            (ShortageReport(1, (1, 0, 0), "t"), []),
         ):
             view = replace(view, pools=(with_lacks(pool, lack),), reserve=reserve)
             self.assertEqual(expected, list_moves(FleetPlanner(ALL).plan(view, 0.0)))
@@ -218,13 +218,15 @@
 
     def test_hosts_missing_for_lasting_tasks_count_once(self) -> None:
         pool = with_lacks(
-            make_pool("p", "ab", 10), LackReport(7, (1, 1, 0), is_lasting=True), hosts_min=9
+            make_pool("p", "ab", 10), ShortageReport(7, (1, 1, 0), is_lasting=True), hosts_min=9
         )
         plan = FleetPlanner(ALL).plan(make_view(mark_hosts(pool, lasting="ab")), 0.0)
         self.assertEqual(PoolSize(9, 9, 7), plan.sizes["p"])
 
     def test_what_carries_lasting_tasks_is_kept_while_more_of_them_lack_a_host(self) -> None:
-        pool = with_lacks(make_pool("p", "abc", 10), LackReport(1, (1, 20_000, 0), is_lasting=True))
+        pool = with_lacks(
+            make_pool("p", "abc", 10), ShortageReport(1, (1, 20_000, 0), is_lasting=True)
+        )
         plan = FleetPlanner(ALL).plan(make_view(mark_hosts(pool, lasting="abc")), 0.0)
         self.assertEqual(PoolSize(2, 4, 1), plan.sizes["p"])
 
@@ -253,7 +255,7 @@
         self.assertEqual([("x", "p"), ("y", "p")], list_moves(plan))
 
     def test_what_is_to_come_for_wide_tasks_is_fetched_beside_them(self) -> None:
-        lack = LackReport(1, (13_000, 1_000, 0))
+        lack = ShortageReport(1, (13_000, 1_000, 0))
         pool = with_lacks(await_hosts(make_pool("p", "abc", 10), "abc"), lack)
         plan = FleetPlanner(ALL).plan(make_view(pool, reserve="xyz"), 0.0)
         self.assertEqual([("x", "p")], list_moves(plan))
