--- a/src/robinthread/_internal/fleet/ended_lives.py
+++ b/src/robinthread/_internal/fleet/ended_incarnations.py
@@ -7,10 +7,10 @@
 
 # How long a host that has ended is told to its pool's owner.  An owner that is lost with the
 # host is replaced within some 4 s; a host that is lost is first missed some 2 s later.
-TOLD_FOR_S: Final = 12.0
+REPORTED_FOR_S: Final = 12.0
 
 
-class EndedLives:
+class EndedIncarnations:
     """Tells which hosts have ended, each a life of a machine that an earlier list showed.
 
     A machine that is listed without a host, with another one, or no more has ended the one that
@@ -23,7 +23,7 @@
         self._shown: dict[str, Machine] = {}
         self._ended_at_s: dict[str, tuple[float, str]] = {}
 
-    def note_listed(self, machines: Mapping[str, Machine], now_s: float) -> None:
+    def record_listing(self, machines: Mapping[str, Machine], now_s: float) -> None:
         """Take in a list of machines."""
         for host_id, shown in self._shown.items():
             machine = machines.get(shown.name)
@@ -38,7 +38,7 @@
         self._ended_at_s = {
             host_id: (ended_s, pool)
             for host_id, (ended_s, pool) in self._ended_at_s.items()
-            if now_s - ended_s < TOLD_FOR_S and host_id not in self._shown
+            if now_s - ended_s < REPORTED_FOR_S and host_id not in self._shown
         }
 
     def list_for_pool(self, pool: str) -> tuple[str, ...]:
--- a/src/robinthread/_internal/fleet/fleet_view.py
+++ b/src/robinthread/_internal/fleet/fleet_view.py
@@ -12,7 +12,7 @@
     """A maintenance wave: what is left of it and how many may begin now.
 
     Of its ``machines``, ``pending`` are those whose upkeep has not begun, and ``down`` those that
-    are down or may be, the latter ``doubtful``.  Of the pending ones, an earlier steward ordered
+    are down or may be, the latter ``unconfirmed``.  Of the pending ones, an earlier steward ordered
     the ``unsettled``: they count as down, and may be ordered all the same, which settles them.
     """
 
@@ -23,7 +23,7 @@
     down: frozenset[str]
     left_s: float
     unsettled: frozenset[str] = frozenset()
-    doubtful: frozenset[str] = frozenset()
+    unconfirmed: frozenset[str] = frozenset()
 
     @property
     def free_slots(self) -> int:
--- a/src/robinthread/_internal/fleet/newcomers.py
+++ b/src/robinthread/_internal/fleet/new_machines.py
@@ -7,10 +7,10 @@
 
 # How long a machine that is up may take to show in its pool: an entry in the store
 # and a first look at it.
-UNHEARD_MAX_S: Final = 3.0
+FIRST_REPORT_MAX_S: Final = 3.0
 
 
-class Newcomers:
+class NewMachines:
     """Tells the machines that have just come up from those whose host is lost.
 
     Both are up in the list of machines, and their pool names no host of theirs.  A host is no
@@ -23,7 +23,7 @@
         self._known_hosts: set[str] = set()
         self._since_s: dict[tuple[str, str], float] = {}
 
-    def note_listed(self, machines: Iterable[Machine], ordered: Container[str]) -> None:
+    def record_listing(self, machines: Iterable[Machine], ordered: Container[str]) -> None:
         """Take in a list of machines; ``ordered`` are those that may just have come up."""
         lives = {(machine.name, machine.host_id): machine for machine in machines}
         if not self._is_listed:
@@ -37,17 +37,17 @@
         self._known_hosts &= {host_id for _name, host_id in lives if host_id}
         self._since_s = {life: since_s for life, since_s in self._since_s.items() if life in lives}
 
-    def note_named(self, host_ids: Iterable[str]) -> None:
+    def record_reported_hosts(self, host_ids: Iterable[str]) -> None:
         """Note which hosts a pool's owner names."""
         self._known_hosts.update(host_ids)
 
-    def is_heard(self, machine: Machine) -> bool:
+    def is_reported(self, machine: Machine) -> bool:
         """Tell whether a pool has named a machine's host, or was to have before this steward."""
         return machine.host_id in self._known_hosts
 
-    def is_newcomer(self, machine: Machine, now_s: float) -> bool:
+    def is_new(self, machine: Machine, now_s: float) -> bool:
         """Tell whether a machine is up so newly that its pool has not heard of it."""
         if machine.state is not MachineState.UP or machine.host_id in self._known_hosts:
             return False
         since_s = self._since_s.setdefault((machine.name, machine.host_id), now_s)
-        return now_s - since_s < UNHEARD_MAX_S
+        return now_s - since_s < FIRST_REPORT_MAX_S
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -28,7 +28,7 @@
     get_host_tiers,
     get_pool_size,
 )
-from robinthread._internal.fleet.wave_places import WavePlaces
+from robinthread._internal.fleet.upkeep_slots import UpkeepSlots
 from robinthread._internal.models.machine import Machine
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
@@ -58,7 +58,7 @@
         wanted = {pool.name: get_pool_size(pool.report, room) for pool in view.pools}
         sizes = self._share(view, wanted, room)
         reserve = Reserve(view, pending)
-        places = WavePlaces(view.waves)
+        places = UpkeepSlots(view.waves)
         orders: list[MoveOrder | UpkeepOrder] = []
         if self._policy.upkeep_first:
             # A machine that a pool takes unkept may not pass through the reserve in time again.
@@ -177,7 +177,7 @@
         self,
         view: FleetView,
         sizes: dict[str, PoolSize],
-        places: WavePlaces,
+        places: UpkeepSlots,
         shortages: Counter[str],
     ) -> list[MoveOrder | UpkeepOrder]:
         """Order the machines that have been emptied: to another pool, the reserve, or upkeep.
@@ -224,7 +224,7 @@
     )
 
 
-def _order_upkeep(view: FleetView, reserve: Reserve, places: WavePlaces) -> Iterable[UpkeepOrder]:
+def _order_upkeep(view: FleetView, reserve: Reserve, places: UpkeepSlots) -> Iterable[UpkeepOrder]:
     """Order the reserve's machines that are due, those first that may have begun."""
     for wave in view.waves:
         for due in (wave.unsettled, wave.pending - wave.unsettled):
--- a/src/robinthread/_internal/fleet/wave_places.py
+++ b/src/robinthread/_internal/fleet/upkeep_slots.py
@@ -5,7 +5,7 @@
 from robinthread._internal.fleet.fleet_view import WaveView
 
 
-class WavePlaces:
+class UpkeepSlots:
     """Gives each place away once, whoever asks: the reserve, pools, or another wave.
 
     The load that this answers: waves that are short of time, which take machines from pools and
--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -124,7 +124,7 @@
         if is_broken and not isinstance(error, HostSilentError) and self.broken_at_s is None:
             self.broken_at_s = now_s
 
-    def note_listed(self, is_listed: bool) -> None:
+    def record_listing(self, is_listed: bool) -> None:
         """Note whether the store lists the host; some leave without having said so."""
         answers = self.contact is HostContact.ANSWERING and self.broken_at_s is None
         self.is_unlisted_alive = not is_listed and (answers or self.is_unlisted_alive)
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -162,7 +162,7 @@
         if found is None:
             return True
         if found.owner in self._member.members or found.owner == self._me:
-            self._checks.note_listed(found.owner)
+            self._checks.record_listing(found.owner)
             return False
         return True
 
--- a/src/robinthread/_internal/node/fleet_views.py
+++ b/src/robinthread/_internal/node/fleet_views.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Mapping
 
-from robinthread._internal.fleet.ended_lives import EndedLives
+from robinthread._internal.fleet.ended_incarnations import EndedIncarnations
 from robinthread._internal.fleet.fleet_view import FleetView, MoveOrder, PoolView
-from robinthread._internal.fleet.newcomers import Newcomers
+from robinthread._internal.fleet.new_machines import NewMachines
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
 from robinthread._internal.models.fleet_config import FleetConfig
@@ -24,17 +24,17 @@
         self._context = context
         self._orders = orders
         self._waves = waves
-        self._newcomers = Newcomers()
-        self._lives = EndedLives()
+        self._new_machines = NewMachines()
+        self._lives = EndedIncarnations()
         self.machines: dict[str, Machine] = {}
 
-    def note_listed(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
+    def record_listing(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
         """Take in a list of machines that was asked for at a time."""
         self.machines = {machine.name: machine for machine in listed}
-        self._newcomers.note_listed(listed, self._orders.ordered_before)
-        self._orders.note_listed(asked_at_s)
-        self._orders.unsettled.note_listed(self.machines)
-        self._lives.note_listed(self.machines, get_loop_s())
+        self._new_machines.record_listing(listed, self._orders.ordered_before)
+        self._orders.record_listing(asked_at_s)
+        self._orders.unsettled.record_listing(self.machines)
+        self._lives.record_listing(self.machines, get_loop_s())
 
     def list_ended_hosts(self, pool: str) -> tuple[str, ...]:
         """Return the hosts of a pool that have surely ended of late."""
@@ -96,7 +96,7 @@
         pool = config.pools.get(machine.pool)
         if pool is not None and pool.is_reserve:
             return ""
-        if not self._newcomers.is_heard(machine):
+        if not self._new_machines.is_reported(machine):
             return None
         return lives.get(machine.host_id, machine.host_id)
 
@@ -106,7 +106,7 @@
         machines = {
             machine.name: machine for machine in self.machines.values() if machine.pool == pool
         }
-        self._newcomers.note_named(host.host_id for host in report.hosts)
+        self._new_machines.record_reported_hosts(host.host_id for host in report.hosts)
         now_s = get_loop_s()
         coming = (
             self.machines[name]
@@ -120,7 +120,7 @@
             and machine.hall not in silent_halls
             and (
                 machine.state in (MachineState.MOVING, MachineState.UPKEEP)
-                or self._newcomers.is_newcomer(machine, now_s)
+                or self._new_machines.is_new(machine, now_s)
             )
         )
         return PoolView(pool, report, machines, (*coming, *arriving))
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -43,7 +43,7 @@
         self.listed = record
         self.host: Host | None = self._begin_life(record.born_ms)
 
-    def note_listed(self, record: UpstreamHost) -> None:
+    def record_listing(self, record: UpstreamHost) -> None:
         """Take in what the host's entry says now."""
         self.listed = record
         host = self.host
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -135,7 +135,7 @@
             return self._waves.has_begun(target.wave, machine.name)
         return machine.pool == target.pool
 
-    def note_listed(self, asked_at_s: float) -> None:
+    def record_listing(self, asked_at_s: float) -> None:
         """Note that all orders done before a list was asked for show in it."""
         for name in [name for name, done_s in self._done_at_s.items() if done_s < asked_at_s]:
             del self._done_at_s[name]
--- a/src/robinthread/_internal/node/owner_checks.py
+++ b/src/robinthread/_internal/node/owner_checks.py
@@ -116,7 +116,7 @@
         absence = self._absences.get(owner)
         return None if absence is None else asyncio.get_running_loop().time() - absence.since_s
 
-    def note_listed(self, owner: Member) -> None:
+    def record_listing(self, owner: Member) -> None:
         """Note that an owner is listed."""
         self._absences.pop(owner, None)
 
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -37,7 +37,7 @@
         for host_id, follower in self._followers.items():
             follower.is_listed = host_id in own
         for host in list(self._jobs.hosts.values()):
-            host.note_listed(self._is_listed(host, own))
+            host.record_listing(self._is_listed(host, own))
             successor = lives.get(host.record.machine)
             if not host.is_listed and successor is not None and successor.id != host.record.id:
                 self._remove(host, "its machine is another host now", successor.id)
@@ -85,7 +85,7 @@
     def _follow(self, record: UpstreamHost) -> None:
         follower = self._followers.get(record.id)
         if follower is not None:
-            follower.lives.note_listed(record)
+            follower.lives.record_listing(record)
             return
         number = next(self._numbers)
         follower = HostFollower(self._runtime, record, self._recorder, self._orders, number)
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -12,7 +12,7 @@
 from robinthread._internal.durable.wave_records import WAVES_PARTITION
 from robinthread._internal.fleet.fleet_view import FleetPlan, FleetView
 from robinthread._internal.fleet.machine_errors import MachineError
-from robinthread._internal.fleet.newcomers import UNHEARD_MAX_S
+from robinthread._internal.fleet.new_machines import FIRST_REPORT_MAX_S
 from robinthread._internal.fleet.planner import FleetPlanner
 from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
 from robinthread._internal.fleet.sizing import PoolSize
@@ -208,7 +208,7 @@
             self._events.write("machines_unread", error=f"{type(error).__name__}: {error}")
             return False
         self._listed_at_s = asked_at_s
-        self._views.note_listed(listed, asked_at_s)
+        self._views.record_listing(listed, asked_at_s)
         return True
 
     async def _ask_pools(self) -> dict[str, PoolReport]:
@@ -265,4 +265,4 @@
     Two stewards take turns no faster, and until then the machine may be on its way.
     """
     away_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
-    return max(bounds.steward_turn_ms / 1000, away_s + UNHEARD_MAX_S)
+    return max(bounds.steward_turn_ms / 1000, away_s + FIRST_REPORT_MAX_S)
--- a/src/robinthread/_internal/node/unsettled_upkeep.py
+++ b/src/robinthread/_internal/node/unsettled_upkeep.py
@@ -39,7 +39,7 @@
         """Note that this steward's order for a machine was carried out."""
         self._wave_by_machine.pop(machine, None)
 
-    def note_listed(self, machines: Mapping[str, Machine]) -> None:
+    def record_listing(self, machines: Mapping[str, Machine]) -> None:
         """Take in a list of machines: upkeep that it shows has begun."""
         self._wave_by_machine = {
             machine: wave
--- a/src/robinthread/_internal/node/upkeep_lines.py
+++ b/src/robinthread/_internal/node/upkeep_lines.py
@@ -52,7 +52,7 @@
                     machines=_name(names),
                     in_reserve=sum(name in reserve for name in names),
                     down=_name(wave.down),
-                    doubtful=_name(wave.doubtful),
+                    doubtful=_name(wave.unconfirmed),
                     unsettled=_name(wave.unsettled),
                     at_once_max=wave.at_once_max,
                     pending_count=len(wave.pending),
@@ -73,12 +73,12 @@
 
     def _note_bound(self, wave: WaveView) -> None:
         """Tell of a wave that has too many down for sure; what is doubtful may be back."""
-        is_over = len(wave.down - wave.doubtful) > wave.at_once_max
+        is_over = len(wave.down - wave.unconfirmed) > wave.at_once_max
         if is_over and wave.number not in self._over_bound:
             self._events.write(
                 "wave_over_bound",
                 wave=wave.number,
-                down=_name(wave.down - wave.doubtful),
+                down=_name(wave.down - wave.unconfirmed),
                 at_once_max=wave.at_once_max,
             )
         (self._over_bound.add if is_over else self._over_bound.discard)(wave.number)
--- a/src/robinthread/_internal/node/wave_keeper.py
+++ b/src/robinthread/_internal/node/wave_keeper.py
@@ -110,7 +110,7 @@
             down=self._returns.list_down(members) | ordered | (open_orders - own),
             left_s=seen_at_s + wave.duration_s - get_loop_s(),
             unsettled=own,
-            doubtful=(self._returns.list_doubtful(members) | open_orders) - ordered - own,
+            unconfirmed=(self._returns.list_doubtful(members) | open_orders) - ordered - own,
         )
 
     async def show(self, waves: Iterable[UpkeepWave], machines: dict[str, Machine]) -> None:
--- a/tests/unit/test_ended_lives.py
+++ b/tests/unit/test_ended_incarnations.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.fleet.ended_lives import TOLD_FOR_S, EndedLives
+from robinthread._internal.fleet.ended_incarnations import REPORTED_FOR_S, EndedIncarnations
 from robinthread._internal.models.machine import Machine, MachineState
 from tests.lib.job_platforms import HOST_CAPACITY, POOL
 
@@ -17,11 +17,11 @@
         self._begin()
 
     def _begin(self) -> None:
-        self.lives = EndedLives()
+        self.lives = EndedIncarnations()
         self._list(0.0, UP)
 
     def _list(self, at_s: float, *machines: Machine) -> None:
-        self.lives.note_listed({machine.name: machine for machine in machines}, at_s)
+        self.lives.record_listing({machine.name: machine for machine in machines}, at_s)
 
     def test_machine_without_its_host_with_another_or_gone_has_ended_it(self) -> None:
         down = replace(UP, state=MachineState.DOWN, host_id="")
@@ -32,7 +32,7 @@
             self.assertEqual((), self.lives.list_for_pool("other"))
 
     def test_host_that_was_never_shown_has_not_ended(self) -> None:
-        self.lives = EndedLives()
+        self.lives = EndedIncarnations()
         self._list(0.0, replace(UP, state=MachineState.DOWN, host_id=""))
         self._list(1.0, UP)
         self.assertEqual((), self.lives.list_for_pool(POOL))
@@ -45,9 +45,9 @@
 
     def test_it_is_told_for_a_while(self) -> None:
         self._list(1.0)
-        self._list(0.9 + TOLD_FOR_S)
+        self._list(0.9 + REPORTED_FOR_S)
         self.assertEqual(("life1",), self.lives.list_for_pool(POOL))
-        self._list(1.0 + TOLD_FOR_S)
+        self._list(1.0 + REPORTED_FOR_S)
         self.assertEqual((), self.lives.list_for_pool(POOL))
 
     def test_host_that_is_listed_again_under_its_id_is_not_told(self) -> None:
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -138,13 +138,13 @@
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
         self.assertFalse(host.was_to_end())
-        host.note_listed(False)
+        host.record_listing(False)
         self.assertTrue(host.was_to_end())
-        host.note_listed(True)
+        host.record_listing(True)
         self.assertFalse(host.was_to_end())
         crashed = hosts.pool.hosts["h1"]
         crashed.note_failed(HostRefusedError("refused"), NOW_S)
-        crashed.note_listed(False)
+        crashed.record_listing(False)
         self.assertFalse(crashed.was_to_end())
 
     def test_lapsed_lease_makes_suspects_only_until_the_host_answers(self) -> None:
