--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -21,7 +21,7 @@
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.gate_outcome import GateOutcome
+from robinthread._internal.node.job_request_outcome import JobRequestOutcome
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, BirthTold, PlatformStandin
@@ -136,11 +136,11 @@
                 continue
             try:
                 async with asyncio.timeout(ANSWERED_WITHIN_S):
-                    gate = node.assembled.gate
-                    outcome = await gate.accept(spec, loop.time() + ANSWERED_WITHIN_S)
+                    job_service = node.assembled.job_service
+                    outcome = await job_service.accept(spec, loop.time() + ANSWERED_WITHIN_S)
             except TimeoutError:
                 continue
-            if outcome is GateOutcome.DONE:
+            if outcome is JobRequestOutcome.DONE:
                 return
             await asyncio.sleep(TRIES_AGAIN_S)
 
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -18,7 +18,7 @@
 from robinthread._internal.node.group_member import GroupMember
 from robinthread._internal.node.handover import Handover
 from robinthread._internal.node.host_directory import HostDirectory
-from robinthread._internal.node.job_gate import JobGate
+from robinthread._internal.node.job_service import JobService
 from robinthread._internal.node.loop_lag import LoopLag
 from robinthread._internal.node.node import Node
 from robinthread._internal.node.owned_pools import OwnedPools
@@ -46,7 +46,7 @@
     """A node and the parts that its listeners speak to."""
 
     node: Node
-    gate: JobGate
+    job_service: JobService
     owned: OwnedPools
     answers: PeerAnswers
     config_holder: ConfigHolder
@@ -118,7 +118,7 @@
         events,
         environment.policy.entry,
     )
-    gate = JobGate(me, record_writer, owned, table, environment.peers, events)
+    job_service = JobService(me, record_writer, owned, table, environment.peers, events)
 
     def make_steward(token: int, wait_s: float) -> Steward:
         return Steward(context, environment, table, owned, me, token, wait_s)
@@ -144,7 +144,7 @@
     ):
         node.spawn(work)
     answers = PeerAnswers(owned, record_writer, handover)
-    return AssembledNode(node, gate, owned, answers, config_holder, lag, readiness, standing)
+    return AssembledNode(node, job_service, owned, answers, config_holder, lag, readiness, standing)
 
 
 async def _read_to_end(follower: KeyedFollower) -> None:
--- a/src/robinthread/_internal/node/gate_outcome.py
+++ b/src/robinthread/_internal/node/job_request_outcome.py
@@ -3,7 +3,7 @@
 import enum
 
 
-class GateOutcome(enum.Enum):
+class JobRequestOutcome(enum.Enum):
     """Outcome of a caller's request.
 
     REFUSED: the store does not take it, so it has not run and will not.
--- a/src/robinthread/_internal/node/job_gate.py
+++ b/src/robinthread/_internal/node/job_service.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.models.workspace_policy import may_touch
-from robinthread._internal.node.gate_outcome import GateOutcome
+from robinthread._internal.node.job_request_outcome import JobRequestOutcome
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import (
@@ -32,10 +32,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobTold:
+class JobState:
     """Outcome of asking for a job, and its status where there is one."""
 
-    outcome: GateOutcome
+    outcome: JobRequestOutcome
     status: JobStatus | None = None
 
 
@@ -45,7 +45,7 @@
     workspace: str
 
 
-class JobGate:
+class JobService:
     """Takes jobs in, cancels them and tells their state, at any node.
 
     A caller's ``workspace`` is None where the queue asks for no key.  What is another one's
@@ -72,16 +72,16 @@
         self._ended: dict[str, _EndedJob] = {}
         self._pending: dict[str, tuple[float, dict[str, int]]] = {}
 
-    async def accept(self, spec: JobSpec, deadline_s: float) -> GateOutcome:
+    async def accept(self, spec: JobSpec, deadline_s: float) -> JobRequestOutcome:
         """Take a job in; done means that the store keeps it."""
         accepted_of = self._accepted.get(spec.job_id)
         if accepted_of is not None:
             # One without a workspace was handed in while its queue was public.
             is_same = not spec.workspace or may_touch(spec.workspace, accepted_of)
-            return GateOutcome.DONE if is_same else GateOutcome.ID_TAKEN
+            return JobRequestOutcome.DONE if is_same else JobRequestOutcome.ID_TAKEN
         copy = f"{self._me.life}.{next(self._copies)}"
         outcome = await self._records.write(make_job_record(spec, copy), deadline_s)
-        if outcome is GateOutcome.DONE:
+        if outcome is JobRequestOutcome.DONE:
             _remember(self._accepted, spec.job_id, spec.workspace)
             self._events.write(
                 "job_accepted",
@@ -100,38 +100,38 @@
 
     async def cancel(
         self, queue: QueuePolicy, job_id: str, deadline_s: float, workspace: str | None = None
-    ) -> GateOutcome:
+    ) -> JobRequestOutcome:
         """Cancel a job; done means that the store keeps it.
 
         Where it can't be told now whose job it is, its owner sees that when it reads the record.
         """
         told = await self.get_status(queue, job_id, workspace)
-        if told.outcome is GateOutcome.NO_SUCH_JOB:
-            return GateOutcome.NO_SUCH_JOB
+        if told.outcome is JobRequestOutcome.NO_SUCH_JOB:
+            return JobRequestOutcome.NO_SUCH_JOB
         if told.status is not None and told.status.is_final:
-            return GateOutcome.DONE
+            return JobRequestOutcome.DONE
         return await self._records.write(make_cancel_record(job_id, workspace), deadline_s)
 
     async def get_status(
         self, queue: QueuePolicy, job_id: str, workspace: str | None = None
-    ) -> JobTold:
+    ) -> JobState:
         """Tell a job's status as its pool's owner knows it."""
         ended = self._ended.get(job_id)
         if ended is not None:
             if not may_touch(workspace, ended.workspace):
-                return JobTold(GateOutcome.NO_SUCH_JOB)
-            return JobTold(GateOutcome.DONE, ended.status)
+                return JobState(JobRequestOutcome.NO_SUCH_JOB)
+            return JobState(JobRequestOutcome.DONE, ended.status)
         answer = await self._ask_job(queue.pool, job_id)
         if answer.is_owner and not answer.status and answer.pool not in ("", queue.pool):
             answer = await self._ask_job(answer.pool, job_id)
         if not answer.is_owner or (answer.pool and not answer.status):
-            return JobTold(GateOutcome.OWNER_UNREACHABLE)
+            return JobState(JobRequestOutcome.OWNER_UNREACHABLE)
         if not answer.pool or not may_touch(workspace, answer.workspace):
-            return JobTold(GateOutcome.NO_SUCH_JOB)
+            return JobState(JobRequestOutcome.NO_SUCH_JOB)
         status = JobStatus(answer.status)
         if status.is_final:
             _remember(self._ended, job_id, _EndedJob(status, answer.workspace))
-        return JobTold(GateOutcome.DONE, status)
+        return JobState(JobRequestOutcome.DONE, status)
 
     async def count_pending(self, queue: QueuePolicy) -> int | None:
         """Count the queue's jobs of which nothing has begun; None where unknown."""
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -93,7 +93,7 @@
 
 
 class RelayAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """Outcome of a relayed record: the value of a ``GateOutcome``."""
+    """Outcome of a relayed record: the value of a ``JobRequestOutcome``."""
 
     outcome: str
 
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -141,7 +141,7 @@
     listen(make_ready_application(assembled.readiness.look), settings.ready_address)
     listen(make_peer_application(assembled.answers), peer_address)
     application = make_callers_application(
-        assembled.gate, assembled.config_holder, events, requests
+        assembled.job_service, assembled.config_holder, events, requests
     )
     return listen(application, settings.caller_address)
 
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -8,9 +8,9 @@
 from robinthread._internal.durable.ownership import Member, OwnerTable
 from robinthread._internal.durable.store import KeyedRecord
 from robinthread._internal.node.election import FLEET
-from robinthread._internal.node.gate_outcome import GateOutcome
 from robinthread._internal.node.group_member import GroupMember
 from robinthread._internal.node.handover import Handover
+from robinthread._internal.node.job_request_outcome import JobRequestOutcome
 from robinthread._internal.node.peer_calls import (
     PeerCalls,
     PeerUnreachableError,
@@ -56,7 +56,7 @@
         self._events = events
         self._policy = policy
 
-    async def write(self, record: KeyedRecord, deadline_s: float) -> GateOutcome:
+    async def write(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
         """Append a record, here or through another node."""
         if self._member.is_cut_off:
             outcome = await self._relay(record, deadline_s)
@@ -64,9 +64,9 @@
             outcome = await self._gather(record, deadline_s)
         else:
             outcome = await self._append(record, deadline_s)
-            if outcome is GateOutcome.REFUSED:
+            if outcome is JobRequestOutcome.REFUSED:
                 outcome = await self._gather(record, deadline_s, may_append=False)
-        if outcome is GateOutcome.REFUSED:
+        if outcome is JobRequestOutcome.REFUSED:
             self._events.write(
                 "record_refused",
                 job=record.key.split("/")[1],
@@ -77,15 +77,15 @@
             )
         return outcome
 
-    async def write_relayed(self, record: KeyedRecord, deadline_s: float) -> GateOutcome:
+    async def write_relayed(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
         """Append a record for a node that the store does not serve, or serves slowly."""
         if self._member.is_cut_off:
-            return GateOutcome.REFUSED
+            return JobRequestOutcome.REFUSED
         return await self._append(record, deadline_s)
 
     async def _gather(
         self, record: KeyedRecord, deadline_s: float, may_append: bool = True
-    ) -> GateOutcome:
+    ) -> JobRequestOutcome:
         """Have the one node append a record that does so for all; else, perhaps, this one.
 
         A relay that takes long tells that the store is slow still.
@@ -95,9 +95,9 @@
             began_at_s = asyncio.get_running_loop().time()
             outcome = await self._relay_to(gatherer, record, deadline_s)
             self._writer.pace.note_took(asyncio.get_running_loop().time() - began_at_s)
-            if outcome is not GateOutcome.REFUSED:
+            if outcome is not JobRequestOutcome.REFUSED:
                 return outcome
-        return await self._append(record, deadline_s) if may_append else GateOutcome.REFUSED
+        return await self._append(record, deadline_s) if may_append else JobRequestOutcome.REFUSED
 
     def _find_gatherer(self) -> Member | None:
         """Return the node that appends for all, unless that is this one or there is none."""
@@ -106,31 +106,31 @@
             return None
         return None if steward.owner.node == self._me.node else steward.owner
 
-    async def _relay(self, record: KeyedRecord, deadline_s: float) -> GateOutcome:
+    async def _relay(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
         """Have a node that the store serves append a record; refused where none will."""
         for member in self._handover.served[:RELAYS_MAX]:
             outcome = await self._relay_to(member, record, deadline_s)
-            if outcome is not GateOutcome.REFUSED:
+            if outcome is not JobRequestOutcome.REFUSED:
                 return outcome
-        return GateOutcome.REFUSED
+        return JobRequestOutcome.REFUSED
 
     async def _relay_to(
         self, member: Member, record: KeyedRecord, deadline_s: float
-    ) -> GateOutcome:
+    ) -> JobRequestOutcome:
         left_s = deadline_s - asyncio.get_running_loop().time()
         if left_s <= 0:
-            return GateOutcome.REFUSED
+            return JobRequestOutcome.REFUSED
         timeout_s = min(left_s, RELAY_TIMEOUT_S)
         question = RelayQuestion(record.key, record.value or b"", timeout_s)
         try:
             answer = await self._peers.ask(member.address, question, RelayAnswer, timeout_s)
         except PeerUnsentError:
-            return GateOutcome.REFUSED
+            return JobRequestOutcome.REFUSED
         except PeerUnreachableError as error:
             self._note_unknown(record, member.node, error)
-            return GateOutcome.UNKNOWN
-        outcome = GateOutcome(answer.outcome)
-        if outcome is not GateOutcome.REFUSED:
+            return JobRequestOutcome.UNKNOWN
+        outcome = JobRequestOutcome(answer.outcome)
+        if outcome is not JobRequestOutcome.REFUSED:
             self._events.gather(
                 "request_relayed",
                 by={"relay": member.node, "outcome": outcome.value},
@@ -138,7 +138,7 @@
             )
         return outcome
 
-    async def _append(self, record: KeyedRecord, deadline_s: float) -> GateOutcome:
+    async def _append(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
         try:
             await self._writer.write(record, deadline_s)
         except StoreRefusedError as error:
@@ -148,11 +148,11 @@
                 key=record.key,
                 error=f"{type(error).__name__}: {error}",
             )
-            return GateOutcome.REFUSED
+            return JobRequestOutcome.REFUSED
         except StoreNoAnswerError as error:
             self._note_unknown(record, "", error)
-            return GateOutcome.UNKNOWN
-        return GateOutcome.DONE
+            return JobRequestOutcome.UNKNOWN
+        return JobRequestOutcome.DONE
 
     def _note_unknown(self, record: KeyedRecord, relay: str, error: Exception) -> None:
         self._events.write(
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -14,7 +14,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.node.config_holder import ConfigHolder
-from robinthread._internal.node.job_gate import GateOutcome, JobGate
+from robinthread._internal.node.job_service import JobRequestOutcome, JobService
 from robinthread._internal.node.open_requests import OpenRequests
 from robinthread._internal.results import MEANINGS, ResultCode
 from robinthread._internal.telemetry.event_log import EventLog
@@ -29,12 +29,12 @@
 ANSWER_MARGIN_S: Final = 0.1
 # Number and status of each outcome of a call.
 OUTCOME_CODES: Final = {
-    GateOutcome.DONE: (ResultCode.OK, 200),
-    GateOutcome.REFUSED: (ResultCode.PLATFORM_OUT, 503),
-    GateOutcome.OWNER_UNREACHABLE: (ResultCode.POOL_OWNER_UNREACHABLE, 503),
-    GateOutcome.NO_SUCH_JOB: (ResultCode.NOT_FOUND, 410),
-    GateOutcome.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, 504),
-    GateOutcome.ID_TAKEN: (ResultCode.JOB_ID_TAKEN, 409),
+    JobRequestOutcome.DONE: (ResultCode.OK, 200),
+    JobRequestOutcome.REFUSED: (ResultCode.PLATFORM_OUT, 503),
+    JobRequestOutcome.OWNER_UNREACHABLE: (ResultCode.POOL_OWNER_UNREACHABLE, 503),
+    JobRequestOutcome.NO_SUCH_JOB: (ResultCode.NOT_FOUND, 410),
+    JobRequestOutcome.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, 504),
+    JobRequestOutcome.ID_TAKEN: (ResultCode.JOB_ID_TAKEN, 409),
 }
 # When a caller that was refused should come back.
 RETRY_AFTER_S: Final = 1
@@ -100,14 +100,14 @@
 
     def initialize(  # type: ignore[override]
         self,
-        gate: JobGate,
+        job_service: JobService,
         config_holder: ConfigHolder,
         events: EventLog,
         requests: OpenRequests,
     ) -> None:
         """Take what answers."""
         self._requests = requests
-        self._gate = gate
+        self._job_service = job_service
         self._config_holder = config_holder
         self._events = events
 
@@ -126,7 +126,9 @@
     def give_up(self) -> None:
         """Answer before the outcome is known."""
         is_read = self.request.method == "GET"
-        self._answer_outcome(GateOutcome.OWNER_UNREACHABLE if is_read else GateOutcome.UNKNOWN)
+        self._answer_outcome(
+            JobRequestOutcome.OWNER_UNREACHABLE if is_read else JobRequestOutcome.UNKNOWN
+        )
 
     async def post(self) -> None:
         """Take a job in."""
@@ -138,7 +140,7 @@
         except (msgspec.MsgspecError, ValueError) as error:
             self._answer(400, ResultCode.BAD_REQUEST, error=str(error))
             return
-        self._answer_outcome(await self._gate.accept(spec, self._get_deadline_s()))
+        self._answer_outcome(await self._job_service.accept(spec, self._get_deadline_s()))
 
     async def get(self) -> None:
         """Tell a job's state, or a queue's count of pending jobs."""
@@ -146,13 +148,13 @@
         if call is None:
             return
         if not call.rest:
-            count = await self._gate.count_pending(call.queue)
+            count = await self._job_service.count_pending(call.queue)
             if count is None:
-                self._answer_outcome(GateOutcome.OWNER_UNREACHABLE)
+                self._answer_outcome(JobRequestOutcome.OWNER_UNREACHABLE)
             else:
                 self._answer(200, ResultCode.OK, pending=count)
             return
-        told = await self._gate.get_status(call.queue, call.rest, call.workspace)
+        told = await self._job_service.get_status(call.queue, call.rest, call.workspace)
         if told.status is not None:
             self._answer(200, ResultCode.OK, state=STATUS_WORDS[told.status])
         else:
@@ -164,7 +166,9 @@
         if call is None:
             return
         self._answer_outcome(
-            await self._gate.cancel(call.queue, call.rest, self._get_deadline_s(), call.workspace)
+            await self._job_service.cancel(
+                call.queue, call.rest, self._get_deadline_s(), call.workspace
+            )
         )
 
     def _find(self) -> _Call | None:
@@ -195,7 +199,7 @@
         left_s = int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
         return asyncio.get_running_loop().time() + max(0.0, left_s - ANSWER_MARGIN_S)
 
-    def _answer_outcome(self, outcome: GateOutcome) -> None:
+    def _answer_outcome(self, outcome: JobRequestOutcome) -> None:
         code, status = OUTCOME_CODES[outcome]
         self._answer(status, code)
 
@@ -248,11 +252,11 @@
 
 
 def make_callers_application(
-    gate: JobGate, config_holder: ConfigHolder, events: EventLog, requests: OpenRequests
+    job_service: JobService, config_holder: ConfigHolder, events: EventLog, requests: OpenRequests
 ) -> Application:
     """Make the callers' listener."""
     arguments = {
-        "gate": gate,
+        "job_service": job_service,
         "config_holder": config_holder,
         "events": events,
         "requests": requests,
--- a/tests/functional/test_answers_while_stopping.py
+++ b/tests/functional/test_answers_while_stopping.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from tests.lib.job_platforms import (
     QUEUE,
     get_others,
@@ -31,12 +31,12 @@
             spec = make_job(JOB)
             platform.store.faults.latency_s = 0.3
             outcome = await hand_in(platform, other, spec)
-            self.assertEqual(GateOutcome.DONE, outcome)
-            asking = asyncio.create_task(node.gate.get_status(QUEUE, spec.job_id))
+            self.assertEqual(JobRequestOutcome.DONE, outcome)
+            asking = asyncio.create_task(node.job_service.get_status(QUEUE, spec.job_id))
             await asyncio.sleep(0.01)
             stopping = asyncio.create_task(node.node.stop(make_stop_budget(platform)))
             told = await asking
-            self.assertNotEqual(GateOutcome.NO_SUCH_JOB, told.outcome)
+            self.assertNotEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
             await stopping
 
         run_virtual(work())
--- a/tests/functional/test_jobs_of_workspaces.py
+++ b/tests/functional/test_jobs_of_workspaces.py
@@ -9,7 +9,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.workspace_policy import WorkspacePolicy, digest_keys
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
@@ -42,17 +42,17 @@
 
 async def ask(platform: PlatformStandin, node: str, job_id: str, workspace: str | None) -> object:
     """Ask for a job; return its status, or the outcome where there is none."""
-    gate = platform.nodes[node].assembled.gate
-    told = await gate.get_status(QUEUE, job_id, workspace)
+    job_service = platform.nodes[node].assembled.job_service
+    told = await job_service.get_status(QUEUE, job_id, workspace)
     return told.status or told.outcome
 
 
 async def cancel_as(
     platform: PlatformStandin, node: str, job_id: str, workspace: str | None
-) -> GateOutcome:
+) -> JobRequestOutcome:
     """Cancel a job in a workspace's name."""
-    gate = platform.nodes[node].assembled.gate
-    return await gate.cancel(QUEUE, job_id, asyncio.get_running_loop().time() + 3, workspace)
+    job_service = platform.nodes[node].assembled.job_service
+    return await job_service.cancel(QUEUE, job_id, asyncio.get_running_loop().time() + 3, workspace)
 
 
 def list_known(platform: PlatformStandin, node: str) -> list[str]:
@@ -70,10 +70,11 @@
             await hand_in(platform, "node0", spec)
             for node in platform.nodes:
                 self.assertEqual(
-                    GateOutcome.NO_SUCH_JOB, await ask(platform, node, spec.job_id, "shop")
+                    JobRequestOutcome.NO_SUCH_JOB, await ask(platform, node, spec.job_id, "shop")
                 )
                 self.assertEqual(
-                    GateOutcome.NO_SUCH_JOB, await cancel_as(platform, node, spec.job_id, "shop")
+                    JobRequestOutcome.NO_SUCH_JOB,
+                    await cancel_as(platform, node, spec.job_id, "shop"),
                 )
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             for node in platform.nodes:
@@ -83,7 +84,8 @@
                         for workspace in ("maps", None, "shop")
                     ]
                     self.assertEqual(
-                        [JobStatus.SUCCEEDED, JobStatus.SUCCEEDED, GateOutcome.NO_SUCH_JOB], told
+                        [JobStatus.SUCCEEDED, JobStatus.SUCCEEDED, JobRequestOutcome.NO_SUCH_JOB],
+                        told,
                     )
 
         run_virtual(work())
@@ -101,13 +103,13 @@
             platform.cut_nodes.add(owner)
             for workspace in ("shop", "maps-2"):
                 outcome = await cancel_as(platform, other, spec.job_id, workspace)
-                self.assertEqual(GateOutcome.DONE, outcome)
+                self.assertEqual(JobRequestOutcome.DONE, outcome)
             platform.cut_nodes.discard(owner)
             await asyncio.sleep(4)
             self.assertEqual(JobStatus.RUNNING, await ask(platform, other, spec.job_id, "maps"))
             platform.cut_nodes.add(owner)
             self.assertEqual(
-                GateOutcome.DONE, await cancel_as(platform, other, spec.job_id, "maps")
+                JobRequestOutcome.DONE, await cancel_as(platform, other, spec.job_id, "maps")
             )
             platform.cut_nodes.discard(owner)
             await wait_for_status(platform, spec.job_id, JobStatus.CANCELLED)
@@ -135,15 +137,15 @@
             platform = await start_platform()
             first = make_owned(1, "maps")
             second = replace_spec(make_job(1, LONG), "shop")
-            self.assertEqual(GateOutcome.DONE, await hand_in(platform, "node0", first))
-            self.assertEqual(GateOutcome.ID_TAKEN, await hand_in(platform, "node0", second))
+            self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", first))
+            self.assertEqual(JobRequestOutcome.ID_TAKEN, await hand_in(platform, "node0", second))
             # Another node has not seen the first one: the log's order decides.
             await hand_in(platform, "node1", second)
             await wait_for_status(platform, first.job_id, JobStatus.SUCCEEDED)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
             told = await ask(platform, "node2", first.job_id, "shop")
-            self.assertEqual(GateOutcome.NO_SUCH_JOB, told)
-            self.assertEqual(GateOutcome.DONE, await hand_in(platform, "node0", first))
+            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, told)
+            self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", first))
 
         run_virtual(work())
 
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from robinthread._internal.models.job_status import JobStatus
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from tests.lib.job_platforms import (
     QUEUE,
     cancel,
@@ -26,7 +26,7 @@
         async def work() -> None:
             platform = await start_platform()
             spec = make_job(1)
-            self.assertEqual(GateOutcome.DONE, await hand_in(platform, "node0", spec))
+            self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", spec))
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             for name in platform.nodes:
                 status = await get_status(platform, name, spec.job_id)
@@ -42,7 +42,7 @@
             spec = make_job(1)
             await hand_in(platform, "node0", spec)
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 4)
-            self.assertEqual(GateOutcome.DONE, await cancel(platform, "node2", spec.job_id))
+            self.assertEqual(JobRequestOutcome.DONE, await cancel(platform, "node2", spec.job_id))
             await asyncio.sleep(3.5)
             status = await get_status(platform, "node1", spec.job_id)
             self.assertEqual(JobStatus.CANCELLED, status)
@@ -58,7 +58,7 @@
             outcomes = await asyncio.gather(
                 *(hand_in(platform, name, spec) for name in platform.nodes)
             )
-            self.assertEqual([GateOutcome.DONE] * 3, outcomes)
+            self.assertEqual([JobRequestOutcome.DONE] * 3, outcomes)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             await hand_in(platform, "node1", spec)
             await asyncio.sleep(3)
@@ -76,7 +76,7 @@
                 *(hand_in(platform, nodes[number % 3], spec) for number, spec in enumerate(specs))
             )
             platform.store.faults.lost_share = 0.0
-            self.assertTrue(set(outcomes) <= {GateOutcome.DONE, GateOutcome.UNKNOWN})
+            self.assertTrue(set(outcomes) <= {JobRequestOutcome.DONE, JobRequestOutcome.UNKNOWN})
             await wait_until_done(platform, specs)
             self.assertEqual(30, len(platform.hosts.ledger.runs))
             self.assertEqual([], find_breaks(platform))
@@ -86,12 +86,12 @@
     def test_unknown_job_is_told_from_one_that_cannot_be_looked_up(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            gate = platform.nodes["node0"].assembled.gate
-            told = await gate.get_status(QUEUE, "f" * 16)
-            self.assertEqual(GateOutcome.NO_SUCH_JOB, told.outcome)
+            job_service = platform.nodes["node0"].assembled.job_service
+            told = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
             platform.store.faults.silent.add("*")
-            told = await gate.get_status(QUEUE, "f" * 16)
-            self.assertEqual(GateOutcome.OWNER_UNREACHABLE, told.outcome)
+            told = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.OWNER_UNREACHABLE, told.outcome)
 
         run_virtual(work())
 
@@ -102,7 +102,7 @@
             loop = asyncio.get_running_loop()
             began_at_s = loop.time()
             outcome = await hand_in(platform, "node0", make_job(1))
-            self.assertEqual(GateOutcome.UNKNOWN, outcome)
+            self.assertEqual(JobRequestOutcome.UNKNOWN, outcome)
             self.assertLess(loop.time() - began_at_s, 1.5)
 
         run_virtual(work())
@@ -114,7 +114,7 @@
                 platform.store.faults.refused.add(name)
             for number, name in enumerate(platform.nodes):
                 refused = await hand_in(platform, name, make_job(number))
-                self.assertEqual(GateOutcome.REFUSED, refused)
+                self.assertEqual(JobRequestOutcome.REFUSED, refused)
             platform.store.faults.refused.clear()
             await asyncio.sleep(10)
             self.assertEqual([], platform.hosts.ledger.runs)
--- a/tests/functional/test_keys_at_the_door.py
+++ b/tests/functional/test_keys_at_the_door.py
@@ -60,7 +60,7 @@
                 self.assertEqual([401] * 4, await get_statuses(site, key), str(key))
             answer = await site.call(*CALLS[0], "wrong")
             self.assertEqual(317, json.loads(answer.body)["code"])
-            self.assertEqual([], site.gate.accepted + site.gate.asked_by)
+            self.assertEqual([], site.job_service.accepted + site.job_service.asked_by)
 
         self.run_on(work)
 
@@ -70,8 +70,8 @@
             for key in ("a", "b"):
                 self.assertEqual([200] * 4, await get_statuses(site, key))
             self.assertEqual(200, (await site.call(*CALLS[1], authorization="bearer  c")).code)
-            self.assertEqual({"maps"}, {spec.workspace for spec in site.gate.accepted})
-            self.assertEqual(["maps"] * 4 + ["shop"], site.gate.asked_by)
+            self.assertEqual({"maps"}, {spec.workspace for spec in site.job_service.accepted})
+            self.assertEqual(["maps"] * 4 + ["shop"], site.job_service.asked_by)
             for other in ("a", "Basic a", "Bearer", "Bearera"):
                 self.assertEqual(401, (await site.call(*CALLS[1], authorization=other)).code)
 
@@ -101,7 +101,7 @@
             site.configure(**make_config(1, {"maps": ["a"]}, public=True))
             for key in (None, "wrong", "a"):
                 self.assertEqual([200] * 4, await get_statuses(site, key))
-            self.assertEqual({""}, {spec.workspace for spec in site.gate.accepted})
+            self.assertEqual({""}, {spec.workspace for spec in site.job_service.accepted})
             site.configure(**make_config(2, {"maps": ["a"]}, public=False))
             self.assertEqual([401] * 4, await get_statuses(site, None))
             self.assertEqual(200, (await site.call("GET", CARDS + JOB_ID)).code)
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_nodes_left_out.py
@@ -9,7 +9,7 @@
 from robinthread._internal.durable.ownership import OWNERS_PARTITION
 from robinthread._internal.durable.store import NewestPage, Partition
 from robinthread._internal.node.election import FLEET
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.node.peer_calls import ASK_TIMEOUT_S, PeerUnreachableError
 from robinthread._internal.node.peer_messages import RelayQuestion
 from robinthread._internal.standins.node_settings_standin import BOUNDS
@@ -31,7 +31,7 @@
 
 def silence_relays(platform: PlatformStandin, node: str) -> None:
     """Have what a node relays go out on connections that have gone silent."""
-    peers = platform.nodes[node].assembled.gate._peers
+    peers = platform.nodes[node].assembled.job_service._peers
     ask = peers.ask
 
     async def lose(
@@ -69,7 +69,7 @@
             await asyncio.sleep(1.5)
             silence_relays(platform, name)
             began_at_s = asyncio.get_running_loop().time()
-            self.assertEqual(GateOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
+            self.assertEqual(JobRequestOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
             self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAYED_WITHIN_S)
 
         run_virtual(work())
--- a/tests/functional/test_owner_changes.py
+++ b/tests/functional/test_owner_changes.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
     cancel,
@@ -115,7 +115,7 @@
             owner = get_owner(platform)
             assert owner is not None
             other = get_others(platform)[0]
-            self.assertEqual(GateOutcome.DONE, await cancel(platform, other, spec.job_id))
+            self.assertEqual(JobRequestOutcome.DONE, await cancel(platform, other, spec.job_id))
             platform.kill_node(owner)
             await asyncio.sleep(6)
             self.assertTrue(all(run.ended_at_s for run in platform.hosts.ledger.runs))
--- a/tests/functional/test_slow_appends.py
+++ b/tests/functional/test_slow_appends.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from robinthread._internal.models.job_status import JobStatus
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.settings.policy_settings import EntryPolicy, PolicySettings
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
@@ -53,11 +53,13 @@
     loop = asyncio.get_running_loop()
     began_at_s = loop.time()
     for attempt in itertools.count():
-        gate = platform.nodes[f"node{(7 * number + 11 * attempt) % NODES}"].assembled.gate
-        outcome = await gate.accept(make_job(number), began_at_s + TIME_S)
+        job_service = platform.nodes[
+            f"node{(7 * number + 11 * attempt) % NODES}"
+        ].assembled.job_service
+        outcome = await job_service.accept(make_job(number), began_at_s + TIME_S)
         took_s = loop.time() - began_at_s
-        if outcome is GateOutcome.DONE or took_s > TIME_S:
-            return outcome is GateOutcome.DONE and took_s <= TIME_S, took_s
+        if outcome is JobRequestOutcome.DONE or took_s > TIME_S:
+            return outcome is JobRequestOutcome.DONE and took_s <= TIME_S, took_s
         await asyncio.sleep(PAUSE_S)
     raise AssertionError
 
--- a/tests/functional/test_turned_away_nodes.py
+++ b/tests/functional/test_turned_away_nodes.py
@@ -7,7 +7,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.node.election import FLEET
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
@@ -92,10 +92,12 @@
             platform.store.faults.refused.add("node1")
             await asyncio.sleep(1.0)
             spec = make_job(1)
-            self.assertEqual(GateOutcome.DONE, await hand_in(platform, "node1", spec))
+            self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node1", spec))
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             platform.store.faults.refused.add("*")
-            self.assertEqual(GateOutcome.REFUSED, await hand_in(platform, "node1", make_job(2)))
+            self.assertEqual(
+                JobRequestOutcome.REFUSED, await hand_in(platform, "node1", make_job(2))
+            )
             platform.store.faults.refused.clear()
             await asyncio.sleep(5)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -6,7 +6,7 @@
 from robinthread._internal.models.job_spec import JobSpec
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from tests.lib.back_site import FIRST_QUICK, QUICK, SLACK_S, STRETCH, TASK_S, Handed, Site
 from tests.lib.job_platforms import make_job
 
@@ -36,7 +36,7 @@
     handed = Handed(spec, loop.time())
     site.handed.append(handed)
     for _try in range(TRIES_MAX):
-        if await _try_once(site, spec, handed.at_s + BUDGET_S) is GateOutcome.DONE:
+        if await _try_once(site, spec, handed.at_s + BUDGET_S) is JobRequestOutcome.DONE:
             handed.accepted_at_s = loop.time()
             break
         await asyncio.sleep(RETRY_PAUSE_S)
@@ -56,7 +56,7 @@
     return site.random.choice(names) if names else None
 
 
-async def _try_once(site: Site, spec: JobSpec, until_s: float) -> GateOutcome | None:
+async def _try_once(site: Site, spec: JobSpec, until_s: float) -> JobRequestOutcome | None:
     name = _draw_node(site)
     left_s = until_s - asyncio.get_running_loop().time()
     if name is None or left_s <= 0:
@@ -64,10 +64,10 @@
     node = site.platform.nodes[name].assembled
     if node.config_holder.config is None:
         # One that knows no queues yet takes nothing.
-        return GateOutcome.REFUSED
+        return JobRequestOutcome.REFUSED
     try:
         async with asyncio.timeout(left_s):
-            return await node.gate.accept(spec, until_s)
+            return await node.job_service.accept(spec, until_s)
     except TimeoutError:
         # A node that was killed answers nothing.
         return None
@@ -81,7 +81,9 @@
     queue = QueuePolicy(spec.queue, "", "/", spec.pool)
     try:
         async with asyncio.timeout(BUDGET_S):
-            told = await site.platform.nodes[name].assembled.gate.get_status(queue, spec.job_id)
+            told = await site.platform.nodes[name].assembled.job_service.get_status(
+                queue, spec.job_id
+            )
     except TimeoutError:
         return False
     return told.status is JobStatus.SUCCEEDED
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from robinthread._internal.standins.run_ledger import LedgerRun
@@ -139,9 +139,9 @@
     )
     pool = site.pools[number]
     spec = make_job(number, step, queue=f"queue-{pool}", pool=pool)
-    gate = site.platform.nodes[site.names[number]].assembled.gate
-    outcome = await gate.accept(spec, asyncio.get_running_loop().time() + 3)
-    assert outcome is GateOutcome.DONE
+    job_service = site.platform.nodes[site.names[number]].assembled.job_service
+    outcome = await job_service.accept(spec, asyncio.get_running_loop().time() + 3)
+    assert outcome is JobRequestOutcome.DONE
 
 
 def start_node(site: Site, name: str) -> None:
--- a/tests/lib/caller_calls.py
+++ b/tests/lib/caller_calls.py
@@ -14,7 +14,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.node.config_holder import ConfigHolder
-from robinthread._internal.node.job_gate import GateOutcome, JobGate, JobTold
+from robinthread._internal.node.job_service import JobRequestOutcome, JobService, JobState
 from robinthread._internal.node.open_requests import OpenRequests
 from robinthread._internal.platform.callers import make_callers_application
 from robinthread._internal.platform.operators import parse_config
@@ -26,28 +26,28 @@
 
 
 @dataclass
-class SeenGate:
+class RecordingJobService:
     """A gate that takes everything, and keeps what reached it."""
 
     accepted: list[JobSpec] = field(default_factory=list)
     asked_by: list[str | None] = field(default_factory=list)
 
-    async def accept(self, spec: JobSpec, deadline_s: float) -> GateOutcome:
+    async def accept(self, spec: JobSpec, deadline_s: float) -> JobRequestOutcome:
         """Take a job."""
         self.accepted.append(spec)
-        return GateOutcome.DONE
+        return JobRequestOutcome.DONE
 
-    async def get_status(self, queue: QueuePolicy, job_id: str, workspace: str | None) -> JobTold:
+    async def get_status(self, queue: QueuePolicy, job_id: str, workspace: str | None) -> JobState:
         """Tell that a job runs."""
         self.asked_by.append(workspace)
-        return JobTold(GateOutcome.DONE, JobStatus.RUNNING)
+        return JobState(JobRequestOutcome.DONE, JobStatus.RUNNING)
 
     async def cancel(
         self, queue: QueuePolicy, job_id: str, deadline_s: float, workspace: str | None
-    ) -> GateOutcome:
+    ) -> JobRequestOutcome:
         """Cancel a job."""
         self.asked_by.append(workspace)
-        return GateOutcome.DONE
+        return JobRequestOutcome.DONE
 
     async def count_pending(self, queue: QueuePolicy) -> int:
         """Count what waits."""
@@ -59,7 +59,7 @@
     """A listener, what reached the gate behind it, and the lines that it wrote."""
 
     port: int
-    gate: SeenGate
+    job_service: RecordingJobService
     holder: ConfigHolder
     lines: list[bytes]
     events: EventLog
@@ -90,12 +90,14 @@
     lines: list[bytes] = []
     events = EventLog("n", lines.append)
     holder = ConfigHolder(RECORDS, events)
-    gate = SeenGate()
+    job_service = RecordingJobService()
     socket, port = bind_unused_port()
-    application = make_callers_application(cast(JobGate, gate), holder, events, OpenRequests())
+    application = make_callers_application(
+        cast(JobService, job_service), holder, events, OpenRequests()
+    )
     server = HTTPServer(application)
     server.add_sockets([socket])
     try:
-        yield CallersSite(port, gate, holder, lines, events)
+        yield CallersSite(port, job_service, holder, lines, events)
     finally:
         server.stop()
--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -9,7 +9,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from robinthread._internal.standins.run_ledger import LedgerRun
@@ -94,7 +94,7 @@
                 except TimeoutError:
                     # A node that was killed meanwhile; the job's id makes it one.
                     continue
-                if outcome is GateOutcome.DONE:
+                if outcome is JobRequestOutcome.DONE:
                     return
         await asyncio.sleep(0.2)
 
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import BirthTold, PlatformStandin
 from robinthread._internal.standins.run_ledger import LedgerRun
@@ -210,7 +210,7 @@
     except TimeoutError:
         # Whoever asks a node that is killed sees its connection end.
         assert platform.nodes.get(node) is not asked, f"{node} has not answered"
-    return HandedIn(spec.job_id, at_s, outcome is GateOutcome.DONE)
+    return HandedIn(spec.job_id, at_s, outcome is JobRequestOutcome.DONE)
 
 
 async def _wait_until_shown(platform: PlatformStandin, jobs: set[str]) -> set[str]:
--- a/tests/lib/job_platforms.py
+++ b/tests/lib/job_platforms.py
@@ -9,7 +9,7 @@
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.node.stop_budget import StopBudget
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.node_settings_standin import BOUNDS
@@ -82,10 +82,10 @@
     return [name for name in platform.nodes if name != get_owner(platform)]
 
 
-async def hand_in(platform: PlatformStandin, node: str, spec: JobSpec) -> GateOutcome:
+async def hand_in(platform: PlatformStandin, node: str, spec: JobSpec) -> JobRequestOutcome:
     """Hand a job in at a node."""
-    gate = platform.nodes[node].assembled.gate
-    return await gate.accept(spec, asyncio.get_running_loop().time() + 3)
+    job_service = platform.nodes[node].assembled.job_service
+    return await job_service.accept(spec, asyncio.get_running_loop().time() + 3)
 
 
 async def hand_in_all(platform: PlatformStandin, node: str, specs: Iterable[JobSpec]) -> None:
@@ -94,19 +94,19 @@
         await hand_in(platform, node, spec)
 
 
-async def cancel(platform: PlatformStandin, node: str, job_id: str) -> GateOutcome:
+async def cancel(platform: PlatformStandin, node: str, job_id: str) -> JobRequestOutcome:
     """Cancel a job at a node."""
-    gate = platform.nodes[node].assembled.gate
+    job_service = platform.nodes[node].assembled.job_service
     now_s = asyncio.get_running_loop().time()
-    outcome = await gate.cancel(QUEUE, job_id, now_s + 3)
-    if outcome is GateOutcome.DONE:
+    outcome = await job_service.cancel(QUEUE, job_id, now_s + 3)
+    if outcome is JobRequestOutcome.DONE:
         platform.hosts.ledger.cancelled_at_s[job_id] = asyncio.get_running_loop().time()
     return outcome
 
 
 async def get_status(platform: PlatformStandin, node: str, job_id: str) -> JobStatus | None:
     """Ask a node for a job's status."""
-    return (await platform.nodes[node].assembled.gate.get_status(QUEUE, job_id)).status
+    return (await platform.nodes[node].assembled.job_service.get_status(QUEUE, job_id)).status
 
 
 async def wait_for_status(
--- a/tests/lib/limited.py
+++ b/tests/lib/limited.py
@@ -12,7 +12,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.workspace_policy import WorkspacePolicy, digest_keys
-from robinthread._internal.node.gate_outcome import GateOutcome
+from robinthread._internal.node.job_request_outcome import JobRequestOutcome
 from robinthread._internal.settings.policy_settings import PolicySettings, WorkspacePolicies
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
@@ -112,7 +112,7 @@
         except TimeoutError:
             # A node that was killed answers nothing; the job may be kept all the same.
             return None
-        if outcome is not GateOutcome.DONE:
+        if outcome is not JobRequestOutcome.DONE:
             return None
         self.accepted.append(spec)
         return spec
--- a/tests/lib/stubborn_process.py
+++ b/tests/lib/stubborn_process.py
@@ -39,9 +39,9 @@
     """Serve until SIGTERM, then stop."""
     events = EventLog("n0", write=write_line)
     requests = OpenRequests()
-    gate = SimpleNamespace(accept=refuse_to_end, get_status=refuse_to_end)
+    job_service = SimpleNamespace(accept=refuse_to_end, get_status=refuse_to_end)
     holder = SimpleNamespace(config=make_fleet_config(1, (QUEUE,), POOLS, 262_144))
-    callers = HTTPServer(make_callers_application(gate, holder, events, requests))  # type: ignore[arg-type]
+    callers = HTTPServer(make_callers_application(job_service, holder, events, requests))  # type: ignore[arg-type]
     sockets = bind_sockets(0, "127.0.0.1")
     callers.add_sockets(sockets)
     stopped = asyncio.Event()
--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -11,7 +11,7 @@
 
 from robinthread._internal.models.fleet_config import make_fleet_config
 from robinthread._internal.node.config_holder import ConfigHolder
-from robinthread._internal.node.job_gate import JobGate
+from robinthread._internal.node.job_service import JobService
 from robinthread._internal.node.open_requests import OpenRequests
 from robinthread._internal.platform.callers import make_callers_application
 from robinthread._internal.standins.platform_standin import RECORDS, RESERVE, PlatformStandin
@@ -64,7 +64,7 @@
             socket, port = bind_unused_port()
             # Nothing that is refused here gets as far as the gate.
             server = HTTPServer(
-                make_callers_application(cast(JobGate, None), holder, events, OpenRequests())
+                make_callers_application(cast(JobService, None), holder, events, OpenRequests())
             )
             server.add_sockets([socket])
             await ask(port, REQUESTS)
