--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -24,9 +24,9 @@
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.owner_checks import OwnerChecks
 from robinthread._internal.node.peer_answers import PeerAnswers
+from robinthread._internal.node.pool_rebalancing import RebalancePlanner
 from robinthread._internal.node.readiness import Readiness
 from robinthread._internal.node.record_writer import RecordWriter
-from robinthread._internal.node.relief import ReliefPlanner
 from robinthread._internal.node.settings_holder import SettingsHolder
 from robinthread._internal.node.standing import StandingReporter
 from robinthread._internal.node.steward import Steward
@@ -107,7 +107,7 @@
     owned = OwnedPools(context)
     lag = LoopLag()
     handover = Handover(me, table, election, member, owned, environment.peers, events, lag)
-    relief = ReliefPlanner(me, table, election, member, handover, owned, lag, policy)
+    rebalance_planner = RebalancePlanner(me, table, election, member, handover, owned, lag, policy)
     record_writer = RecordWriter(
         me,
         writer,
@@ -124,7 +124,16 @@
         return Steward(context, environment, table, owned, me, token, wait_s)
 
     node = Node(
-        context, me, table, election, member, owned, make_steward, handover, relief, (hosts, inbox)
+        context,
+        me,
+        table,
+        election,
+        member,
+        owned,
+        make_steward,
+        handover,
+        rebalance_planner,
+        (hosts, inbox),
     )
     readiness = Readiness(node, member, table, config_holder, events)
     standing = StandingReporter(owned, lag, readiness, events)
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -13,8 +13,8 @@
 from robinthread._internal.node.handover import Handover
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.pool_owner import PoolOwner
+from robinthread._internal.node.pool_rebalancing import RebalancePlanner
 from robinthread._internal.node.predecessors import find_predecessors
-from robinthread._internal.node.relief import ReliefPlanner
 from robinthread._internal.node.steward import Steward
 from robinthread._internal.node.stop_budget import StopBudget
 from robinthread._internal.utils.waiting import wait_for_event
@@ -38,7 +38,7 @@
         owned: OwnedPools,
         make_steward: MakeSteward,
         handover: Handover,
-        relief: ReliefPlanner,
+        rebalance_planner: RebalancePlanner,
         followers: tuple[KeyedFollower, ...],
     ) -> None:
         self._context = context
@@ -50,7 +50,7 @@
         self._owned = owned
         self._make_steward = make_steward
         self._handover = handover
-        self._relief = relief
+        self._rebalance_planner = rebalance_planner
         self._followers = followers
         self._steward: Steward | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -78,7 +78,7 @@
             self._table.changed.clear()
             await self._let_go()
             await self._pass_on()
-            await self._relieve()
+            await self._rebalance()
             await self._release_closed()
             self._open_taken()
             self._follow_if_needed()
@@ -111,17 +111,17 @@
         if self._owned.owners or self._steward is not None:
             await self._pass_to(served[0], [*self._owned.owners, FLEET], is_planned=False)
 
-    async def _relieve(self) -> None:
+    async def _rebalance(self) -> None:
         """Pass a pool on that another node could carry more easily."""
         if self.is_stopping:
             return
-        found = await self._relief.find()
+        found = await self._rebalance_planner.plan_transfer()
         if found is not None:
             self._events.write(
-                "pool_relieved", pool=found.pool, taker=found.taker.node, reason=found.reason
+                "pool_relieved", pool=found.pool, taker=found.new_owner.node, reason=found.reason
             )
-            await self._pass_to(found.taker, [found.pool], is_planned=True)
-            self._relief.note_passed_on()
+            await self._pass_to(found.new_owner, [found.pool], is_planned=True)
+            self._rebalance_planner.record_transfer()
 
     async def _pass_to(self, taker: Member, pools: Collection[str], is_planned: bool) -> None:
         """Stop owning pools here and have another node take them."""
--- a/src/robinthread/_internal/node/relief.py
+++ b/src/robinthread/_internal/node/pool_rebalancing.py
@@ -32,15 +32,15 @@
 
 
 @dataclass(frozen=True)
-class Relief:
+class PoolTransfer:
     """A pool to pass on, who should take it, and why."""
 
-    taker: Member
+    new_owner: Member
     pool: str
     reason: str
 
 
-class ReliefPlanner:
+class RebalancePlanner:
     """Decides when a node passes pools on, and to whom.
 
     It does so where its loop runs late, for its processor is slow or it owns too much, and
@@ -70,7 +70,7 @@
         self._wanting_since_s: float | None = None
         self._paused_until_s = 0.0
 
-    async def find(self) -> Relief | None:
+    async def plan_transfer(self) -> PoolTransfer | None:
         """Return what to pass on now, if anything."""
         now_s = asyncio.get_running_loop().time()
         if now_s < self._paused_until_s or not self._election.may_take:
@@ -87,13 +87,13 @@
             return None
         return await self._choose(choices, is_late)
 
-    def note_passed_on(self) -> None:
+    def record_transfer(self) -> None:
         """Note that a pool has been passed on: no more for a while."""
         self._wanting_since_s = None
         pause_s = LATE_PAUSE_S if self._lag.lag_s > LAG_MAX_S else PAUSE_S
         self._paused_until_s = asyncio.get_running_loop().time() + pause_s
 
-    async def _choose(self, choices: Iterable[Member], is_late: bool) -> Relief | None:
+    async def _choose(self, choices: Iterable[Member], is_late: bool) -> PoolTransfer | None:
         pools = self._list_own()
         if not pools:
             return None
@@ -101,7 +101,7 @@
             answer = await self._handover.ask_store(taker)
             if answer.is_served and answer.lag_s <= TAKER_LAG_SHARE * LAG_MAX_S:
                 reason = f"the loop is {self._lag.lag_s:.3f} s late" if is_late else "crowded"
-                return Relief(taker, pools[0], reason)
+                return PoolTransfer(taker, pools[0], reason)
         return None
 
     def _list_own(self) -> tuple[str, ...]:
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_relief.py
@@ -53,7 +53,7 @@
         await asyncio.sleep(0.01)
 
 
-class ReliefTest(TestCase):
+class PoolRebalancingTest(TestCase):
     def test_pools_spread_over_nodes_that_come_later(self) -> None:
         async def work() -> None:
             platform = make_platform()
