--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -22,7 +22,7 @@
 from robinthread._internal.node.loop_lag import LoopLag
 from robinthread._internal.node.node import Node
 from robinthread._internal.node.owned_pools import OwnedPools
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.node.peer_answers import PeerAnswers
 from robinthread._internal.node.pool_rebalancing import RebalancePlanner
 from robinthread._internal.node.readiness import Readiness
@@ -100,10 +100,10 @@
         get_unconfirmed_s=lambda: loop.time() - table.follower.confirmed_at_s,
         get_hosts_unread_s=lambda: loop.time() - hosts.confirmed_at_s,
     )
-    checks = OwnerChecks(environment.peers)
-    member = GroupMember(store, me, events, settings.store.member_ttl_min_ms, checks)
+    owner_liveness = OwnerLiveness(environment.peers)
+    member = GroupMember(store, me, events, settings.store.member_ttl_min_ms, owner_liveness)
     policy = environment.policy.owners
-    election = Election(table, me, member, checks, config_holder, events, policy)
+    election = Election(table, me, member, owner_liveness, config_holder, events, policy)
     owned = OwnedPools(context)
     lag = LoopLag()
     handover = Handover(me, table, election, member, owned, environment.peers, events, lag)
@@ -143,7 +143,7 @@
         inbox.run(),
         table.follower.run(),
         member.run(),
-        checks.run(),
+        owner_liveness.run(),
         handover.run(),
         lag.run(),
         settings_holder.run(),
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -8,7 +8,7 @@
 from robinthread._internal.durable.ownership import Member, OwnerTable
 from robinthread._internal.node.config_holder import ConfigHolder
 from robinthread._internal.node.group_member import GroupMember
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.settings.policy_settings import OwnerPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
@@ -30,7 +30,7 @@
         table: OwnerTable,
         me: Member,
         member: GroupMember,
-        checks: OwnerChecks,
+        owner_liveness: OwnerLiveness,
         config_holder: ConfigHolder,
         events: EventLog,
         policy: OwnerPolicy,
@@ -38,7 +38,7 @@
         self._table = table
         self._me = me
         self._member = member
-        self._checks = checks
+        self._owner_liveness = owner_liveness
         self._config_holder = config_holder
         self._events = events
         self._policy = policy
@@ -52,12 +52,12 @@
     def get_missing_s(self, pool: str) -> float | None:
         """Return for how long a pool's last owner was no member; None where it was one."""
         previous = self._table.previous.get(pool)
-        return None if previous is None else self._checks.get_missing_s(previous.owner)
+        return None if previous is None else self._owner_liveness.get_missing_s(previous.owner)
 
     def has_ended(self, pool: str) -> bool:
         """Tell whether another life answers where a pool's last owner was."""
         previous = self._table.previous.get(pool)
-        return previous is not None and self._checks.has_ended(previous.owner)
+        return previous is not None and self._owner_liveness.has_ended(previous.owner)
 
     def get_pools_to_take(self) -> list[str]:
         """Return the pools that have no living owner and that this node is to take."""
@@ -68,7 +68,7 @@
             # What it took now, others would take from it: they do not see it.
             return self._get_former_pools()
         wanted = sorted([*config.pools, FLEET])
-        self._checks.keep_only(
+        self._owner_liveness.retain_only(
             found.owner for pool in wanted if (found := self._table.get(pool)) is not None
         )
         living = self._member.members | {self._me}
@@ -140,11 +140,14 @@
             found = self._table.get(pool)
             if found is not None and found.owner.node != self._me.node:
                 rank = order.index(self._me) if self._me in order else len(order)
-                if found.owner not in ranks and self._checks.get_missing_s(found.owner) is None:
+                if (
+                    found.owner not in ranks
+                    and self._owner_liveness.get_missing_s(found.owner) is None
+                ):
                     self._note_missing(pool, found.owner)
                 ranks[found.owner] = min(rank, ranks.get(found.owner, rank))
-        is_gone = self._checks.is_gone
-        return frozenset(owner for owner, rank in ranks.items() if is_gone(owner, rank))
+        is_confirmed_lost = self._owner_liveness.is_confirmed_lost
+        return frozenset(owner for owner, rank in ranks.items() if is_confirmed_lost(owner, rank))
 
     def _get_former_pools(self) -> list[str]:
         """Return the pools of this node's former life: that one has surely ended."""
@@ -162,7 +165,7 @@
         if found is None:
             return True
         if found.owner in self._member.members or found.owner == self._me:
-            self._checks.note_listed(found.owner)
+            self._owner_liveness.note_listed(found.owner)
             return False
         return True
 
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -11,7 +11,7 @@
 from robinthread._internal.durable.errors import StoreError
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.durable.store import Store
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.telemetry.event_log import EventLog
 
 GROUP: Final = "robinthread"
@@ -57,12 +57,17 @@
     """
 
     def __init__(
-        self, store: Store, me: Member, events: EventLog, ttl_min_ms: int, checks: OwnerChecks
+        self,
+        store: Store,
+        me: Member,
+        events: EventLog,
+        ttl_min_ms: int,
+        owner_liveness: OwnerLiveness,
     ) -> None:
         self._store = store
         self._me = me
         self._events = events
-        self._checks = checks
+        self._owner_liveness = owner_liveness
         self._ttl_min_ms = ttl_min_ms
         self._name = msgspec.json.encode(me).decode()
         self._topic = zlib.crc32(me.node.encode()) % FIRST_TOPICS
@@ -149,7 +154,7 @@
         if self._steady_since_s != math.inf:
             self._events.write("membership_lost", error=f"{type(error).__name__}: {error}")
         self._steady_since_s = math.inf
-        self._checks.clear()
+        self._owner_liveness.clear()
         self._topic_joined_at_s = math.inf
         self.is_listed = False
         self._failure_count += 1
@@ -173,7 +178,7 @@
         self._topic_joined_at_s = min(self._topic_joined_at_s, now_s)
         is_changed = membership.generation != self.generation
         self.generation = membership.generation
-        if is_changed or not self.is_listed or self._checks.is_list_due(self.listed_at_s):
+        if is_changed or not self.is_listed or self._owner_liveness.is_list_due(self.listed_at_s):
             self._wants_list.set()
 
     def _note_pace(self, began_at_s: float) -> None:
@@ -197,7 +202,7 @@
     def _note_unread(self, error: StoreError) -> None:
         """Note that the members could not be listed: what was seen of them has a gap."""
         self._events.write("members_unread", error=f"{type(error).__name__}: {error}")
-        self._checks.clear()
+        self._owner_liveness.clear()
         if self._steady_since_s != math.inf:
             self._steady_since_s = asyncio.get_running_loop().time()
         self._wants_list.set()
--- a/src/robinthread/_internal/node/owner_checks.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -24,10 +24,10 @@
 # So many nodes ask at once whether a missing owner lives, those that would take its pool
 # first: one is to take it, and nodes may differ in whom they see.  With all of 37 asking, a
 # living owner was asked 144 times a second, and the members were listed 122 times.
-FIRST_ASKERS: Final = 3
+QUERIERS_PER_STAGE: Final = 3
 # Each further such number of nodes asks so much later and more rarely, in case that those
 # before it do not know of each other: a takeover takes some 2 s, so half of that.
-FOLLOW_S: Final = 1.0
+STAGE_DELAY_S: Final = 1.0
 
 
 class _Word(Enum):
@@ -65,7 +65,7 @@
         return self.word is _Word.IS_SILENT and is_recent and now_s >= self.lives_until_s
 
 
-class OwnerChecks:
+class OwnerLiveness:
     """Owners that are missing from the members, and what they say themselves.
 
     The store lists only the members that hold a partition; one that lives may hold none.
@@ -91,7 +91,7 @@
                 owner, absence = await self._added.get()
                 asking.create_task(self._keep_asking(owner, absence))
 
-    def is_gone(self, owner: Member, rank: int = 0) -> bool:
+    def is_confirmed_lost(self, owner: Member, rank: int = 0) -> bool:
         """Note that an owner is not listed, and tell whether it is gone.
 
         ``rank`` counts the nodes that would take a pool of it before this one.
@@ -101,7 +101,7 @@
         if absence is None:
             absence = self._absences[owner] = _Absence(now_s)
             self._added.put_nowait((owner, absence))
-        absence.patience_s = rank // FIRST_ASKERS * FOLLOW_S
+        absence.patience_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
         if absence.word is _Word.HAS_ENDED:
             return True
         return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_silent(now_s)
@@ -120,7 +120,7 @@
         """Note that an owner is listed."""
         self._absences.pop(owner, None)
 
-    def keep_only(self, owners: Iterable[Member]) -> None:
+    def retain_only(self, owners: Iterable[Member]) -> None:
         """Forget the members that own nothing any more."""
         for gone in self._absences.keys() - set(owners):
             del self._absences[gone]
--- a/tests/functional/test_owners_asked_in_time.py
+++ b/tests/functional/test_owners_asked_in_time.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from robinthread._internal.durable.ownership import Member
-from robinthread._internal.node.owner_checks import MISSING_CONFIRM_S, OwnerChecks
+from robinthread._internal.node.owner_liveness import MISSING_CONFIRM_S, OwnerLiveness
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.node.peer_messages import StoreAnswer
 from tests.lib.virtual import run_virtual
@@ -33,26 +33,26 @@
 
 
 class OwnersAskedInTimeTest(TestCase):
-    def _check(self, miss: Callable[[OwnerChecks], float]) -> None:
+    def _check(self, miss: Callable[[OwnerLiveness], float]) -> None:
         """Have owners miss; the living one must never count as gone."""
 
         async def work() -> None:
-            checks = OwnerChecks(_Peers())  # type: ignore[arg-type]
-            asking = asyncio.create_task(checks.run())
-            await asyncio.sleep(miss(checks))
+            owner_liveness = OwnerLiveness(_Peers())  # type: ignore[arg-type]
+            asking = asyncio.create_task(owner_liveness.run())
+            await asyncio.sleep(miss(owner_liveness))
             for _look in range(200):
-                self.assertFalse(checks.is_gone(LIVING))
+                self.assertFalse(owner_liveness.is_confirmed_lost(LIVING))
                 await asyncio.sleep(LOOK_PERIOD_S)
             asking.cancel()
 
         run_virtual(work())
 
     def test_living_owner_alone(self) -> None:
-        self._check(lambda checks: 0.0)
+        self._check(lambda owner_liveness: 0.0)
 
     def test_living_owner_that_is_missed_just_after_another_one_that_is_dead(self) -> None:
-        def miss(checks: OwnerChecks) -> float:
-            checks.is_gone(DEAD)
+        def miss(owner_liveness: OwnerLiveness) -> float:
+            owner_liveness.is_confirmed_lost(DEAD)
             return MISSING_CONFIRM_S / 10
 
         self._check(miss)
--- a/tests/unit/test_capacity.py
+++ b/tests/unit/test_capacity.py
@@ -10,7 +10,7 @@
 from robinthread._internal.node.config_holder import ConfigHolder
 from robinthread._internal.node.election import Election
 from robinthread._internal.node.group_member import GroupMember
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.node.peer_client import PeerClient
 from robinthread._internal.settings.policy_settings import OwnerPolicy
 from robinthread._internal.standins.platform_standin import RECORDS
@@ -29,11 +29,11 @@
     async def work() -> Counter[str]:
         events = EventLog("n", lambda line: None)
         store = StoreStandin().connect("n")
-        checks = OwnerChecks(PeerClient(make_client(1)))
-        member = GroupMember(store, SMALL[0], events, 1000, checks)
+        owner_liveness = OwnerLiveness(PeerClient(make_client(1)))
+        member = GroupMember(store, SMALL[0], events, 1000, owner_liveness)
         config = ConfigHolder(RECORDS, events)
         table = OwnerTable(store, events)
-        election = Election(table, SMALL[0], member, checks, config, events, policy)
+        election = Election(table, SMALL[0], member, owner_liveness, config, events, policy)
         loads: Counter[Member] = Counter()
         for number in range(pool_count):
             loads[election._order_members(f"pool{number}", LARGE + SMALL, loads)[0]] += 1
--- a/tests/unit/test_owner_checks.py
+++ b/tests/unit/test_owner_checks.py
@@ -8,11 +8,11 @@
 from testtools import TestCase
 
 from robinthread._internal.durable.ownership import Member
-from robinthread._internal.node.owner_checks import (
-    FIRST_ASKERS,
-    FOLLOW_S,
+from robinthread._internal.node.owner_liveness import (
     MISSING_CONFIRM_S,
-    OwnerChecks,
+    QUERIERS_PER_STAGE,
+    STAGE_DELAY_S,
+    OwnerLiveness,
 )
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.node.peer_messages import StoreAnswer
@@ -65,12 +65,12 @@
 
     async def work() -> float | None:
         loop = asyncio.get_running_loop()
-        checks = OwnerChecks(peers)  # type: ignore[arg-type]
-        asking = asyncio.create_task(checks.run())
+        owner_liveness = OwnerLiveness(peers)  # type: ignore[arg-type]
+        asking = asyncio.create_task(owner_liveness.run())
         began_at_s = loop.time()
         while (at_s := loop.time() - began_at_s) < WATCH_S:
             hinder(at_s)
-            if checks.is_gone(OWNER, get_rank(at_s)) and at_s >= from_s:
+            if owner_liveness.is_confirmed_lost(OWNER, get_rank(at_s)) and at_s >= from_s:
                 return loop.time() - began_at_s
             await asyncio.sleep(LOOK_PERIOD_S)
         asking.cancel()
@@ -96,7 +96,7 @@
     return lambda at_s: stall_loop(stall_s)
 
 
-class OwnerChecksTest(TestCase):
+class OwnerLivenessTest(TestCase):
     def _check_gone(self, gone_at_s: float | None, limit_s: float) -> None:
         assert gone_at_s is not None
         self.assertTrue(MISSING_CONFIRM_S <= gone_at_s <= limit_s, gone_at_s)
@@ -153,15 +153,15 @@
 
     def test_node_that_is_not_among_the_first_to_take_asks_later(self) -> None:
         peers = _Peers(LIVING)
-        self.assertIsNone(watch(peers, get_rank=lambda at_s: FIRST_ASKERS))
-        self.assertLessEqual(peers.asked_count, WATCH_S / FOLLOW_S)
-        gone_at_s = watch(_Peers(None), get_rank=lambda at_s: FIRST_ASKERS)
-        self._check_gone(gone_at_s, FOLLOW_S + MISSING_CONFIRM_S + 2 * SLACK_S)
+        self.assertIsNone(watch(peers, get_rank=lambda at_s: QUERIERS_PER_STAGE))
+        self.assertLessEqual(peers.asked_count, WATCH_S / STAGE_DELAY_S)
+        gone_at_s = watch(_Peers(None), get_rank=lambda at_s: QUERIERS_PER_STAGE)
+        self._check_gone(gone_at_s, STAGE_DELAY_S + MISSING_CONFIRM_S + 2 * SLACK_S)
 
     def test_node_that_becomes_the_first_to_take_asks_at_once(self) -> None:
-        change_at_s = FOLLOW_S / 2
+        change_at_s = STAGE_DELAY_S / 2
         gone_at_s = watch(
-            _Peers(None), get_rank=lambda at_s: FIRST_ASKERS if at_s < change_at_s else 0
+            _Peers(None), get_rank=lambda at_s: QUERIERS_PER_STAGE if at_s < change_at_s else 0
         )
         self._check_gone(gone_at_s, change_at_s + MISSING_CONFIRM_S + 3 * SLACK_S)
 
@@ -169,14 +169,14 @@
         self,
     ) -> None:
         peers = _Peers(None)
-        first_at_s = FOLLOW_S + 3 * MISSING_CONFIRM_S + 2 * SLACK_S
+        first_at_s = STAGE_DELAY_S + 3 * MISSING_CONFIRM_S + 2 * SLACK_S
 
         def come_back(at_s: float) -> None:
-            if at_s >= FOLLOW_S + MISSING_CONFIRM_S + SLACK_S:
+            if at_s >= STAGE_DELAY_S + MISSING_CONFIRM_S + SLACK_S:
                 peers.answer = LIVING
 
         def get_rank(at_s: float) -> int:
-            return FIRST_ASKERS if at_s < first_at_s else 0
+            return QUERIERS_PER_STAGE if at_s < first_at_s else 0
 
         self.assertIsNone(watch(peers, come_back, get_rank, first_at_s))
         self.assertGreater(peers.asked_count, 1)
