--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -70,7 +70,7 @@
 
     async def _find_served(self) -> tuple[Member, ...]:
         others = sorted(self._member.members - {self._me})
-        answers = await asyncio.gather(*map(self.ask_store, others))
+        answers = await asyncio.gather(*map(self.query_store_status, others))
         served = sorted(
             (
                 (answer.owned_count + 1) / member.capacity_millicores,
@@ -82,7 +82,7 @@
         )
         return tuple(member for _load, _weight, member in served)
 
-    async def pass_on(self, taker: Member, tokens: dict[str, int]) -> None:
+    async def request_takeover(self, taker: Member, tokens: dict[str, int]) -> None:
         """Have a node take pools over whose owner here has stopped."""
         try:
             answer = await self._peers.ask(
@@ -96,7 +96,7 @@
             "pools_passed_on", taker=taker.node, tokens=tokens, taken=sorted(answer.taken)
         )
 
-    def note_taken(self, pool: str, token: int) -> None:
+    def log_acquired(self, pool: str, token: int) -> None:
         """Write that this node has taken a pool, why, and from whom."""
         previous = self._table.previous.get(pool)
         self._events.write(
@@ -119,7 +119,7 @@
         missing_s = self._election.get_missing_s(pool)
         return "owner missing" if missing_s is None else f"owner missing for {missing_s:.2f} s"
 
-    def answer_store(self) -> StoreAnswer:
+    def handle_store_status(self) -> StoreAnswer:
         """Tell whether the store serves this node."""
         return StoreAnswer(
             self._election.may_take,
@@ -129,7 +129,7 @@
             self._me.life,
         )
 
-    async def answer_take(self, question: TakeQuestion) -> TakeAnswer:
+    async def handle_takeover(self, question: TakeQuestion) -> TakeAnswer:
         """Take over the pools whose owners have not changed meanwhile."""
         if not self._election.may_take or self._lag.lag_s > LAG_MAX_S:
             return TakeAnswer(())
@@ -144,7 +144,7 @@
             )
             return TakeAnswer(())
 
-    async def ask_stopped(self, owner: Member, pool: str, token: int) -> bool:
+    async def query_stopped(self, owner: Member, pool: str, token: int) -> bool:
         """Ask an earlier owner's node whether it has stopped under a token and lower ones.
 
         Another life that answers there tells as much: the process before it has ended.
@@ -158,7 +158,7 @@
             return False
         return answer.node == owner.node and answer.has_stopped
 
-    async def ask_store(self, member: Member) -> StoreAnswer:
+    async def query_store_status(self, member: Member) -> StoreAnswer:
         """Ask a node whether the store serves it, and how it fares."""
         try:
             return await self._peers.ask(member.address, StoreQuestion(), StoreAnswer)
--- a/src/robinthread/_internal/node/job_service.py
+++ b/src/robinthread/_internal/node/job_service.py
@@ -151,7 +151,7 @@
         if owner is None:
             return JobAnswer(is_owner=False)
         if owner.owner == self._me:
-            return await self._owned.answer_job(question)
+            return await self._owned.handle_job(question)
         try:
             return await self._peers.ask(owner.owner.address, question, JobAnswer)
         except PeerUnreachableError as error:
@@ -164,7 +164,7 @@
         if owner is None:
             return PendingAnswer(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.answer_pending(question)
+            return self._owned.handle_pending(question)
         try:
             address = owner.owner.address
             return await self._peers.ask(address, question, PendingAnswer)
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -132,7 +132,7 @@
             tokens[FLEET] = self._steward.token
             await self._close_steward(self._steward)
         if tokens:
-            await self._handover.pass_on(taker, tokens)
+            await self._handover.request_takeover(taker, tokens)
 
     async def _release_closed(self) -> None:
         """Give back what is recorded as ours and closed for good: nobody else would take it."""
@@ -190,10 +190,10 @@
                     self._me,
                     self._table,
                     self._handover.stopped_tokens,
-                    self._handover.ask_stopped,
+                    self._handover.query_stopped,
                 )
                 owner = self._owned.make_owner(pool, found.token, predecessors)
-                self._handover.note_taken(owner.pool, owner.token)
+                self._handover.log_acquired(owner.pool, owner.token)
                 self.spawn(self._run_owner(owner))
 
     def _open_steward(self, token: int) -> None:
--- a/src/robinthread/_internal/node/owned_pools.py
+++ b/src/robinthread/_internal/node/owned_pools.py
@@ -35,7 +35,7 @@
         self._unstopped.append(owner)
         return owner
 
-    def answer_stopped(self, question: StoppedQuestion) -> StoppedAnswer:
+    def handle_stopped(self, question: StoppedQuestion) -> StoppedAnswer:
         """Tell whether no owner of a pool under a token or a lower one gives orders here.
 
         None will later: whoever asks has shut such owners out of the pool's journal, which
@@ -47,7 +47,7 @@
         )
         return StoppedAnswer(self._context.settings.name, not is_running)
 
-    async def answer_job(self, question: JobQuestion) -> JobAnswer:
+    async def handle_job(self, question: JobQuestion) -> JobAnswer:
         """Tell what is known of a job, reading the inbox again before saying nothing is."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
@@ -66,14 +66,14 @@
         status = holder.get_status(question.job_id) if holder and holder.is_open else None
         return JobAnswer(True, pool, _format(status), indexed.spec.workspace)
 
-    def answer_pending(self, question: PendingQuestion) -> PendingAnswer:
+    def handle_pending(self, question: PendingQuestion) -> PendingAnswer:
         """Count the pending jobs of a pool by queue."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
             return PendingAnswer(is_owner=False)
         return PendingAnswer(is_owner=True, counts=owner.count_pending())
 
-    def answer_fleet(self, question: FleetQuestion) -> PoolReport:
+    def handle_fleet_report(self, question: FleetQuestion) -> PoolReport:
         """Tell how a pool stands."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
--- a/src/robinthread/_internal/node/peer_answers.py
+++ b/src/robinthread/_internal/node/peer_answers.py
@@ -32,17 +32,17 @@
         """Answer one question; raise ``TypeError`` for one of no known kind."""
         match question:
             case JobQuestion():
-                return await self._owned.answer_job(question)
+                return await self._owned.handle_job(question)
             case PendingQuestion():
-                return self._owned.answer_pending(question)
+                return self._owned.handle_pending(question)
             case FleetQuestion():
-                return self._owned.answer_fleet(question)
+                return self._owned.handle_fleet_report(question)
             case StoreQuestion():
-                return self._handover.answer_store()
+                return self._handover.handle_store_status()
             case TakeQuestion():
-                return await self._handover.answer_take(question)
+                return await self._handover.handle_takeover(question)
             case StoppedQuestion():
-                return self._owned.answer_stopped(question)
+                return self._owned.handle_stopped(question)
             case RelayQuestion():
                 return await self._relay(question)
         raise TypeError(f"unknown question: {type(question).__name__}")
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -205,7 +205,7 @@
         """Shut out older owners, then read what they have recorded, and of which jobs."""
         await self.opening.time("journal", self._journal.open())
         # From here on no older owner is confirmed any more.
-        self._predecessors.note_shut_out(get_loop_s(), self.jobs.foreign_leases)
+        self._predecessors.mark_fenced(get_loop_s(), self.jobs.foreign_leases)
         self._runtime.spawn(self._settle_predecessors())
         reading = load_progress(self._context.store, self._partition, self.pool, self._events)
         loaded, _ = await asyncio.gather(
@@ -222,7 +222,7 @@
         if self._predecessors.is_empty:
             return
         # Until the pool is open it is not known here what runs on which host.
-        await self._predecessors.watch(
+        await self._predecessors.poll_until_stopped(
             lambda: not self.is_open or self.jobs.has_silent_runs(), self._events
         )
         await asyncio.sleep(max(0.0, self.jobs.foreign_leases.over_at_s - get_loop_s()))
--- a/src/robinthread/_internal/node/pool_rebalancing.py
+++ b/src/robinthread/_internal/node/pool_rebalancing.py
@@ -98,7 +98,7 @@
         if not pools:
             return None
         for taker in islice(choices, TAKERS_ASKED_MAX):
-            answer = await self._handover.ask_store(taker)
+            answer = await self._handover.query_store_status(taker)
             if answer.is_served and answer.lag_s <= TAKER_LAG_SHARE * LAG_MAX_S:
                 reason = f"the loop is {self._lag.lag_s:.3f} s late" if is_late else "crowded"
                 return PoolTransfer(taker, pools[0], reason)
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -18,7 +18,7 @@
 # small beside the lease that they wait for in any case.
 ASK_PERIOD_S: Final = 0.3
 
-AskStopped = Callable[[Member, str, int], Awaitable[bool]]
+QueryStopped = Callable[[Member, str, int], Awaitable[bool]]
 
 
 class Predecessors:
@@ -28,14 +28,14 @@
     that has stopped says so, or the next life of its process does.
     """
 
-    def __init__(self, pool: str, found: Iterable[LostOwner], ask_stopped: AskStopped) -> None:
+    def __init__(self, pool: str, found: Iterable[LostOwner], query_stopped: QueryStopped) -> None:
         self._pool = pool
-        self._ask_stopped = ask_stopped
+        self._query_stopped = query_stopped
         self._grants_until_s = {lost: lost.lost_at_s + UNCONFIRMED_MAX_S for lost in found}
         self._taken_at_s = get_loop_s()
         self._leases = ForeignLeases()
 
-    def note_shut_out(self, now_s: float, leases: ForeignLeases) -> None:
+    def mark_fenced(self, now_s: float, leases: ForeignLeases) -> None:
         """Note that no earlier owner is confirmed any more; keep ``leases`` from now on.
 
         Until now records may have confirmed any of them: whoever came between need not have
@@ -66,7 +66,7 @@
         }
         self._update()
 
-    async def watch(self, is_awaited: Callable[[], bool], events: EventLog) -> None:
+    async def poll_until_stopped(self, is_awaited: Callable[[], bool], events: EventLog) -> None:
         """Ask earlier owners whether they have stopped, while that is awaited.
 
         Not before they are shut out of the journal: one that has not begun might begin still.
@@ -81,7 +81,7 @@
         return [lost for lost, until_s in self._grants_until_s.items() if until_s > now_s]
 
     async def _ask(self, lost: LostOwner, events: EventLog) -> None:
-        if not await self._ask_stopped(lost.owner, self._pool, lost.token):
+        if not await self._query_stopped(lost.owner, self._pool, lost.token):
             return
         self._grants_until_s[lost] = get_loop_s()
         self._update()
@@ -104,7 +104,7 @@
     me: Member,
     table: OwnerTable,
     stopped_tokens: Mapping[str, int],
-    ask_stopped: AskStopped,
+    query_stopped: QueryStopped,
 ) -> Predecessors:
     """Return the earlier owners of a pool that this node has taken.
 
@@ -115,4 +115,4 @@
         for lost in table.lost.get(pool, ())
         if lost.token != stopped_tokens.get(pool) and lost.owner.node != me.node
     )
-    return Predecessors(pool, found, ask_stopped)
+    return Predecessors(pool, found, query_stopped)
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -237,7 +237,7 @@
         if owner is None:
             return PoolReport(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.answer_fleet(question)
+            return self._owned.handle_fleet_report(question)
         try:
             return await self._peers.ask(owner.owner.address, question, PoolReport)
         except PeerUnreachableError:
--- a/tests/unit/test_predecessors.py
+++ b/tests/unit/test_predecessors.py
@@ -33,8 +33,8 @@
             predecessors = Predecessors("press", [LostOwner(LOST, 7, loop.time())], say_stopped)
             await asyncio.sleep(SHUT_OUT_S)
             shut_out_at_s = loop.time()
-            predecessors.note_shut_out(shut_out_at_s, leases)
-            watching = asyncio.create_task(predecessors.watch(lambda: True, EVENTS))
+            predecessors.mark_fenced(shut_out_at_s, leases)
+            watching = asyncio.create_task(predecessors.poll_until_stopped(lambda: True, EVENTS))
             await asyncio.sleep(OPENING_S)
             self.assertAlmostEqual(
                 get_lapse_time_s(LEASE_MS, shut_out_at_s), leases.over_at_s, delta=0.1
@@ -50,7 +50,7 @@
             leases = ForeignLeases()
             predecessors = Predecessors("press", [], say_stopped)
             await asyncio.sleep(SHUT_OUT_S)
-            predecessors.note_shut_out(loop.time(), leases)
+            predecessors.mark_fenced(loop.time(), leases)
             self.assertEqual(get_lapse_time_s(LEASE_MS, taken_at_s), leases.over_at_s)
 
         run_virtual(work())
