--- a/src/robinthread/_internal/node/host_ends.py
+++ b/src/robinthread/_internal/node/host_ends.py
@@ -2,7 +2,7 @@
 
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_loss import note_crashed
-from robinthread._internal.node.pool_reporting import tell_ended
+from robinthread._internal.node.pool_reporting import log_host_ended
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
 
@@ -10,7 +10,7 @@
     runtime: PoolRuntime, host: Host, reason: str, has_crashed: bool, successor: str = ""
 ) -> None:
     """End a life of a host with all that ran there; one that was to end has not crashed."""
-    tell_ended(runtime.events, runtime.pool, host, reason, get_loop_s(), successor)
+    log_host_ended(runtime.events, runtime.pool, host, reason, get_loop_s(), successor)
     now_ms = runtime.context.get_wall_ms()
     if has_crashed and not host.was_to_end():
         note_crashed(runtime.jobs, host, get_loop_s(), now_ms)
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_ends import end_host, pause_after_crashes
 from robinthread._internal.node.order_sender import OrderSender
-from robinthread._internal.node.pool_reporting import tell_ended
+from robinthread._internal.node.pool_reporting import log_host_ended
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
 # How long a host that was never heard is taken for one that will answer.  Two looks that
@@ -133,7 +133,7 @@
                 adopt_runs(self._jobs, other, host)
                 continue
             reason = "another life answers under its id"
-            tell_ended(self._events, self._runtime.pool, other, reason, get_loop_s(), host.id)
+            log_host_ended(self._events, self._runtime.pool, other, reason, get_loop_s(), host.id)
             now_ms = self._runtime.context.get_wall_ms()
             end_former(self._jobs, other, host, present, asked_at_s, get_loop_s(), now_ms)
 
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -164,7 +164,7 @@
     def _has_room(self, run: Run, host: Host, job: Job) -> bool:
         """Tell whether the host still has the room in which a run was placed."""
         is_over = host.is_over(job.spec.steps[run.task.step].room)
-        if not is_over and self._runtime.are_rooms_known():
+        if not is_over and self._runtime.are_capacities_known():
             return True
         self._events.write(
             "start_dropped",
@@ -259,7 +259,7 @@
                 token=self._runtime.token,
                 since_accepted_ms=since_accepted_ms,
             )
-            self._runtime.note_started(run)
+            self._runtime.log_first_start(run)
         return StartOutcome.SETTLED
 
     async def _send_noted(self, run: Run, host: Host, order: StartOrder) -> None:
--- a/src/robinthread/_internal/node/pool_opening.py
+++ b/src/robinthread/_internal/node/pool_opening.py
@@ -38,7 +38,7 @@
         """Note that the pool is open."""
         self.opened_at_s = _get_now_s()
 
-    def tell_end(self) -> dict[str, float]:
+    def make_end_fields(self) -> dict[str, float]:
         """Return what opening took and for how long the pool is open, as fields of a line."""
         if self.opened_at_s is None:
             return {}
@@ -47,13 +47,13 @@
             "open_for_s": round(_get_now_s() - self.opened_at_s, 1),
         }
 
-    def list_times(self) -> dict[str, float]:
+    def make_timing_fields(self) -> dict[str, float]:
         """Return what the whole and each part that is done took, as fields of a line."""
         parts = {f"{part}_ms": self._took_ms[part] for part in PARTS if part in self._took_ms}
         until_s = _get_now_s() if self.opened_at_s is None else self.opened_at_s
         return {"took_ms": round((until_s - self._began_at_s) * 1000, 1)} | parts
 
-    def is_due(self, period_s: float) -> bool:
+    def is_report_due(self, period_s: float) -> bool:
         """Tell whether so long has passed since the beginning, or since this was last so."""
         is_due = _get_now_s() - self._told_at_s >= period_s
         if is_due:
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -24,8 +24,8 @@
 from robinthread._internal.node.pool_opening import PoolOpening
 from robinthread._internal.node.pool_reporting import (
     count_pending,
+    log_crash_events,
     make_pool_report,
-    tell_crash_notes,
 )
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 from robinthread._internal.node.predecessors import Predecessors
@@ -137,7 +137,7 @@
             job_count=len(self.jobs.jobs),
             host_count=len(self.jobs.hosts),
             progress_count=self._progress_count,
-            **self.opening.list_times(),
+            **self.opening.make_timing_fields(),
         )
 
     async def stop(self, is_planned: bool = False) -> None:
@@ -284,11 +284,11 @@
                 self._minder.look(now_s)
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
-            self.jobs.are_rooms_known = self._runtime.are_rooms_known()
+            self.jobs.are_rooms_known = self._runtime.are_capacities_known()
             self._take_limits()
             note_outlived(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
-            tell_crash_notes(self._events, self.pool, self.jobs.crash_book.take_notes())
+            log_crash_events(self._events, self.pool, self.jobs.crash_book.take_notes())
             stops, self.jobs.to_stop = self.jobs.to_stop, []
             for run in stops:
                 self._runtime.spawn(self._orders.send_stop(run))
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -58,7 +58,7 @@
     )
 
 
-def tell_ended(
+def log_host_ended(
     events: EventLog, pool: str, host: Host, reason: str, now_s: float, successor: str = ""
 ) -> None:
     """Tell of a host that has ended, and which runs began there last; one without with others."""
@@ -84,7 +84,7 @@
         events.gather("host_ended", {"pool": pool, "reason": reason}, listed={"hosts": host.id})
 
 
-def tell_crash_notes(events: EventLog, pool: str, notes: Iterable[CrashNote]) -> None:
+def log_crash_events(events: EventLog, pool: str, notes: Iterable[CrashNote]) -> None:
     """Tell what crashes of hosts said of tasks."""
     for note in notes:
         events.write(
--- a/src/robinthread/_internal/node/pool_runtime.py
+++ b/src/robinthread/_internal/node/pool_runtime.py
@@ -25,7 +25,7 @@
 OWNERS_UNREAD_MAX_S: Final = 2 * UNCONFIRMED_MAX_S
 # A host's room may have shrunk since its entry was last read.  One that shrank must be known
 # after 3 s and a heartbeat; a read may take as long as it waits for a change, and a call more.
-ROOMS_UNREAD_MAX_S: Final = 3.0
+CAPACITIES_UNREAD_MAX_S: Final = 3.0
 
 
 class PoolRuntime:
@@ -57,7 +57,7 @@
         """Return for how long the store has not confirmed the owner."""
         return min(self.context.get_unconfirmed_s(), get_loop_s() - self.journal.confirmed_at_s)
 
-    def note_started(self, run: Run) -> None:
+    def log_first_start(self, run: Run) -> None:
         """Write a line for the first run that was started since the pool was opened."""
         if not self._has_started:
             self._has_started = True
@@ -79,7 +79,7 @@
             return None
         return min(LEASE_MS, self.context.settings.bounds.lease_max_ms)
 
-    def are_rooms_known(self) -> bool:
+    def are_capacities_known(self) -> bool:
         """Tell whether what hosts have room for is known well enough to place runs there.
 
         Hosts that check their room reject what does not fit; others start it.
@@ -88,7 +88,7 @@
         policy = config.pools.get(self.pool) if config is not None else None
         if policy is None or policy.hosts_check_room:
             return True
-        return self.context.get_hosts_unread_s() <= ROOMS_UNREAD_MAX_S
+        return self.context.get_hosts_unread_s() <= CAPACITIES_UNREAD_MAX_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a task until the owner stops; one that is fenced fences the owner."""
--- a/src/robinthread/_internal/node/standing.py
+++ b/src/robinthread/_internal/node/standing.py
@@ -49,7 +49,7 @@
         if is_due:
             self._told_at_s = get_loop_s()
         for owner in self._owned.owners.values():
-            if not owner.is_open and owner.opening.is_due(SLOW_PERIOD_S):
+            if not owner.is_open and owner.opening.is_report_due(SLOW_PERIOD_S):
                 self._tell_slow(owner)
             if is_due:
                 self._tell_standing(owner)
@@ -79,7 +79,7 @@
             pool=owner.pool,
             token=owner.token,
             missing=owner.opening.missing,
-            **owner.opening.list_times(),
+            **owner.opening.make_timing_fields(),
         )
 
     def _tell_standing(self, owner: PoolOwner) -> None:
@@ -89,7 +89,7 @@
             pool=owner.pool,
             token=owner.token,
             phase="open" if owner.is_open else "+".join(owner.opening.missing),
-            **owner.opening.tell_end(),
+            **owner.opening.make_end_fields(),
             loop_lag_s=round(self._lag.lag_s, 3),
             job_count=len(owner.jobs.jobs),
             waiting=len(waiting),
--- a/tests/functional/test_suspended_nodes.py
+++ b/tests/functional/test_suspended_nodes.py
@@ -13,7 +13,7 @@
 from robinthread._internal.experiments.virtual_time import run_on_clock
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.node.pool_owner import PoolOwner
-from robinthread._internal.node.pool_runtime import ROOMS_UNREAD_MAX_S, UNCONFIRMED_MAX_S
+from robinthread._internal.node.pool_runtime import CAPACITIES_UNREAD_MAX_S, UNCONFIRMED_MAX_S
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from robinthread._internal.utils.event_loop import ProcessLoop
 from tests.lib.job_platforms import POOL, get_owner, hand_in, make_job, start_platform, wait_until
@@ -47,7 +47,7 @@
             self.machine.suspend(LONG_S)
             self.assertGreater(owner.get_unconfirmed_s(), UNCONFIRMED_MAX_S)
             self.assertIsNone(owner._runtime.get_lease_ms())
-            self.assertGreater(owner._context.get_hosts_unread_s(), ROOMS_UNREAD_MAX_S)
+            self.assertGreater(owner._context.get_hosts_unread_s(), CAPACITIES_UNREAD_MAX_S)
             self.assertGreater(asyncio.get_running_loop().time(), host.lease.over_at_s)
 
         run_on_clock(self.machine, work())
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -18,7 +18,7 @@
 from robinthread._internal.models.resources import NO_RESOURCES
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.pool_reporting import make_pool_report, tell_ended
+from robinthread._internal.node.pool_reporting import log_host_ended, make_pool_report
 from robinthread._internal.settings.policy_settings import DemandPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -36,7 +36,7 @@
         self.events = EventLog("n", lambda line: self.lines.append(json.loads(line)))
 
     def tell(self, host: Host) -> None:
-        tell_ended(self.events, "press", host, "its machine is another host now", 5.0, "h9")
+        log_host_ended(self.events, "press", host, "its machine is another host now", 5.0, "h9")
 
     def test_host_with_runs_has_a_line_of_its_own(self) -> None:
         for name in ("h1", "h2"):
