--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_incarnations.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.host_life import make_life_id
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.host_ends import end_host, pause_after_crashes
+from robinthread._internal.node.host_termination import end_host, pause_after_crashes
 from robinthread._internal.node.order_sender import OrderSender
 from robinthread._internal.node.pool_reporting import log_host_ended
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
@@ -24,7 +24,7 @@
 STOP_PAUSE_S: Final = 0.2
 
 
-class HostLives:
+class HostIncarnations:
     """Lives of a host that is listed.
 
     ``host`` is the life that is followed: None once it has ended, until another answers.  What
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_monitor.py
@@ -16,11 +16,11 @@
 from robinthread._internal.jobs.run import RunPhase
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.host_lives import FIRST_ANSWER_MAX_S, HostLives
+from robinthread._internal.node.host_incarnations import FIRST_ANSWER_MAX_S, HostIncarnations
+from robinthread._internal.node.host_report_handler import HostReportHandler
 from robinthread._internal.node.order_sender import STOP_MARGIN_S, OrderSender
 from robinthread._internal.node.pool_runtime import LEASE_MS, PoolRuntime, get_loop_s
-from robinthread._internal.node.recorder import Recorder
-from robinthread._internal.node.report_taker import ReportTaker
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 
 # Longest wait of one look at a host.  Each look renews the lease, so a lease is
 # this much shorter than its length at worst.
@@ -44,28 +44,28 @@
 FIRST_LOOKS_MAX: Final = 2
 
 
-class HostFollower:
+class HostMonitor:
     """Follows a host for as long as it ``is_listed``; ``number`` counts them in a pool."""
 
     def __init__(
         self,
         runtime: PoolRuntime,
         record: UpstreamHost,
-        recorder: Recorder,
+        progress_recorder: ProgressRecorder,
         orders: OrderSender,
         number: int,
     ) -> None:
         self._runtime = runtime
         self._jobs = runtime.jobs
         self._events = runtime.events
-        self._recorder = recorder
-        self._taker = ReportTaker(runtime, orders)
+        self._progress_recorder = progress_recorder
+        self._taker = HostReportHandler(runtime, orders)
         self._lost_looks = 0
         self._number = number
         self._is_spread = False
         self._first_look_at_s = get_loop_s()
         self.is_listed = True
-        self.lives = HostLives(runtime, record, orders)
+        self.lives = HostIncarnations(runtime, record, orders)
 
     async def run(self) -> None:
         """Follow until the host is gone."""
@@ -203,10 +203,10 @@
         newest = self._taker.take(host, report, asked_at_s)
         if newest:
             host.processed_end = newest
-            host.processed_batch = self._recorder.next_batch
+            host.processed_batch = self._progress_recorder.next_batch
         self._runtime.wake()
         if host.processed_end > host.acknowledged_end:
-            if not await self._recorder.wait(host.processed_batch, RECORD_WAIT_S):
+            if not await self._progress_recorder.wait(host.processed_batch, RECORD_WAIT_S):
                 return 0.0
             host.acknowledged_end = host.processed_end
         return self._get_wait_s() if was_answering else 0.0
--- a/src/robinthread/_internal/node/report_taker.py
+++ b/src/robinthread/_internal/node/host_report_handler.py
@@ -9,7 +9,7 @@
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
 
-class ReportTaker:
+class HostReportHandler:
     """Takes the reports of one pool's hosts in."""
 
     def __init__(self, runtime: PoolRuntime, orders: OrderSender) -> None:
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -7,22 +7,24 @@
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_succession import find_lives
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.host_ends import end_host
-from robinthread._internal.node.host_follower import HostFollower
+from robinthread._internal.node.host_monitor import HostMonitor
+from robinthread._internal.node.host_termination import end_host
 from robinthread._internal.node.order_sender import OrderSender
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
-from robinthread._internal.node.recorder import Recorder
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 
 
 class PoolHosts:
     """Follows each listed host of a pool over its lives."""
 
-    def __init__(self, runtime: PoolRuntime, recorder: Recorder, orders: OrderSender) -> None:
+    def __init__(
+        self, runtime: PoolRuntime, progress_recorder: ProgressRecorder, orders: OrderSender
+    ) -> None:
         self._runtime = runtime
         self._jobs = runtime.jobs
-        self._recorder = recorder
+        self._progress_recorder = progress_recorder
         self._orders = orders
-        self._followers: dict[str, HostFollower] = {}
+        self._followers: dict[str, HostMonitor] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._numbers = itertools.count()
         self._told: dict[str, frozenset[str]] = {}
@@ -88,11 +90,11 @@
             follower.lives.note_listed(record)
             return
         number = next(self._numbers)
-        follower = HostFollower(self._runtime, record, self._recorder, self._orders, number)
+        follower = HostMonitor(self._runtime, record, self._progress_recorder, self._orders, number)
         self._followers[record.id] = follower
         self._tasks[record.id] = self._runtime.spawn(self._run(record.id, follower))
 
-    async def _run(self, host_id: str, follower: HostFollower) -> None:
+    async def _run(self, host_id: str, follower: HostMonitor) -> None:
         await follower.run()
         self._followers.pop(host_id, None)
         self._tasks.pop(host_id, None)
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -30,9 +30,9 @@
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 from robinthread._internal.node.predecessors import Predecessors
 from robinthread._internal.node.progress_loader import load_progress
-from robinthread._internal.node.recorder import Recorder
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 from robinthread._internal.node.retention import Retention
-from robinthread._internal.node.run_minder import RunMinder
+from robinthread._internal.node.run_monitor import RunMonitor
 from robinthread._internal.utils.waiting import wait_for_event
 
 PROGRESS_TOPIC: Final = "keyed.progress"
@@ -83,11 +83,11 @@
         )
         self._runtime = PoolRuntime(context, pool, token, self.jobs, self._journal)
         self._orders = OrderSender(self._runtime)
-        self._recorder = Recorder(self._runtime, self._journal, self._orders)
-        self._minder = RunMinder(self._runtime, self._orders)
+        self._progress_recorder = ProgressRecorder(self._runtime, self._journal, self._orders)
+        self._run_monitor = RunMonitor(self._runtime, self._orders)
         self._advice_taker = AdviceTaker(self._runtime, context.advice)
         self._retention = Retention(self._runtime, self._journal)
-        self._hosts = PoolHosts(self._runtime, self._recorder, self._orders)
+        self._hosts = PoolHosts(self._runtime, self._progress_recorder, self._orders)
         self._demand = DemandMeter(
             context.settings.bounds.machine_move_s + HOST_START_S, context.policy.demand
         )
@@ -127,7 +127,7 @@
         self._runtime.spawn(self._retention.drop_orphans(orphans))
         self._runtime.spawn(self._retention.run())
         self._runtime.spawn(self._advice_taker.run())
-        self._runtime.spawn(self._recorder.run())
+        self._runtime.spawn(self._progress_recorder.run())
         self._runtime.spawn(self._schedule())
         self._runtime.wake()
         self._events.write(
@@ -152,7 +152,7 @@
             self._context.job_index.unlisten(self._take_job)
             self._context.host_directory.unlisten(self._hosts.update)
             if is_planned and not self.fenced.is_set():
-                await self._recorder.flush(FLUSH_WAIT_S)
+                await self._progress_recorder.flush(FLUSH_WAIT_S)
         self.is_open = False
         self._is_stopped = True
         await self._runtime.cancel_all()
@@ -281,7 +281,7 @@
             now_s = get_loop_s()
             if now_s >= next_tick_s:
                 next_tick_s = now_s + TICK_S
-                self._minder.look(now_s)
+                self._run_monitor.look(now_s)
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
             self.jobs.are_rooms_known = self._runtime.are_capacities_known()
--- a/src/robinthread/_internal/node/recorder.py
+++ b/src/robinthread/_internal/node/progress_recorder.py
@@ -14,7 +14,7 @@
 from robinthread._internal.utils.waiting import wait_for_event
 
 
-class Recorder:
+class ProgressRecorder:
     """Writes what has changed, then lets out what had to be kept first.
 
     Starts are sent and final states shown only once they are recorded.  While
--- a/src/robinthread/_internal/node/run_minder.py
+++ b/src/robinthread/_internal/node/run_monitor.py
@@ -12,7 +12,7 @@
 from robinthread._internal.node.wait_reporter import WaitReporter
 
 
-class RunMinder:
+class RunMonitor:
     """Looks at a pool's jobs and runs again and again, and tells what it does."""
 
     def __init__(self, runtime: PoolRuntime, orders: OrderSender) -> None:
