--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -23,7 +23,7 @@
 from robinthread._internal.node.node import Node
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.owner_checks import OwnerChecks
-from robinthread._internal.node.peer_answers import PeerAnswers
+from robinthread._internal.node.peer_request_handler import PeerRequestHandler
 from robinthread._internal.node.readiness import Readiness
 from robinthread._internal.node.record_writer import RecordWriter
 from robinthread._internal.node.relief import ReliefPlanner
@@ -48,7 +48,7 @@
     node: Node
     gate: JobGate
     owned: OwnedPools
-    answers: PeerAnswers
+    request_handler: PeerRequestHandler
     config_holder: ConfigHolder
     lag: LoopLag
     readiness: Readiness
@@ -143,8 +143,10 @@
         standing.run(),
     ):
         node.spawn(work)
-    answers = PeerAnswers(owned, record_writer, handover)
-    return AssembledNode(node, gate, owned, answers, config_holder, lag, readiness, standing)
+    request_handler = PeerRequestHandler(owned, record_writer, handover)
+    return AssembledNode(
+        node, gate, owned, request_handler, config_holder, lag, readiness, standing
+    )
 
 
 async def _read_to_end(follower: KeyedFollower) -> None:
--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -15,12 +15,12 @@
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import (
-    StoppedAnswer,
-    StoppedQuestion,
-    StoreAnswer,
-    StoreQuestion,
-    TakeAnswer,
-    TakeQuestion,
+    OwnerStoppedRequest,
+    OwnerStoppedResponse,
+    StoreStatusRequest,
+    StoreStatusResponse,
+    TakeoverRequest,
+    TakeoverResponse,
 )
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
@@ -85,8 +85,8 @@
     async def pass_on(self, taker: Member, tokens: dict[str, int]) -> None:
         """Have a node take pools over whose owner here has stopped."""
         try:
-            answer = await self._peers.ask(
-                taker.address, TakeQuestion(tokens), TakeAnswer, TAKE_TIMEOUT_S
+            answer = await self._peers.send_request(
+                taker.address, TakeoverRequest(tokens), TakeoverResponse, TAKE_TIMEOUT_S
             )
         except PeerUnreachableError as error:
             # Whoever owns them next takes them when this node's membership has lapsed.
@@ -119,9 +119,9 @@
         missing_s = self._election.get_missing_s(pool)
         return "owner missing" if missing_s is None else f"owner missing for {missing_s:.2f} s"
 
-    def answer_store(self) -> StoreAnswer:
+    def answer_store(self) -> StoreStatusResponse:
         """Tell whether the store serves this node."""
-        return StoreAnswer(
+        return StoreStatusResponse(
             self._election.may_take,
             len(self._owned.owners),
             self._lag.lag_s,
@@ -129,20 +129,20 @@
             self._me.life,
         )
 
-    async def answer_take(self, question: TakeQuestion) -> TakeAnswer:
+    async def answer_take(self, question: TakeoverRequest) -> TakeoverResponse:
         """Take over the pools whose owners have not changed meanwhile."""
         if not self._election.may_take or self._lag.lag_s > LAG_MAX_S:
-            return TakeAnswer(())
+            return TakeoverResponse(())
         self.stopped_tokens |= question.tokens
         try:
-            return TakeAnswer(tuple(await self._table.take_over(question.tokens, self._me)))
+            return TakeoverResponse(tuple(await self._table.take_over(question.tokens, self._me)))
         except StoreError as error:
             self._events.write(
                 "take_failed",
                 tokens=question.tokens,
                 error=f"{type(error).__name__}: {error}",
             )
-            return TakeAnswer(())
+            return TakeoverResponse(())
 
     async def ask_stopped(self, owner: Member, pool: str, token: int) -> bool:
         """Ask an earlier owner's node whether it has stopped under a token and lower ones.
@@ -150,18 +150,20 @@
         Another life that answers there tells as much: the process before it has ended.
         """
         try:
-            answer = await self._peers.ask(
-                owner.address, StoppedQuestion(pool, token), StoppedAnswer
+            answer = await self._peers.send_request(
+                owner.address, OwnerStoppedRequest(pool, token), OwnerStoppedResponse
             )
         except PeerUnreachableError:
             # It may be running, cut off from here: nothing is known.
             return False
         return answer.node == owner.node and answer.has_stopped
 
-    async def ask_store(self, member: Member) -> StoreAnswer:
+    async def ask_store(self, member: Member) -> StoreStatusResponse:
         """Ask a node whether the store serves it, and how it fares."""
         try:
-            return await self._peers.ask(member.address, StoreQuestion(), StoreAnswer)
+            return await self._peers.send_request(
+                member.address, StoreStatusRequest(), StoreStatusResponse
+            )
         except PeerUnreachableError:
             # A node that does not answer is no candidate; nothing else follows from it.
-            return StoreAnswer(is_served=False, owned_count=0)
+            return StoreStatusResponse(is_served=False, owned_count=0)
--- a/src/robinthread/_internal/node/job_gate.py
+++ b/src/robinthread/_internal/node/job_gate.py
@@ -15,10 +15,10 @@
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import (
-    JobAnswer,
-    JobQuestion,
-    PendingAnswer,
-    PendingQuestion,
+    JobRequest,
+    JobResponse,
+    PendingCountsRequest,
+    PendingCountsResponse,
 )
 from robinthread._internal.node.record_writer import RecordWriter
 from robinthread._internal.telemetry.event_log import EventLog
@@ -145,32 +145,32 @@
             self._pending[queue.pool] = (now_s, counts)
         return counts.get(queue.name, 0)
 
-    async def _ask_job(self, pool: str, job_id: str) -> JobAnswer:
-        question = JobQuestion(pool, job_id)
+    async def _ask_job(self, pool: str, job_id: str) -> JobResponse:
+        question = JobRequest(pool, job_id)
         owner = self._table.get(pool)
         if owner is None:
-            return JobAnswer(is_owner=False)
+            return JobResponse(is_owner=False)
         if owner.owner == self._me:
             return await self._owned.answer_job(question)
         try:
-            return await self._peers.ask(owner.owner.address, question, JobAnswer)
+            return await self._peers.send_request(owner.owner.address, question, JobResponse)
         except PeerUnreachableError as error:
             self._note_unreachable(pool, owner.owner, error)
-            return JobAnswer(is_owner=False)
+            return JobResponse(is_owner=False)
 
-    async def _ask_pending(self, pool: str) -> PendingAnswer:
-        question = PendingQuestion(pool)
+    async def _ask_pending(self, pool: str) -> PendingCountsResponse:
+        question = PendingCountsRequest(pool)
         owner = self._table.get(pool)
         if owner is None:
-            return PendingAnswer(is_owner=False)
+            return PendingCountsResponse(is_owner=False)
         if owner.owner == self._me:
             return self._owned.answer_pending(question)
         try:
             address = owner.owner.address
-            return await self._peers.ask(address, question, PendingAnswer)
+            return await self._peers.send_request(address, question, PendingCountsResponse)
         except PeerUnreachableError as error:
             self._note_unreachable(pool, owner.owner, error)
-            return PendingAnswer(is_owner=False)
+            return PendingCountsResponse(is_owner=False)
 
     def _note_unreachable(self, pool: str, owner: Member, error: Exception) -> None:
         self._events.write("owner_unreachable", pool=pool, owner=owner.node, error=str(error))
--- a/src/robinthread/_internal/node/owned_pools.py
+++ b/src/robinthread/_internal/node/owned_pools.py
@@ -7,12 +7,12 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.peer_messages import (
-    JobAnswer,
-    JobQuestion,
-    PendingAnswer,
-    PendingQuestion,
-    StoppedAnswer,
-    StoppedQuestion,
+    JobRequest,
+    JobResponse,
+    OwnerStoppedRequest,
+    OwnerStoppedResponse,
+    PendingCountsRequest,
+    PendingCountsResponse,
 )
 from robinthread._internal.node.pool_owner import PoolOwner
 from robinthread._internal.node.predecessors import Predecessors
@@ -35,7 +35,7 @@
         self._unstopped.append(owner)
         return owner
 
-    def answer_stopped(self, question: StoppedQuestion) -> StoppedAnswer:
+    def answer_stopped(self, question: OwnerStoppedRequest) -> OwnerStoppedResponse:
         """Tell whether no owner of a pool under a token or a lower one gives orders here.
 
         None will later: whoever asks has shut such owners out of the pool's journal, which
@@ -45,33 +45,33 @@
             owner.pool == question.pool and owner.token <= question.token and not owner.has_stopped
             for owner in self._unstopped
         )
-        return StoppedAnswer(self._context.settings.name, not is_running)
+        return OwnerStoppedResponse(self._context.settings.name, not is_running)
 
-    async def answer_job(self, question: JobQuestion) -> JobAnswer:
+    async def answer_job(self, question: JobRequest) -> JobResponse:
         """Tell what is known of a job, reading the inbox again before saying nothing is."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
-            return JobAnswer(is_owner=False)
+            return JobResponse(is_owner=False)
         indexed = self._context.job_index.jobs.get(question.job_id)
         if indexed is None:
             try:
                 await self._context.read_inbox_once()
             except StoreError:
-                return JobAnswer(is_owner=False)
+                return JobResponse(is_owner=False)
             indexed = self._context.job_index.jobs.get(question.job_id)
         if indexed is None:
-            return JobAnswer(is_owner=True)
+            return JobResponse(is_owner=True)
         pool = indexed.spec.pool
         holder = self.owners.get(pool)
         status = holder.get_status(question.job_id) if holder and holder.is_open else None
-        return JobAnswer(True, pool, _format(status), indexed.spec.workspace)
+        return JobResponse(True, pool, _format(status), indexed.spec.workspace)
 
-    def answer_pending(self, question: PendingQuestion) -> PendingAnswer:
+    def answer_pending(self, question: PendingCountsRequest) -> PendingCountsResponse:
         """Count the pending jobs of a pool by queue."""
         owner = self.owners.get(question.pool)
         if owner is None or not owner.is_open:
-            return PendingAnswer(is_owner=False)
-        return PendingAnswer(is_owner=True, counts=owner.count_pending())
+            return PendingCountsResponse(is_owner=False)
+        return PendingCountsResponse(is_owner=True, counts=owner.count_pending())
 
     def answer_fleet(self, question: FleetQuestion) -> PoolReport:
         """Tell how a pool stands."""
--- a/src/robinthread/_internal/node/owner_checks.py
+++ b/src/robinthread/_internal/node/owner_checks.py
@@ -8,7 +8,7 @@
 
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
-from robinthread._internal.node.peer_messages import StoreAnswer, StoreQuestion
+from robinthread._internal.node.peer_messages import StoreStatusRequest, StoreStatusResponse
 
 # How long an owner must be missing from the members: while partitions pass from
 # one member to another, a living one may hold none for a moment.  It has as long to answer.
@@ -154,7 +154,9 @@
         loop = asyncio.get_running_loop()
         began_at_s = loop.time()
         asking = asyncio.ensure_future(
-            self._peers.ask(owner.address, StoreQuestion(), StoreAnswer, timeout_s)
+            self._peers.send_request(
+                owner.address, StoreStatusRequest(), StoreStatusResponse, timeout_s
+            )
         )
         late_s = await _measure_late_s(asking)
         try:
@@ -166,14 +168,14 @@
             return _Word.IS_SILENT if was_told or was_on_time else None, late_s
 
 
-def _read_answer(owner: Member, answer: StoreAnswer) -> _Word:
+def _read_answer(owner: Member, answer: StoreStatusResponse) -> _Word:
     # A node of an older version does not tell its life.
     if answer.life and answer.life != owner.life:
         return _Word.HAS_ENDED
     return _Word.LIVES if answer.life and answer.is_member else _Word.IS_SILENT
 
 
-async def _measure_late_s(work: asyncio.Future[StoreAnswer]) -> float:
+async def _measure_late_s(work: asyncio.Future[StoreStatusResponse]) -> float:
     """Wait for some work; return how late the loop came back to what was due meanwhile."""
     loop = asyncio.get_running_loop()
     late_s = 0.0
--- a/src/robinthread/_internal/node/peer_calls.py
+++ b/src/robinthread/_internal/node/peer_calls.py
@@ -8,7 +8,7 @@
 
 # A peer answers from memory within some milliseconds; one that runs five times
 # slower needs some 50.
-ASK_TIMEOUT_S: Final = 0.4
+REQUEST_TIMEOUT_S: Final = 0.4
 
 
 class PeerUnreachableError(Exception):
@@ -22,11 +22,11 @@
 class PeerCalls(Protocol):
     """Questions to other nodes; each ends in a bounded time."""
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
-        question: msgspec.Struct,
-        answer_type: type[T],
-        timeout_s: float = ASK_TIMEOUT_S,
+        request: msgspec.Struct,
+        response_type: type[T],
+        timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
         """Ask a node; raise ``PeerUnreachableError``."""
--- a/src/robinthread/_internal/node/peer_client.py
+++ b/src/robinthread/_internal/node/peer_client.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from robinthread._internal.node.peer_calls import (
-    ASK_TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
     PeerUnreachableError,
     PeerUnsentError,
 )
-from robinthread._internal.node.peer_messages import QUESTION_PATHS
+from robinthread._internal.node.peer_messages import REQUEST_PATHS
 from robinthread._internal.utils.http_call import CallLostError, CallUnsentError, HttpClient, call
 
 T = TypeVar("T")
@@ -21,24 +21,24 @@
     def __init__(self, client: HttpClient) -> None:
         self._client = client
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
-        question: msgspec.Struct,
-        answer_type: type[T],
-        timeout_s: float = ASK_TIMEOUT_S,
+        request: msgspec.Struct,
+        response_type: type[T],
+        timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
         """Ask a node; raise ``PeerUnreachableError``."""
         try:
             response = await call(
                 self._client,
-                f"http://{address}{QUESTION_PATHS[type(question)]}",
+                f"http://{address}{REQUEST_PATHS[type(request)]}",
                 timeout_s=timeout_s,
-                body=msgspec.msgpack.encode(question),
+                body=msgspec.msgpack.encode(request),
             )
             if response.code != 200:
                 raise PeerUnreachableError(f"status {response.code}")
-            return msgspec.msgpack.decode(response.body, type=answer_type)
+            return msgspec.msgpack.decode(response.body, type=response_type)
         except CallUnsentError as error:
             raise PeerUnsentError(str(error)) from error
         except (CallLostError, msgspec.MsgspecError) as error:
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -7,14 +7,14 @@
 from robinthread._internal.fleet.pool_report import FleetQuestion
 
 
-class JobQuestion(msgspec.Struct, frozen=True, array_like=True):
+class JobRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a pool's owner for a job."""
 
     pool: str
     job_id: str
 
 
-class JobAnswer(msgspec.Struct, frozen=True, array_like=True):
+class JobResponse(msgspec.Struct, frozen=True, array_like=True):
     """What a pool's owner knows of a job.
 
     ``pool`` is where the job belongs, "" where no such job was handed in.
@@ -28,24 +28,24 @@
     workspace: str = ""
 
 
-class PendingQuestion(msgspec.Struct, frozen=True, array_like=True):
+class PendingCountsRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a pool's owner for its pending jobs."""
 
     pool: str
 
 
-class PendingAnswer(msgspec.Struct, frozen=True, array_like=True):
+class PendingCountsResponse(msgspec.Struct, frozen=True, array_like=True):
     """Count of pending jobs of each queue that has any."""
 
     is_owner: bool
     counts: dict[str, int] = {}
 
 
-class StoreQuestion(msgspec.Struct, frozen=True, array_like=True):
+class StoreStatusRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a node whether the store serves it."""
 
 
-class StoreAnswer(msgspec.Struct, frozen=True, array_like=True):
+class StoreStatusResponse(msgspec.Struct, frozen=True, array_like=True):
     """Whether the store serves a node, how many pools it owns, how late its loop runs.
 
     ``is_member`` tells whether the store has heard its ``life`` within its time to live.
@@ -58,33 +58,33 @@
     life: str = ""
 
 
-class TakeQuestion(msgspec.Struct, frozen=True, array_like=True):
+class TakeoverRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a node to take pools over; ``tokens`` are those of their owner, which has stopped."""
 
     tokens: dict[str, int]
 
 
-class TakeAnswer(msgspec.Struct, frozen=True, array_like=True):
+class TakeoverResponse(msgspec.Struct, frozen=True, array_like=True):
     """The pools that were taken over."""
 
     taken: tuple[str, ...]
 
 
-class StoppedQuestion(msgspec.Struct, frozen=True, array_like=True):
+class OwnerStoppedRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a node whether it has stopped owning a pool under a token and any lower one."""
 
     pool: str
     token: int
 
 
-class StoppedAnswer(msgspec.Struct, frozen=True, array_like=True):
+class OwnerStoppedResponse(msgspec.Struct, frozen=True, array_like=True):
     """Whether all such owners at a node have stopped: they give no order any more."""
 
     node: str
     has_stopped: bool
 
 
-class RelayQuestion(msgspec.Struct, frozen=True, array_like=True):
+class RelayRequest(msgspec.Struct, frozen=True, array_like=True):
     """Ask a node to append a record to the inbox, within ``left_s`` seconds."""
 
     key: str
@@ -92,18 +92,18 @@
     left_s: float
 
 
-class RelayAnswer(msgspec.Struct, frozen=True, array_like=True):
+class RelayResponse(msgspec.Struct, frozen=True, array_like=True):
     """Outcome of a relayed record: the value of a ``GateOutcome``."""
 
     outcome: str
 
 
-QUESTION_PATHS: Final[dict[type[msgspec.Struct], str]] = {
-    JobQuestion: "/job",
-    PendingQuestion: "/pending",
+REQUEST_PATHS: Final[dict[type[msgspec.Struct], str]] = {
+    JobRequest: "/job",
+    PendingCountsRequest: "/pending",
     FleetQuestion: "/fleet",
-    StoreQuestion: "/store",
-    TakeQuestion: "/take",
-    StoppedQuestion: "/stopped",
-    RelayQuestion: "/relay",
+    StoreStatusRequest: "/store",
+    TakeoverRequest: "/take",
+    OwnerStoppedRequest: "/stopped",
+    RelayRequest: "/relay",
 }
--- /dev/null
+++ b/src/robinthread/_internal/node/peer_request_handler.py
@@ -0,0 +1,53 @@
+"""What a node answers to other nodes."""
+
+import asyncio
+
+import msgspec
+
+from robinthread._internal.durable.store import KeyedRecord
+from robinthread._internal.fleet.pool_report import FleetQuestion
+from robinthread._internal.node.handover import Handover
+from robinthread._internal.node.owned_pools import OwnedPools
+from robinthread._internal.node.peer_messages import (
+    JobRequest,
+    OwnerStoppedRequest,
+    PendingCountsRequest,
+    RelayRequest,
+    RelayResponse,
+    StoreStatusRequest,
+    TakeoverRequest,
+)
+from robinthread._internal.node.record_writer import RecordWriter
+
+
+class PeerRequestHandler:
+    """Answers each kind of question with the part that knows."""
+
+    def __init__(self, owned: OwnedPools, records: RecordWriter, handover: Handover) -> None:
+        self._owned = owned
+        self._records = records
+        self._handover = handover
+
+    async def handle(self, request: msgspec.Struct) -> msgspec.Struct:
+        """Answer one question; raise ``TypeError`` for one of no known kind."""
+        match request:
+            case JobRequest():
+                return await self._owned.answer_job(request)
+            case PendingCountsRequest():
+                return self._owned.answer_pending(request)
+            case FleetQuestion():
+                return self._owned.answer_fleet(request)
+            case StoreStatusRequest():
+                return self._handover.answer_store()
+            case TakeoverRequest():
+                return await self._handover.answer_take(request)
+            case OwnerStoppedRequest():
+                return self._owned.answer_stopped(request)
+            case RelayRequest():
+                return await self._relay(request)
+        raise TypeError(f"unknown question: {type(request).__name__}")
+
+    async def _relay(self, request: RelayRequest) -> RelayResponse:
+        deadline_s = asyncio.get_running_loop().time() + request.left_s
+        record = KeyedRecord(request.key, request.value)
+        return RelayResponse((await self._records.write_relayed(record, deadline_s)).value)
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -139,7 +139,7 @@
 ) -> HTTPServer:
     """Listen for the balancer, for other nodes and for callers; return the last."""
     listen(make_ready_application(assembled.readiness.look), settings.ready_address)
-    listen(make_peer_application(assembled.answers), peer_address)
+    listen(make_peer_application(assembled.request_handler), peer_address)
     application = make_callers_application(
         assembled.gate, assembled.config_holder, events, requests
     )
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -16,7 +16,7 @@
     PeerUnreachableError,
     PeerUnsentError,
 )
-from robinthread._internal.node.peer_messages import RelayAnswer, RelayQuestion
+from robinthread._internal.node.peer_messages import RelayRequest, RelayResponse
 from robinthread._internal.settings.policy_settings import EntryPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -121,9 +121,11 @@
         if left_s <= 0:
             return GateOutcome.REFUSED
         timeout_s = min(left_s, RELAY_TIMEOUT_S)
-        question = RelayQuestion(record.key, record.value or b"", timeout_s)
+        question = RelayRequest(record.key, record.value or b"", timeout_s)
         try:
-            answer = await self._peers.ask(member.address, question, RelayAnswer, timeout_s)
+            answer = await self._peers.send_request(
+                member.address, question, RelayResponse, timeout_s
+            )
         except PeerUnsentError:
             return GateOutcome.REFUSED
         except PeerUnreachableError as error:
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -239,7 +239,7 @@
         if owner.owner == self._me:
             return self._owned.answer_fleet(question)
         try:
-            return await self._peers.ask(owner.owner.address, question, PoolReport)
+            return await self._peers.send_request(owner.owner.address, question, PoolReport)
         except PeerUnreachableError:
             return PoolReport(is_owner=False)
 
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -24,7 +24,7 @@
 from robinthread._internal.node.assembly import AssembledNode, assemble_node
 from robinthread._internal.node.environment import NodeEnvironment, PlatformRecords
 from robinthread._internal.node.peer_calls import (
-    ASK_TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
     PeerUnreachableError,
     PeerUnsentError,
 )
@@ -103,12 +103,12 @@
         self._platform = platform
         self._caller = caller
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
-        question: msgspec.Struct,
-        answer_type: type[T],
-        timeout_s: float = ASK_TIMEOUT_S,
+        request: msgspec.Struct,
+        response_type: type[T],
+        timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
         """Ask a node."""
         self._platform.questions[address] += 1
@@ -127,7 +127,7 @@
                     await _wait_for_ever()
                 if self._platform.charge_question is not None:
                     await self._platform.charge_question(address)
-                answer = await peer.assembled.answers.answer(question)
+                answer = await peer.assembled.request_handler.handle(request)
                 if connections.silences > began_silences:
                     await _wait_for_ever()
         except TimeoutError as error:
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -241,7 +241,7 @@
 class _NoPeers:
     """Peers that never answer."""
 
-    async def ask(self, address: str, *rest: object) -> NoReturn:
+    async def send_request(self, address: str, *rest: object) -> NoReturn:
         """Find nobody."""
         raise PeerUnreachableError(address)
 
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_nodes_left_out.py
@@ -10,8 +10,8 @@
 from robinthread._internal.durable.store import NewestPage, Partition
 from robinthread._internal.node.election import FLEET
 from robinthread._internal.node.job_gate import GateOutcome
-from robinthread._internal.node.peer_calls import ASK_TIMEOUT_S, PeerUnreachableError
-from robinthread._internal.node.peer_messages import RelayQuestion
+from robinthread._internal.node.peer_calls import REQUEST_TIMEOUT_S, PeerUnreachableError
+from robinthread._internal.node.peer_messages import RelayRequest
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from robinthread._internal.standins.store_standin import StoreClient
@@ -32,17 +32,17 @@
 def silence_relays(platform: PlatformStandin, node: str) -> None:
     """Have what a node relays go out on connections that have gone silent."""
     peers = platform.nodes[node].assembled.gate._peers
-    ask = peers.ask
+    send_request = peers.send_request
 
     async def lose(
-        address: str, question: Any, answer_type: type, timeout_s: float = ASK_TIMEOUT_S
+        address: str, request: Any, response_type: type, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Any:
-        if isinstance(question, RelayQuestion):
+        if isinstance(request, RelayRequest):
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError("silent")
-        return await ask(address, question, answer_type, timeout_s)
+        return await send_request(address, request, response_type, timeout_s)
 
-    peers.ask = lose  # type: ignore[method-assign]
+    peers.send_request = lose  # type: ignore[method-assign]
 
 
 def lose_first_reads_of_owners(client: StoreClient) -> None:
--- a/tests/functional/test_owners_asked_in_time.py
+++ b/tests/functional/test_owners_asked_in_time.py
@@ -9,7 +9,7 @@
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.node.owner_checks import MISSING_CONFIRM_S, OwnerChecks
 from robinthread._internal.node.peer_calls import PeerUnreachableError
-from robinthread._internal.node.peer_messages import StoreAnswer
+from robinthread._internal.node.peer_messages import StoreStatusResponse
 from tests.lib.virtual import run_virtual
 
 DEAD, LIVING = Member("dead", "life", "dead"), Member("living", "life", "living")
@@ -21,15 +21,15 @@
 class _Peers:
     """Peers of which one lives."""
 
-    async def ask(
-        self, address: str, question: msgspec.Struct, answer_type: type, timeout_s: float
-    ) -> StoreAnswer:
+    async def send_request(
+        self, address: str, request: msgspec.Struct, response_type: type, timeout_s: float
+    ) -> StoreStatusResponse:
         """Answer as the node that lives, or not in time."""
         if address == DEAD.address:
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError(address)
         await asyncio.sleep(ANSWER_S)
-        return StoreAnswer(True, 1, 0.0, True, LIVING.life)
+        return StoreStatusResponse(True, 1, 0.0, True, LIVING.life)
 
 
 class OwnersAskedInTimeTest(TestCase):
--- a/tests/functional/test_stops_on_platform.py
+++ b/tests/functional/test_stops_on_platform.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
-from robinthread._internal.node.peer_messages import StoreAnswer, StoreQuestion
+from robinthread._internal.node.peer_messages import StoreStatusRequest, StoreStatusResponse
 from robinthread._internal.node.stop_budget import BUDGET_SHARE
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.node_settings_standin import BOUNDS
@@ -76,8 +76,8 @@
             platform.store.faults.silent.add(owner)
             stop = asyncio.create_task(node.node.stop(make_stop_budget(platform)))
             await asyncio.sleep(0.1)
-            answer = await node.answers.answer(StoreQuestion())
-            assert isinstance(answer, StoreAnswer)
+            answer = await node.request_handler.handle(StoreStatusRequest())
+            assert isinstance(answer, StoreStatusResponse)
             self.assertFalse(answer.is_served)
             await stop
 
--- a/tests/unit/test_owner_checks.py
+++ b/tests/unit/test_owner_checks.py
@@ -15,11 +15,11 @@
     OwnerChecks,
 )
 from robinthread._internal.node.peer_calls import PeerUnreachableError
-from robinthread._internal.node.peer_messages import StoreAnswer
+from robinthread._internal.node.peer_messages import StoreStatusResponse
 from tests.lib.virtual import run_virtual, stall_loop
 
 OWNER = Member("owner", "life", "owner")
-LIVING = StoreAnswer(True, 1, 0.0, True, OWNER.life)
+LIVING = StoreStatusResponse(True, 1, 0.0, True, OWNER.life)
 # How long a living owner takes to answer.
 ANSWER_S = 0.01
 # As long as a new node's loop may be held by what it loads, and more.
@@ -33,14 +33,14 @@
 class _Peers:
     """A peer that answers in time, or none."""
 
-    def __init__(self, answer: StoreAnswer | None, refuses: bool = False) -> None:
+    def __init__(self, answer: StoreStatusResponse | None, refuses: bool = False) -> None:
         self.asked_count = 0
         self.answer = answer
         self._refuses = refuses
 
-    async def ask(
-        self, address: str, question: msgspec.Struct, answer_type: type, timeout_s: float
-    ) -> StoreAnswer:
+    async def send_request(
+        self, address: str, request: msgspec.Struct, response_type: type, timeout_s: float
+    ) -> StoreStatusResponse:
         """Answer, but not to one whose time-out has passed when it could read that."""
         self.asked_count += 1
         began_at_s = asyncio.get_running_loop().time()
