--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -10,7 +10,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.workspace_policy import WorkspacePolicy
 from robinthread._internal.models.workspace_shares import ShareState, WorkspaceStanding
-from robinthread._internal.node.share_keeper import ShareKeeper
+from robinthread._internal.node.share_allocator import ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
 # Pools, and workspaces that want more than their even share in each of them.
@@ -31,18 +31,18 @@
         WorkspaceStanding(name, (5_000, 0, 0), (90_000, 0, 0), (2_000, 0, 0))
         for name in names[:wanting_count]
     )
-    keeper = ShareKeeper(1, 0.2, 0.0, EventLog("bench", lambda line: None))
-    took_s = max(_take_step(keeper, config, standings) for _ in range(STEPS))
-    order = keeper.make_order(pools[0].name, config)
+    allocator = ShareAllocator(1, 0.2, 0.0, EventLog("bench", lambda line: None))
+    took_s = max(_take_step(allocator, config, standings) for _ in range(STEPS))
+    order = allocator.make_order(pools[0].name, config)
     return took_s * 1000, len(msgspec.msgpack.encode(order))
 
 
 def _take_step(
-    keeper: ShareKeeper,
+    allocator: ShareAllocator,
     config: FleetConfig,
     standings: tuple[WorkspaceStanding, ...],
 ) -> float:
-    orders = {pool: keeper.make_order(pool, config) for pool in config.list_working_pools()}
+    orders = {pool: allocator.make_order(pool, config) for pool in config.list_working_pools()}
     reports = {
         pool: PoolReport(
             True,
@@ -53,8 +53,8 @@
         if order is not None
     }
     began_at_s = time.process_time()
-    keeper.note_reports(config, reports)
-    keeper.decide(config, {}, 0.0)
+    allocator.note_reports(config, reports)
+    allocator.decide(config, {}, 0.0)
     return time.process_time() - began_at_s
 
 
--- a/src/robinthread/_internal/node/advice_taker.py
+++ b/src/robinthread/_internal/node/advice_fetcher.py
@@ -20,7 +20,7 @@
 TIMEOUT_SLACK_S: Final = 1.0
 
 
-class AdviceTaker:
+class AdviceFetcher:
     """Gets tickets for a pool's waiting steps, one call after the other."""
 
     def __init__(self, runtime: PoolRuntime, calls: AdviceCalls) -> None:
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -28,7 +28,7 @@
 from robinthread._internal.node.record_writer import RecordWriter
 from robinthread._internal.node.relief import ReliefPlanner
 from robinthread._internal.node.settings_holder import SettingsHolder
-from robinthread._internal.node.standing import StandingReporter
+from robinthread._internal.node.status_reporter import StatusReporter
 from robinthread._internal.node.steward import Steward
 
 RETRY_PAUSE_S: Final = 0.2
@@ -52,7 +52,7 @@
     config_holder: ConfigHolder
     lag: LoopLag
     readiness: Readiness
-    standing: StandingReporter
+    status_reporter: StatusReporter
 
 
 def assemble_node(
@@ -127,7 +127,7 @@
         context, me, table, election, member, owned, make_steward, handover, relief, (hosts, inbox)
     )
     readiness = Readiness(node, member, table, config_holder, events)
-    standing = StandingReporter(owned, lag, readiness, events)
+    status_reporter = StatusReporter(owned, lag, readiness, events)
     for work in (
         operators.run(),
         hosts.run(),
@@ -140,12 +140,12 @@
         settings_holder.run(),
         writer.run(),
         node.run(),
-        standing.run(),
+        status_reporter.run(),
     ):
         node.spawn(work)
     request_handler = PeerRequestHandler(owned, record_writer, handover)
     return AssembledNode(
-        node, gate, owned, request_handler, config_holder, lag, readiness, standing
+        node, gate, owned, request_handler, config_holder, lag, readiness, status_reporter
     )
 
 
--- a/src/robinthread/_internal/node/fleet_views.py
+++ b/src/robinthread/_internal/node/fleet_view_builder.py
@@ -14,13 +14,13 @@
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.machine_orders import MachineOrders
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.wave_tracker import WaveTracker
 
 
-class FleetViews:
+class FleetViewBuilder:
     """Makes views of the fleet; ``machines`` are those of the last list, by name."""
 
-    def __init__(self, context: NodeContext, orders: MachineOrders, waves: WaveKeeper) -> None:
+    def __init__(self, context: NodeContext, orders: MachineOrders, waves: WaveTracker) -> None:
         self._context = context
         self._orders = orders
         self._waves = waves
@@ -46,7 +46,7 @@
         """Return the waves that the operators ask for."""
         return list(self._context.config_holder.waves.values())
 
-    def make(self, reports: Mapping[str, PoolReport]) -> FleetView:
+    def build(self, reports: Mapping[str, PoolReport]) -> FleetView:
         """Make a view from what the pools' owners report now."""
         config = self._context.config_holder.config
         assert config is not None
@@ -62,7 +62,7 @@
             for report in reports.values()
             for host in report.hosts
         }
-        self._waves.note_seen(
+        self._waves.record_observation(
             self.machines, lambda machine: self._find_life(machine, config, lives)
         )
         return FleetView(
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -27,7 +27,7 @@
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.pool_runtime import get_loop_s
 from robinthread._internal.node.unsettled_upkeep import ORDER_LATE_MAX_S, UnsettledUpkeep
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
 # Pause before an order without answer is given again.
@@ -60,7 +60,7 @@
         self,
         machines: MachineCalls,
         journal: Journal,
-        waves: WaveKeeper,
+        waves: WaveTracker,
         events: EventLog,
         holder: str,
         token: int,
@@ -108,7 +108,7 @@
             for machine, target in self._targets.items()
             if target.wave and not self._waves.has_begun(target.wave, machine)
         }
-        self._waves.note_ordered_before(self._targets)
+        self._waves.record_earlier_orders(self._targets)
         self.unsettled.load(open_upkeep, is_author_ended=self._wait_s == 0)
 
     def list_held(self) -> frozenset[str]:
@@ -241,7 +241,7 @@
             self.moved[order.machine] = (get_loop_s(), order.pool)
         else:
             self.unsettled.settle(order.machine)
-            await self._waves.note_begun(order.wave, order.machine)
+            await self._waves.record_start(order.wave, order.machine)
 
     def _note(self, order: Order, outcome: str, error: str = "") -> None:
         detail = {"error": error} if error else {}
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -17,7 +17,7 @@
 from robinthread._internal.jobs.suspects import note_outlived
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
-from robinthread._internal.node.advice_taker import AdviceTaker
+from robinthread._internal.node.advice_fetcher import AdviceFetcher
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.order_sender import OrderSender
 from robinthread._internal.node.pool_hosts import PoolHosts
@@ -85,7 +85,7 @@
         self._orders = OrderSender(self._runtime)
         self._recorder = Recorder(self._runtime, self._journal, self._orders)
         self._minder = RunMinder(self._runtime, self._orders)
-        self._advice_taker = AdviceTaker(self._runtime, context.advice)
+        self._advice_fetcher = AdviceFetcher(self._runtime, context.advice)
         self._retention = Retention(self._runtime, self._journal)
         self._hosts = PoolHosts(self._runtime, self._recorder, self._orders)
         self._demand = DemandMeter(
@@ -126,7 +126,7 @@
         self._progress.clear()
         self._runtime.spawn(self._retention.drop_orphans(orphans))
         self._runtime.spawn(self._retention.run())
-        self._runtime.spawn(self._advice_taker.run())
+        self._runtime.spawn(self._advice_fetcher.run())
         self._runtime.spawn(self._recorder.run())
         self._runtime.spawn(self._schedule())
         self._runtime.wake()
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -98,9 +98,11 @@
     )
     assembled = assemble_node(holder, make_environment(settings, events, policy), me)
     metrics.observe("loop_lag_seconds", "of", lambda: {"event loop": assembled.lag.lag_s})
-    metrics.observe("pool_state", "pool", assembled.standing.read_states)
-    metrics.observe("lasting_away", "pool", assembled.standing.count_lasting_away)
-    metrics.observe("workspace_part", "pool_and_workspace", assembled.standing.read_workspace_parts)
+    metrics.observe("pool_state", "pool", assembled.status_reporter.read_states)
+    metrics.observe("lasting_away", "pool", assembled.status_reporter.count_lasting_away)
+    metrics.observe(
+        "workspace_part", "pool_and_workspace", assembled.status_reporter.read_workspace_parts
+    )
     requests = OpenRequests()
     callers = _serve(assembled, settings, peer_address, events, requests)
     if metrics_port is not None:
--- a/src/robinthread/_internal/node/share_keeper.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -67,7 +67,7 @@
         return is_bound and workspace in self.confirmed.shares and workspace in self.standings
 
 
-class ShareKeeper:
+class ShareAllocator:
     """Deals out the limits of workspaces over the pools, under the steward's token.
 
     A pool is heard once it has answered under this token: it then heeds no earlier steward,
--- a/src/robinthread/_internal/node/standing.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -20,10 +20,10 @@
 SLOW_PERIOD_S: Final = 1.0
 # How often each pool is told.  Its line has some 400 bytes, so that a minute of a pool takes
 # a fifth of what collectors keep of a process at least (54 KB).
-STANDING_PERIOD_S: Final = 2.0
+STATUS_PERIOD_S: Final = 2.0
 
 
-class StandingReporter:
+class StatusReporter:
     """Tells how the pools stand that are owned here, open or not."""
 
     def __init__(
@@ -45,7 +45,7 @@
         """Write what is due now."""
         self._events.tell_gathered()
         self._readiness.look()
-        is_due = get_loop_s() - self._told_at_s >= STANDING_PERIOD_S
+        is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
         if is_due:
             self._told_at_s = get_loop_s()
         for owner in self._owned.owners.values():
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -19,15 +19,15 @@
 from robinthread._internal.models.fleet_config import FleetConfig
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.environment import NodeEnvironment
-from robinthread._internal.node.fleet_views import FleetViews
+from robinthread._internal.node.fleet_view_builder import FleetViewBuilder
 from robinthread._internal.node.machine_orders import MachineOrders
 from robinthread._internal.node.node_settings import NodeBounds
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.share_keeper import ShareKeeper
-from robinthread._internal.node.upkeep_lines import UpkeepLines
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.share_allocator import ShareAllocator
+from robinthread._internal.node.upkeep_reporter import UpkeepReporter
+from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.gathered_lines import NAMES_MAX
 
 # How often the pools are asked how they stand, and the fleet is planned.
@@ -78,15 +78,15 @@
             context.store, ORDERS_PARTITION, writer, token, context.events
         )
         self._planner = FleetPlanner(context.policy.fleet)
-        self._shares = ShareKeeper(
+        self._shares = ShareAllocator(
             token, context.policy.workspaces.kept_share, get_loop_s(), context.events
         )
         self._listed_at_s = -LIST_PERIOD_S
         self._sizes: dict[str, PoolSize] = {}
         self._vacate: dict[str, frozenset[str]] = {}
-        self._lines = UpkeepLines(context.events)
+        self._lines = UpkeepReporter(context.events)
         self.fenced = asyncio.Event()
-        self._waves = WaveKeeper(
+        self._waves = WaveTracker(
             self._wave_journal,
             self._status_journal,
             self._records,
@@ -105,7 +105,7 @@
             wait_s,
             self._note_fenced,
         )
-        self._views = FleetViews(context, self._orders, self._waves)
+        self._views = FleetViewBuilder(context, self._orders, self._waves)
 
     async def run(self) -> None:
         """Give orders until cancelled or fenced."""
@@ -157,9 +157,9 @@
         if not is_listed:
             return
         if self._views.machines:
-            await self._waves.show(self._views.list_waves(), self._views.machines)
-        view = self._views.make(reports)
-        self._lines.note_counted(view.waves, self._views.machines)
+            await self._waves.publish_status(self._views.list_waves(), self._views.machines)
+        view = self._views.build(reports)
+        self._lines.report_down(view.waves, self._views.machines)
         plan = self._planner.plan(view, get_loop_s())
         for pool, machines in plan.vacate.items():
             if machines != self._vacate.get(pool, frozenset()):
@@ -171,7 +171,7 @@
                 )
         self._vacate = plan.vacate
         self._note_sizes(view, plan)
-        self._lines.note_ordered(view, plan.orders, get_loop_s() - self._listed_at_s)
+        self._lines.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
         await self._orders.give(plan.orders)
         self._orders.drop_settled()
 
--- a/src/robinthread/_internal/node/upkeep_lines.py
+++ b/src/robinthread/_internal/node/upkeep_reporter.py
@@ -12,7 +12,7 @@
 MACHINES_NAMED_MAX: Final = 64
 
 
-class UpkeepLines:
+class UpkeepReporter:
     """Tells, wave by wave, which machines the steward takes for down and which it takes next.
 
     With these lines alone an engineer can replay the count behind any upkeep.
@@ -23,7 +23,7 @@
         self._down_since_s: dict[int, dict[str, float]] = {}
         self._over_bound: set[int] = set()
 
-    def note_counted(self, waves: Iterable[WaveView], known: Mapping[str, Machine]) -> None:
+    def report_down(self, waves: Iterable[WaveView], known: Mapping[str, Machine]) -> None:
         """Tell which machines count as down no longer, and where too many do."""
         now_s = get_loop_s()
         for wave in waves:
@@ -34,7 +34,7 @@
             since_s |= {name: since_s.get(name, now_s) for name in counted}
             self._note_bound(wave)
 
-    def note_ordered(
+    def report_orders(
         self,
         view: FleetView,
         orders: Iterable[MoveOrder | UpkeepOrder],
--- a/src/robinthread/_internal/node/upkeep_returns.py
+++ b/src/robinthread/_internal/node/upkeep_tracker.py
@@ -30,7 +30,7 @@
     is_doubtful: bool = False
 
 
-class UpkeepReturns:
+class UpkeepTracker:
     """Tells which machines are not back yet from their upkeep, of whatever wave.
 
     The list of machines alone does not tell.  It may show a machine as up before its host has
@@ -46,13 +46,13 @@
         self._lives: dict[str, str] = {}
         self._is_seen = False
 
-    def note_begun(self, machine: str, is_doubtful: bool = False) -> None:
+    def record_start(self, machine: str, is_doubtful: bool = False) -> None:
         """Note that a machine's upkeep has begun, now at the latest; it may be back if doubtful."""
         now_s = get_loop_s()
         former = self._lives.get(machine, "")
         self._stays[machine] = _Stay(now_s, now_s + self._upkeep_s, former, is_doubtful)
 
-    def note_seen(
+    def record_observation(
         self,
         machines: Mapping[str, Machine],
         find_life: FindLife,
--- a/src/robinthread/_internal/node/wave_keeper.py
+++ b/src/robinthread/_internal/node/wave_tracker.py
@@ -12,11 +12,11 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.node.environment import PlatformRecords
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.upkeep_returns import FindLife, UpkeepReturns
+from robinthread._internal.node.upkeep_tracker import FindLife, UpkeepTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
 
-class WaveKeeper:
+class WaveTracker:
     """Which machines of each wave have begun their upkeep and are not back; what is shown of it.
 
     An upkeep takes a machine ``upkeep_s``.
@@ -35,7 +35,7 @@
         self._records = records
         self._events = events
         self._begun: dict[int, set[str]] = {}
-        self._returns = UpkeepReturns(upkeep_s)
+        self._returns = UpkeepTracker(upkeep_s)
         self._shown: dict[int, bool] = {}
 
     def load(self, records: Iterable[KeyedRecord]) -> None:
@@ -48,21 +48,21 @@
                 continue
             self._begun[progress.wave] = set(progress.begun)
 
-    async def note_begun(self, wave: int, machine: str) -> None:
+    async def record_start(self, wave: int, machine: str) -> None:
         """Record that a machine's upkeep has begun."""
-        self._returns.note_begun(machine)
+        self._returns.record_start(machine)
         begun = self._begun.setdefault(wave, set())
         begun.add(machine)
         await self._journal.write([make_wave_record(wave, begun)])
 
-    def note_ordered_before(self, machines: Iterable[str]) -> None:
+    def record_earlier_orders(self, machines: Iterable[str]) -> None:
         """Note which machines an earlier steward may have just ordered, by its record."""
         for machine in self._list_begun(machines):
-            self._returns.note_begun(machine, is_doubtful=True)
+            self._returns.record_start(machine, is_doubtful=True)
 
-    def note_seen(self, machines: Mapping[str, Machine], find_life: FindLife) -> None:
+    def record_observation(self, machines: Mapping[str, Machine], find_life: FindLife) -> None:
         """Take in the machines as listed last; ``find_life`` tells whose host is heard of."""
-        self._returns.note_seen(machines, find_life, self._list_begun(machines))
+        self._returns.record_observation(machines, find_life, self._list_begun(machines))
 
     def _list_begun(self, machines: Iterable[str]) -> frozenset[str]:
         return frozenset(machines) & frozenset().union(*self._begun.values())
@@ -113,7 +113,9 @@
             doubtful=(self._returns.list_doubtful(members) | open_orders) - ordered - own,
         )
 
-    async def show(self, waves: Iterable[UpkeepWave], machines: dict[str, Machine]) -> None:
+    async def publish_status(
+        self, waves: Iterable[UpkeepWave], machines: dict[str, Machine]
+    ) -> None:
         """Write the status of each wave where it has changed."""
         for wave in waves:
             is_done = not self.get_pending(wave, machines)
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -127,7 +127,7 @@
             await Feeder(platform).feed(MAPS, "press", FLOOD_PER_S, 4)
             name = get_owner(platform, "press")
             assert name is not None
-            parts = platform.nodes[name].assembled.standing.read_workspace_parts()
+            parts = platform.nodes[name].assembled.status_reporter.read_workspace_parts()
             # Beside the part that the two other pools keep it has the whole limit, in whole tasks.
             self.assertGreater(parts[f"press/{MAPS}"], 0.7)
             lines = [json.loads(line) for line in platform.events]
--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -25,7 +25,7 @@
 def tell_all(platform: PlatformStandin, event: str) -> list[dict[str, Any]]:
     """Have all nodes write what they have gathered; return the lines of an event."""
     for node in platform.nodes.values():
-        node.assembled.standing._events.tell_gathered(is_last=True)
+        node.assembled.status_reporter._events.tell_gathered(is_last=True)
     return [line for line in map(json.loads, platform.events) if line["event"] == event]
 
 
--- a/tests/unit/test_machine_orders.py
+++ b/tests/unit/test_machine_orders.py
@@ -16,7 +16,7 @@
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.machine_orders import MachineOrders
 from robinthread._internal.node.unsettled_upkeep import AUTHOR_FROZEN_MAX_S, ORDER_LATE_MAX_S
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import (
     RECORDS,
@@ -38,7 +38,7 @@
     return MachineOrders(
         platform.machines.connect("n"),
         journal,
-        WaveKeeper(journal, journal, RECORDS, events, BOUNDS.machine_upkeep_s),
+        WaveTracker(journal, journal, RECORDS, events, BOUNDS.machine_upkeep_s),
         events,
         f"n/{token}",
         token,
@@ -230,7 +230,7 @@
         await make_orders(self.platform, 1, wait_s=0.0).give((UpkeepOrder(machine, 1),))
         following = make_orders(self.platform, 2, wait_s)
         if begun:
-            await following._waves.note_begun(1, machine)
+            await following._waves.record_start(1, machine)
         following.load(read_records(self.platform))
         return following, machine
 
--- a/tests/unit/test_share_keeper.py
+++ b/tests/unit/test_share_allocator.py
@@ -13,7 +13,7 @@
     ShareTable,
     WorkspaceStanding,
 )
-from robinthread._internal.node.share_keeper import HEARD_WITHIN_S, ShareKeeper
+from robinthread._internal.node.share_allocator import HEARD_WITHIN_S, ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
 POOLS = ("a", "b")
@@ -30,7 +30,9 @@
     """Owners that take orders and answer; ``used`` is what the workspace takes there."""
 
     def __init__(self, token: int = 1, began_at_s: float = 0.0) -> None:
-        self.keeper = ShareKeeper(token, KEPT_SHARE, began_at_s, EventLog("n", lambda line: None))
+        self.allocator = ShareAllocator(
+            token, KEPT_SHARE, began_at_s, EventLog("n", lambda line: None)
+        )
         self.states = {pool: ShareState() for pool in POOLS}
         self.used = dict.fromkeys(POOLS, 0)
         self.held_back = dict.fromkeys(POOLS, 0)
@@ -43,10 +45,10 @@
         now_s: float = 0.0,
     ) -> dict[str, ShareTable | None]:
         """Have the keeper ask the pools once and decide; return what they go by."""
-        orders = {pool: self.keeper.make_order(pool, config) for pool in POOLS}
+        orders = {pool: self.allocator.make_order(pool, config) for pool in POOLS}
         reports = {pool: self._answer(pool, orders[pool]) for pool in answering}
-        self.keeper.note_reports(config, reports)
-        self.keeper.decide(config, fell_in or {}, now_s)
+        self.allocator.note_reports(config, reports)
+        self.allocator.decide(config, fell_in or {}, now_s)
         return {pool: state.table for pool, state in self.states.items()}
 
     def _answer(self, pool: str, order: ShareOrder | None) -> PoolReport:
@@ -72,7 +74,7 @@
         return 0.0 if table is None else table.get("maps")
 
 
-class ShareKeeperTest(TestCase):
+class ShareAllocatorTest(TestCase):
     def test_pools_have_even_shares_once_both_were_heard(self) -> None:
         pools = _Pools()
         pools.settle(make_config(1, 1000))
@@ -113,9 +115,9 @@
         pools.step(config)
         pools.states["b"] = ShareState(2, 1, ShareTable(1, 0.9))
         report = PoolReport(True, share_state=pools.states["b"])
-        pools.keeper.note_reports(config, {"b": report})
-        pools.keeper.decide(config, {}, 0.0)
-        order = pools.keeper.make_order("b", config)
+        pools.allocator.note_reports(config, {"b": report})
+        pools.allocator.decide(config, {}, 0.0)
+        order = pools.allocator.make_order("b", config)
         assert order is not None
         self.assertEqual(1, order.token)
 
--- a/tests/unit/test_standing.py
+++ b/tests/unit/test_status_reporter.py
@@ -27,7 +27,7 @@
 TOO_WIDE = StepSpec(1, cpu_millicores=900_000, memory_mb=100)
 
 
-class StandingTest(TestCase):
+class StatusReporterTest(TestCase):
     def test_open_pool_is_told_each_two_seconds_with_what_it_has(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
@@ -47,9 +47,9 @@
             self.assertNotIn("silent_hosts", last)
             self.assertTrue(2.5 < last["lease_left_s"] < 4.5)
             self.assertTrue(0 <= last["store_unconfirmed_for_s"] < 2)
-            standing = platform.nodes["node0"].assembled.standing
-            self.assertEqual(1.0, standing.read_states()[POOL])
-            self.assertEqual(0, standing.count_lasting_away()[POOL])
+            status_reporter = platform.nodes["node0"].assembled.status_reporter
+            self.assertEqual(1.0, status_reporter.read_states()[POOL])
+            self.assertEqual(0, status_reporter.count_lasting_away()[POOL])
 
         run_virtual(work())
 
@@ -65,8 +65,8 @@
             self.assertNotIn("answering_hosts", last)
             self.assertEqual((2, 2), (last["waiting"], last["waiting_lasting"]))
             self.assertIsNone(last["lease_left_s"])
-            standing = platform.nodes["node0"].assembled.standing
-            self.assertEqual(2, standing.count_lasting_away()[POOL])
+            status_reporter = platform.nodes["node0"].assembled.status_reporter
+            self.assertEqual(2, status_reporter.count_lasting_away()[POOL])
 
         run_virtual(work())
 
@@ -77,8 +77,8 @@
             self.assertIsNone(get_owner(platform))
             self.assertEqual("progress", find_lines(platform, "owner_standing")[-1]["phase"])
             self.assertNotIn("opened_in_s", find_lines(platform, "owner_standing")[-1])
-            standing = platform.nodes["slow"].assembled.standing
-            self.assertEqual(0.0, standing.read_states()[POOL])
+            status_reporter = platform.nodes["slow"].assembled.status_reporter
+            self.assertEqual(0.0, status_reporter.read_states()[POOL])
 
         run_virtual(work())
 
