--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -14,7 +14,7 @@
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
 # The pool of no hosts whose owner gives all orders for machines.
-FLEET: Final = "fleet/machines"
+FLEET_POOL: Final = "fleet/machines"
 
 
 class Election:
@@ -22,7 +22,7 @@
 
     The members tell who lives; ownership itself is one record a pool, taken under a
     condition, so a wrong guess here costs time and no safety.
-    ``is_taking`` is false once this node stops: nobody here would own what it took.
+    ``is_acquiring`` is false once this node stops: nobody here would own what it took.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         self._config_holder = config_holder
         self._events = events
         self._policy = policy
-        self.is_taking = True
+        self.is_acquiring = True
 
     @property
-    def may_take(self) -> bool:
+    def may_acquire(self) -> bool:
         """Tell whether the store serves this node and it is to stay."""
-        return self._member.is_served and self.is_taking and self._member.is_settled
+        return self._member.is_served and self.is_acquiring and self._member.is_settled
 
     def get_missing_s(self, pool: str) -> float | None:
         """Return for how long a pool's last owner was no member; None where it was one."""
@@ -59,15 +59,15 @@
         previous = self._table.previous.get(pool)
         return previous is not None and self._checks.has_ended(previous.owner)
 
-    def get_pools_to_take(self) -> list[str]:
+    def get_pools_to_acquire(self) -> list[str]:
         """Return the pools that have no living owner and that this node is to take."""
         config = self._config_holder.config
-        if config is None or not self.is_taking or not self._member.is_served:
+        if config is None or not self.is_acquiring or not self._member.is_served:
             return []
         if not self._member.is_settled or not self._member.is_listed:
             # What it took now, others would take from it: they do not see it.
             return self._get_former_pools()
-        wanted = sorted([*config.pools, FLEET])
+        wanted = sorted([*config.pools, FLEET_POOL])
         self._checks.keep_only(
             found.owner for pool in wanted if (found := self._table.get(pool)) is not None
         )
@@ -85,7 +85,7 @@
             if order[0] == self._me and self._is_free(pool, gone)
         ]
 
-    def get_returned(self) -> dict[str, Member]:
+    def get_restarted_owners(self) -> dict[str, Member]:
         """Return, by pool, the newer life of its owner's node, where that one is listed.
 
         After a stop of all nodes each former owner takes its pool under a condition that
--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -122,7 +122,7 @@
     def answer_store(self) -> StoreStatusResponse:
         """Tell whether the store serves this node."""
         return StoreStatusResponse(
-            self._election.may_take,
+            self._election.may_acquire,
             len(self._owned.owners),
             self._lag.lag_s,
             self._member.is_heard,
@@ -131,7 +131,7 @@
 
     async def answer_take(self, question: TakeoverRequest) -> TakeoverResponse:
         """Take over the pools whose owners have not changed meanwhile."""
-        if not self._election.may_take or self._lag.lag_s > LAG_MAX_S:
+        if not self._election.may_acquire or self._lag.lag_s > LAG_MAX_S:
             return TakeoverResponse(())
         self.stopped_tokens |= question.tokens
         try:
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -8,7 +8,7 @@
 from robinthread._internal.durable.keyed_follower import KeyedFollower
 from robinthread._internal.durable.ownership import Member, OwnerTable
 from robinthread._internal.node.context import NodeContext
-from robinthread._internal.node.election import FLEET, Election
+from robinthread._internal.node.election import FLEET_POOL, Election
 from robinthread._internal.node.group_member import GroupMember
 from robinthread._internal.node.handover import Handover
 from robinthread._internal.node.owned_pools import OwnedPools
@@ -80,18 +80,18 @@
             await self._pass_on()
             await self._relieve()
             await self._release_closed()
-            self._open_taken()
+            self._open_acquired_pools()
             self._follow_if_needed()
-            await self._take_free()
+            await self._acquire_free_pools()
             await wait_for_event(self._table.changed, LOOK_PERIOD_S)
 
     async def stop(self, budget: StopBudget) -> None:
         """Give all pools back, so that others take them at once, once no order is made."""
         self.is_stopping = True
-        self._election.is_taking = False
+        self._election.is_acquiring = False
         owners, self._owned.owners = self._owned.owners, {}
         if await budget.run("orders", self._stop_orders(owners.values())):
-            await budget.run("release", self._table.release([*owners, FLEET], self._me, True))
+            await budget.run("release", self._table.release([*owners, FLEET_POOL], self._me, True))
         await budget.run("leave", self._member.leave())
 
     async def _stop_orders(self, owners: Collection[PoolOwner]) -> None:
@@ -109,7 +109,7 @@
         if not self._member.is_cut_off or not served:
             return
         if self._owned.owners or self._steward is not None:
-            await self._pass_to(served[0], [*self._owned.owners, FLEET], is_planned=False)
+            await self._pass_to(served[0], [*self._owned.owners, FLEET_POOL], is_planned=False)
 
     async def _relieve(self) -> None:
         """Pass a pool on that another node could carry more easily."""
@@ -128,8 +128,8 @@
         owners = [owner for pool, owner in self._owned.owners.items() if pool in pools]
         tokens = {owner.pool: owner.token for owner in owners}
         await asyncio.gather(*(self._close(owner, is_planned) for owner in owners))
-        if self._steward is not None and FLEET in pools:
-            tokens[FLEET] = self._steward.token
+        if self._steward is not None and FLEET_POOL in pools:
+            tokens[FLEET_POOL] = self._steward.token
             await self._close_steward(self._steward)
         if tokens:
             await self._handover.pass_on(taker, tokens)
@@ -143,7 +143,7 @@
             and not found.is_released
             and found.token <= self._spent_tokens.get(pool, 0)
             and pool not in self._owned.owners
-            and (pool != FLEET or self._steward is None)
+            and (pool != FLEET_POOL or self._steward is None)
         ]
         if closed and not self._member.is_cut_off:
             await self._release(closed)
@@ -160,27 +160,27 @@
         except StoreError as error:
             self._events.write("release_failed", pools=pools, error=str(error))
 
-    async def _take_free(self) -> None:
+    async def _acquire_free_pools(self) -> None:
         """Take the pools that are free, one by one: each take may change who takes the next."""
-        while pools := self._election.get_pools_to_take():
-            if not await self._take(pools[0]):
+        while pools := self._election.get_pools_to_acquire():
+            if not await self._acquire(pools[0]):
                 return
 
-    async def _take(self, pool: str) -> bool:
+    async def _acquire(self, pool: str) -> bool:
         """Take a pool; return whether that succeeded."""
         try:
-            is_taken = await self._table.take(pool, self._me, self._election.get_returned())
+            is_taken = await self._table.take(pool, self._me, self._election.get_restarted_owners())
         except StoreError as error:
             self._events.write("take_failed", pool=pool, error=f"{type(error).__name__}: {error}")
             return False
-        self._open_taken()
+        self._open_acquired_pools()
         return is_taken
 
-    def _open_taken(self) -> None:
+    def _open_acquired_pools(self) -> None:
         for pool, found in list(self._table.owners.items()):
             if found.is_released or found.owner != self._me or self.is_stopping:
                 continue
-            if pool == FLEET:
+            if pool == FLEET_POOL:
                 self._open_steward(found.token)
                 continue
             owner = self._owned.owners.get(pool)
@@ -197,7 +197,7 @@
                 self.spawn(self._run_owner(owner))
 
     def _open_steward(self, token: int) -> None:
-        if self._steward is None and self._spent_tokens.get(FLEET, 0) < token:
+        if self._steward is None and self._spent_tokens.get(FLEET_POOL, 0) < token:
             wait_s = self._get_wait_s()
             self._steward = self._make_steward(token, wait_s)
             self._events.write("fleet_taken", token=token)
@@ -210,7 +210,7 @@
         process ends, or a former life of this one, gives no more orders.  That the last one
         is no member proves nothing: one that lives may hold no partition.
         """
-        previous = self._table.previous.get(FLEET)
+        previous = self._table.previous.get(FLEET_POOL)
         if previous is None or previous.is_stopping or previous.owner.node == self._me.node:
             return 0.0
         return self._context.settings.bounds.steward_turn_ms / 1000
@@ -225,10 +225,10 @@
     async def _drop_steward(self, steward: Steward) -> None:
         if self._steward is steward:
             await self._close_steward(steward)
-            await self._release_spent(FLEET, steward.token)
+            await self._release_spent(FLEET_POOL, steward.token)
 
     async def _close_steward(self, steward: Steward) -> None:
-        self._spent_tokens[FLEET] = max(steward.token, self._spent_tokens.get(FLEET, 0))
+        self._spent_tokens[FLEET_POOL] = max(steward.token, self._spent_tokens.get(FLEET_POOL, 0))
         steward.fenced.set()
         self._steward = None
         await steward.stop()
@@ -251,7 +251,7 @@
         await self._drop(owner)
 
     async def _let_go(self) -> None:
-        fleet = self._table.owners.get(FLEET)
+        fleet = self._table.owners.get(FLEET_POOL)
         if self._steward is not None and fleet is not None and fleet.token > self._steward.token:
             await self._drop_steward(self._steward)
         for owner in list(self._owned.owners.values()):
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -7,7 +7,7 @@
 from robinthread._internal.durable.group_writer import GroupWriter
 from robinthread._internal.durable.ownership import Member, OwnerTable
 from robinthread._internal.durable.store import KeyedRecord
-from robinthread._internal.node.election import FLEET
+from robinthread._internal.node.election import FLEET_POOL
 from robinthread._internal.node.gate_outcome import GateOutcome
 from robinthread._internal.node.group_member import GroupMember
 from robinthread._internal.node.handover import Handover
@@ -101,7 +101,7 @@
 
     def _find_gatherer(self) -> Member | None:
         """Return the node that appends for all, unless that is this one or there is none."""
-        steward = self._table.get(FLEET)
+        steward = self._table.get(FLEET_POOL)
         if not self._policy.gathers_while_store_slow or steward is None:
             return None
         return None if steward.owner.node == self._me.node else steward.owner
--- a/src/robinthread/_internal/node/relief.py
+++ b/src/robinthread/_internal/node/relief.py
@@ -73,7 +73,7 @@
     async def find(self) -> Relief | None:
         """Return what to pass on now, if anything."""
         now_s = asyncio.get_running_loop().time()
-        if now_s < self._paused_until_s or not self._election.may_take:
+        if now_s < self._paused_until_s or not self._election.may_acquire:
             return None
         is_late = self._policy.relieves_late_nodes and self._lag.lag_s > LAG_MAX_S
         loads = self._count_loads()
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_nodes_left_out.py
@@ -8,7 +8,7 @@
 from robinthread._internal.durable.errors import StoreNoAnswerError
 from robinthread._internal.durable.ownership import OWNERS_PARTITION
 from robinthread._internal.durable.store import NewestPage, Partition
-from robinthread._internal.node.election import FLEET
+from robinthread._internal.node.election import FLEET_POOL
 from robinthread._internal.node.job_gate import GateOutcome
 from robinthread._internal.node.peer_calls import REQUEST_TIMEOUT_S, PeerUnreachableError
 from robinthread._internal.node.peer_messages import RelayRequest
@@ -108,7 +108,7 @@
             (new,) = (name for name in platform.nodes if is_steward(platform, name))
             self.assertNotEqual(last, new)
             node = platform.nodes[new].assembled.node
-            self.assertEqual(member, node._table.previous[FLEET].owner)
+            self.assertEqual(member, node._table.previous[FLEET_POOL].owner)
             wait_s = node._get_wait_s()
             self.assertEqual(BOUNDS.steward_turn_ms / 1000, wait_s)
 
--- a/tests/functional/test_turned_away_nodes.py
+++ b/tests/functional/test_turned_away_nodes.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
-from robinthread._internal.node.election import FLEET
+from robinthread._internal.node.election import FLEET_POOL
 from robinthread._internal.node.job_gate import GateOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
@@ -27,7 +27,7 @@
 def get_fleet_owner(platform: PlatformStandin) -> str:
     """Return the node that every node believes to own the fleet's machines."""
     node = next(iter(platform.nodes.values())).assembled.node
-    found = node._table.get(FLEET)
+    found = node._table.get(FLEET_POOL)
     return "" if found is None else found.owner.node
 
 
@@ -37,7 +37,7 @@
     def is_so() -> bool:
         served = next(name for name in platform.nodes if name not in former)
         table = platform.nodes[served].assembled.node._table
-        found = [table.get(name) for name in (POOL, FLEET)]
+        found = [table.get(name) for name in (POOL, FLEET_POOL)]
         return all(one is not None and one.owner.node not in former for one in found)
 
     return await wait_until(is_so)
