--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -93,12 +93,12 @@
         host_directory=host_directory,
         config_holder=config_holder,
         get_wall_ms=environment.get_wall_ms,
-        expect_hosts=lambda: hosts.hurry(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
+        poll_hosts_faster=lambda: hosts.hurry(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
         read_hosts_to_end=lambda: _read_to_end(hosts),
         read_inbox_once=inbox.read_to_end,
         read_inbox_to_end=lambda: _read_to_end(inbox),
-        get_unconfirmed_s=lambda: loop.time() - table.follower.confirmed_at_s,
-        get_hosts_unread_s=lambda: loop.time() - hosts.confirmed_at_s,
+        get_owners_unconfirmed_s=lambda: loop.time() - table.follower.confirmed_at_s,
+        get_hosts_unconfirmed_s=lambda: loop.time() - hosts.confirmed_at_s,
     )
     checks = OwnerChecks(environment.peers)
     member = GroupMember(store, me, events, settings.store.member_ttl_min_ms, checks)
--- a/src/robinthread/_internal/node/config_holder.py
+++ b/src/robinthread/_internal/node/config_holder.py
@@ -17,7 +17,7 @@
 
     A version never goes back, whatever order records arrive in.  ``wave_seen_at_s`` is
     when each wave was first seen here, by the event loop's clock: every node follows the
-    waves, so that a new steward knows how much of their time has gone.  ``limit_fell_in`` is the
+    waves, so that a new steward knows how much of their time has gone.  ``limit_lowered_in`` is the
     version in which a workspace's limit last fell here: more may run than it allows.
     """
 
@@ -27,7 +27,7 @@
         self.config: FleetConfig | None = None
         self.waves: dict[int, UpkeepWave] = {}
         self.wave_seen_at_s: dict[int, float] = {}
-        self.limit_fell_in: dict[str, int] = {}
+        self.limit_lowered_in: dict[str, int] = {}
         self.changed = asyncio.Event()
 
     def get_share(self, workspace: str) -> float:
@@ -88,7 +88,7 @@
             pairs = zip(old, new, strict=True)
             has_fallen = any(most and (not had or most < had) for had, most in pairs)
             if has_fallen:
-                self.limit_fell_in[name] = config.version
+                self.limit_lowered_in[name] = config.version
             self._events.write(
                 "workspace_limit_changed",
                 version=config.version,
--- a/src/robinthread/_internal/node/context.py
+++ b/src/robinthread/_internal/node/context.py
@@ -22,10 +22,10 @@
 
     ``read_inbox_once`` reads all jobs that were handed in before the call, or
     raises ``StoreError``; ``read_inbox_to_end`` tries until it can.
-    ``read_hosts_to_end`` does the same for the list of hosts; ``expect_hosts``
+    ``read_hosts_to_end`` does the same for the list of hosts; ``poll_hosts_faster``
     has that list read more often for a while.
-    ``get_unconfirmed_s`` returns for how long the store has not confirmed who
-    owns what, ``get_hosts_unread_s`` the same for what hosts say of themselves, and
+    ``get_owners_unconfirmed_s`` returns for how long the store has not confirmed who
+    owns what, ``get_hosts_unconfirmed_s`` the same for what hosts say of themselves, and
     ``get_wall_ms`` Unix time in milliseconds.
     """
 
@@ -39,12 +39,12 @@
     job_index: JobIndex
     host_directory: HostDirectory
     config_holder: ConfigHolder
-    expect_hosts: Callable[[], None]
+    poll_hosts_faster: Callable[[], None]
     read_hosts_to_end: Callable[[], Awaitable[None]]
     read_inbox_once: Callable[[], Awaitable[None]]
     get_wall_ms: Callable[[], int]
-    get_unconfirmed_s: Callable[[], float]
-    get_hosts_unread_s: Callable[[], float]
+    get_owners_unconfirmed_s: Callable[[], float]
+    get_hosts_unconfirmed_s: Callable[[], float]
     read_inbox_to_end: Callable[[], Awaitable[None]]
 
     @property
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -52,7 +52,7 @@
     """Keeps this node a member; ``members`` are those that the store listed last.
 
     ``listed_at_s`` is when that was, by the event loop's clock.  ``is_listed`` tells whether
-    this node was among them: others do not see it otherwise.  ``pace`` is that of its joins,
+    this node was among them: others do not see it otherwise.  ``join_latency`` is that of joins,
     which it makes all the time.
     """
 
@@ -76,7 +76,7 @@
         self._failure_count = 0
         self._failing_since_s = math.inf
         self._turn = asyncio.Lock()
-        self.pace = AppendPace()
+        self.join_latency = AppendPace()
         self.generation = 0
         self.members: frozenset[Member] = frozenset()
         self.listed_at_s = -math.inf
@@ -114,9 +114,9 @@
         return self._failure_count >= FAILURES_MIN and failing_s >= FAILING_MIN_S
 
     @property
-    def is_heard(self) -> bool:
+    def is_within_ttl(self) -> bool:
         """Tell whether the store has heard this node within its time to live."""
-        return not self.is_leaving and self.get_silence_s() < self._get_ttl_ms() / 1000
+        return not self.is_leaving and self.get_store_silence_s() < self._get_ttl_ms() / 1000
 
     @property
     def is_served(self) -> bool:
@@ -128,7 +128,7 @@
         """Tell whether the members have been heard for a while without a gap."""
         return asyncio.get_running_loop().time() - self._steady_since_s >= SETTLE_S
 
-    def get_silence_s(self) -> float:
+    def get_store_silence_s(self) -> float:
         """Return for how long the store has not answered this node."""
         return asyncio.get_running_loop().time() - self._joined_at_s
 
@@ -160,11 +160,11 @@
         if self.is_leaving:
             return
         self._note_pace(began_at_s)
-        self.pace.begin()
+        self.join_latency.begin()
         membership = await self._store.join(
             GROUP, self._name, [get_topic(self._topic)], self._get_ttl_ms(), self.generation
         )
-        self.pace.end()
+        self.join_latency.end()
         now_s = asyncio.get_running_loop().time()
         self._joined_at_s = now_s
         self._failure_count = 0
--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -125,7 +125,7 @@
             self._election.may_acquire,
             len(self._owned.owners),
             self._lag.lag_s,
-            self._member.is_heard,
+            self._member.is_within_ttl,
             self._me.life,
         )
 
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -183,7 +183,7 @@
             is_vacating = host.record.machine in question.vacate
             host.vacating_until_s = now_s + VACATE_S if is_vacating else 0.0
         if question.expects_hosts:
-            self._context.expect_hosts()
+            self._context.poll_hosts_faster()
         self._hosts.end_lost(question.ended)
         self._take_limits()
         share_state = self.jobs.workspaces.take_order(question.shares)
@@ -196,7 +196,7 @@
         holder = self._context.config_holder
         if holder.config is None:
             return
-        self.jobs.workspaces.set_limits(holder.config, holder.limit_fell_in)
+        self.jobs.workspaces.set_limits(holder.config, holder.limit_lowered_in)
         if get_loop_s() - self._runtime.opened_at_s >= UNTOLD_S:
             kept = self._context.policy.workspaces.kept_share
             self.jobs.workspaces.untold_share = get_kept_share(kept, holder.config)
--- a/src/robinthread/_internal/node/pool_runtime.py
+++ b/src/robinthread/_internal/node/pool_runtime.py
@@ -55,7 +55,9 @@
 
     def get_unconfirmed_s(self) -> float:
         """Return for how long the store has not confirmed the owner."""
-        return min(self.context.get_unconfirmed_s(), get_loop_s() - self.journal.confirmed_at_s)
+        return min(
+            self.context.get_owners_unconfirmed_s(), get_loop_s() - self.journal.confirmed_at_s
+        )
 
     def note_started(self, run: Run) -> None:
         """Write a line for the first run that was started since the pool was opened."""
@@ -75,7 +77,7 @@
         """Return how long a lease to grant now, or None where none may be granted."""
         if self.get_unconfirmed_s() > UNCONFIRMED_MAX_S:
             return None
-        if self.context.get_unconfirmed_s() > OWNERS_UNREAD_MAX_S:
+        if self.context.get_owners_unconfirmed_s() > OWNERS_UNREAD_MAX_S:
             return None
         return min(LEASE_MS, self.context.settings.bounds.lease_max_ms)
 
@@ -88,7 +90,7 @@
         policy = config.pools.get(self.pool) if config is not None else None
         if policy is None or policy.hosts_check_room:
             return True
-        return self.context.get_hosts_unread_s() <= ROOMS_UNREAD_MAX_S
+        return self.context.get_hosts_unconfirmed_s() <= ROOMS_UNREAD_MAX_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a task until the owner stops; one that is fenced fences the owner."""
--- a/src/robinthread/_internal/node/readiness.py
+++ b/src/robinthread/_internal/node/readiness.py
@@ -46,7 +46,7 @@
         if not self._table.follower.first_read.is_set():
             # It could tell no job's state: nobody knows here whom to ask.
             return "owners not read"
-        is_heard = self._member.get_silence_s() < STORE_AGE_MAX_S
+        is_heard = self._member.get_store_silence_s() < STORE_AGE_MAX_S
         return "" if is_heard else "no word from the store"
 
     def _tell(self, obstacle: str) -> None:
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -60,7 +60,7 @@
         """Append a record, here or through another node."""
         if self._member.is_cut_off:
             outcome = await self._relay(record, deadline_s)
-        elif self._writer.pace.is_slow or self._member.pace.is_slow:
+        elif self._writer.pace.is_slow or self._member.join_latency.is_slow:
             outcome = await self._gather(record, deadline_s)
         else:
             outcome = await self._append(record, deadline_s)
@@ -72,7 +72,7 @@
                 job=record.key.split("/")[1],
                 key=record.key,
                 is_cut_off=self._member.is_cut_off,
-                store_silent_for_s=round(self._member.get_silence_s(), 3),
+                store_silent_for_s=round(self._member.get_store_silence_s(), 3),
                 served_nodes=[member.node for member in self._handover.served],
             )
         return outcome
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -222,7 +222,7 @@
             pool: report for pool, report in zip(pools, answers, strict=True) if report.is_owner
         }
         self._shares.note_reports(config, reports)
-        self._shares.decide(config, holder.limit_fell_in, get_loop_s())
+        self._shares.decide(config, holder.limit_lowered_in, get_loop_s())
         return reports
 
     async def _ask_pool(self, pool: str, config: FleetConfig) -> PoolReport:
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -68,7 +68,7 @@
             is_held=bool(job.blamed),
             reserved_hosts=len(pool.crash_book.trials.reserved),
             paused_hosts=sum(host.is_paused(now_s) for host in pool.hosts.values()),
-            store_unconfirmed_for_s=round(self._runtime.context.get_unconfirmed_s(), 3),
+            store_unconfirmed_for_s=round(self._runtime.context.get_owners_unconfirmed_s(), 3),
         )
 
 
--- a/tests/functional/test_silences_noticed.py
+++ b/tests/functional/test_silences_noticed.py
@@ -82,7 +82,7 @@
     loop = asyncio.get_running_loop()
     await wait_until(
         lambda: all(
-            context.get_unconfirmed_s() < loop.time() - now_s - 0.001 for context in contexts
+            context.get_owners_unconfirmed_s() < loop.time() - now_s - 0.001 for context in contexts
         )
     )
     took_s = loop.time() - now_s
--- a/tests/functional/test_suspended_nodes.py
+++ b/tests/functional/test_suspended_nodes.py
@@ -47,7 +47,7 @@
             self.machine.suspend(LONG_S)
             self.assertGreater(owner.get_unconfirmed_s(), UNCONFIRMED_MAX_S)
             self.assertIsNone(owner._runtime.get_lease_ms())
-            self.assertGreater(owner._context.get_hosts_unread_s(), ROOMS_UNREAD_MAX_S)
+            self.assertGreater(owner._context.get_hosts_unconfirmed_s(), ROOMS_UNREAD_MAX_S)
             self.assertGreater(asyncio.get_running_loop().time(), host.lease.over_at_s)
 
         run_on_clock(self.machine, work())
