--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -53,7 +53,7 @@
         if order is not None
     }
     began_at_s = time.process_time()
-    allocator.note_reports(config, reports)
+    allocator.record_reports(config, reports)
     allocator.decide(config, {}, 0.0)
     return time.process_time() - began_at_s
 
--- a/src/robinthread/_internal/node/fleet_view_builder.py
+++ b/src/robinthread/_internal/node/fleet_view_builder.py
@@ -31,7 +31,7 @@
     def note_listed(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
         """Take in a list of machines that was asked for at a time."""
         self.machines = {machine.name: machine for machine in listed}
-        self._newcomers.note_listed(listed, self._orders.ordered_before)
+        self._newcomers.note_listed(listed, self._orders.previously_ordered)
         self._orders.note_listed(asked_at_s)
         self._orders.unsettled.note_listed(self.machines)
         self._lives.note_listed(self.machines, get_loop_s())
@@ -73,7 +73,7 @@
                 for machine in self.machines.values()
                 if machine.pool in reserves and machine.state is MachineState.UP
             ),
-            ordered=self._orders.list_held(),
+            ordered=self._orders.list_blocked(),
             leaving=self._orders.list_leaving(self.machines),
             waves=tuple(
                 self._waves.make_view(
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -26,7 +26,7 @@
 )
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.unsettled_upkeep import ORDER_LATE_MAX_S, UnsettledUpkeep
+from robinthread._internal.node.unsettled_upkeep import ORDER_DELAY_MAX_S, UnsettledUpkeep
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -44,7 +44,7 @@
 
     An order that was done counts as under way until a list of machines that was
     asked for later shows what it did.  ``moved`` tells when a machine was last
-    moved, and to which pool, and ``ordered_before`` what the last steward recorded.
+    moved, and to which pool, and ``previously_ordered`` what the last steward recorded.
 
     What the last steward ordered is left alone for ``wait_s``, which is 0 where that one gives
     no more orders.  The next one may have to wait all the same, and has to know what may be
@@ -81,7 +81,7 @@
         self._note_fenced = note_fenced
         self.under_way: dict[str, Order] = {}
         self.moved: dict[str, tuple[float, str]] = {}
-        self.ordered_before: frozenset[str] = frozenset()
+        self.previously_ordered: frozenset[str] = frozenset()
         self.unsettled = UnsettledUpkeep()
         self._done_at_s: dict[str, float] = {}
         self._ordered_at_s: dict[str, float] = {}
@@ -102,16 +102,16 @@
         self._paused_until_s = dict.fromkeys(self._targets, now_s + self._wait_s)
         self._ordered_at_s = dict.fromkeys(self._targets, now_s)
         self._recorded = dict(self._targets)
-        self.ordered_before = frozenset(self._targets)
+        self.previously_ordered = frozenset(self._targets)
         open_upkeep = {
             machine: target.wave
             for machine, target in self._targets.items()
             if target.wave and not self._waves.has_begun(target.wave, machine)
         }
         self._waves.record_earlier_orders(self._targets)
-        self.unsettled.load(open_upkeep, is_author_ended=self._wait_s == 0)
+        self.unsettled.load(open_upkeep, has_previous_steward_ended=self._wait_s == 0)
 
-    def list_held(self) -> frozenset[str]:
+    def list_blocked(self) -> frozenset[str]:
         """Return the machines that are to get no order now."""
         now_s = get_loop_s()
         paused = {name for name, until_s in self._paused_until_s.items() if now_s < until_s}
@@ -124,7 +124,7 @@
         that steward would find it there; so does one that is up and whose upkeep has begun.
         """
         return frozenset(self.under_way) | {
-            name for name in self.list_held() if not self._has_come(known.get(name))
+            name for name in self.list_blocked() if not self._has_come(known.get(name))
         }
 
     def _has_come(self, machine: Machine | None) -> bool:
@@ -203,7 +203,7 @@
                 try:
                     await self._send(order)
                 except MachineNoAnswerError as error:
-                    may_be_done_until_s = get_loop_s() + ORDER_LATE_MAX_S
+                    may_be_done_until_s = get_loop_s() + ORDER_DELAY_MAX_S
                     self._note(order, "no answer", str(error))
                     await asyncio.sleep(RETRY_PAUSE_S)
                     continue
--- a/src/robinthread/_internal/node/share_allocator.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -23,7 +23,7 @@
 # A new steward that has not heard all pools waits so long before it gives those that it heard
 # the part that is never lent: most owners of lost pools are there by then, and a task of a
 # workspace that is under half of its limit may wait 3 s at most.
-HEARD_WITHIN_S: Final = 1.0
+FIRST_REPORTS_WAIT_S: Final = 1.0
 # Shares that differ by less are the same.
 USUAL_WITHIN: Final = 1e-6
 # A workspace that takes no more of its even share in each pool needs no shares of its own.
@@ -94,7 +94,7 @@
         known = self._pools.get(pool)
         return ShareOrder(self._token, self._number, None if known is None else known.order)
 
-    def note_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
+    def record_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
         """Take in what pools answered to their last orders."""
         untold = ShareTable(0, get_kept_share(self._kept_share, config))
         for pool, report in reports.items():
@@ -119,7 +119,7 @@
         if are_all_heard:
             defaults = self._find_defaults()
             named = self._deal_all(config, kept, defaults)
-        elif now_s - self._began_at_s >= HEARD_WITHIN_S:
+        elif now_s - self._began_at_s >= FIRST_REPORTS_WAIT_S:
             defaults = {pool: max(kept, known.default_bound) for pool, known in self._pools.items()}
             unheard_count = len(pools) - len(self._pools)
             named = {
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -137,7 +137,7 @@
         self._events.write(
             "steward_began",
             token=self.token,
-            ordered_before=sorted(self._orders.ordered_before)[:NAMES_MAX],
+            ordered_before=sorted(self._orders.previously_ordered)[:NAMES_MAX],
             unsettled=sorted(self._orders.unsettled.get_waves())[:NAMES_MAX],
             waves={wave.number: self._waves.count_begun(wave.number) for wave in waves},
         )
@@ -221,7 +221,7 @@
         reports = {
             pool: report for pool, report in zip(pools, answers, strict=True) if report.is_owner
         }
-        self._shares.note_reports(config, reports)
+        self._shares.record_reports(config, reports)
         self._shares.decide(config, holder.limit_lowered_in, get_loop_s())
         return reports
 
--- a/src/robinthread/_internal/node/unsettled_upkeep.py
+++ b/src/robinthread/_internal/node/unsettled_upkeep.py
@@ -9,10 +9,10 @@
 
 # How long after it was given an order without an answer may still be carried out: the
 # platform has been seen to take 2 to 12 s.
-ORDER_LATE_MAX_S: Final = 12.0
+ORDER_DELAY_MAX_S: Final = 12.0
 # How long a steward that was replaced may be frozen and go on then: ten times as long as one
 # that is awake goes on without hearing of it.
-AUTHOR_FROZEN_MAX_S: Final = 60.0
+PREVIOUS_STEWARD_FROZEN_MAX_S: Final = 60.0
 
 
 class UnsettledUpkeep:
@@ -21,19 +21,19 @@
     Each counts as down: with orders carried out 5 s late, a wave that allows 2 machines had 4
     down as its steward was replaced.  An order is settled once the machine's upkeep is known to
     have begun, or once this steward has ordered the same.  Those of a steward that has ended are
-    settled after ``ORDER_LATE_MAX_S`` as well; one that may be frozen can send its orders for
-    ``AUTHOR_FROZEN_MAX_S`` longer.
+    settled after ``ORDER_DELAY_MAX_S`` as well; one that may be frozen can send its orders for
+    ``PREVIOUS_STEWARD_FROZEN_MAX_S`` longer.
     """
 
     def __init__(self) -> None:
         self._wave_by_machine: dict[str, int] = {}
         self._until_s = math.inf
 
-    def load(self, wave_by_machine: Mapping[str, int], is_author_ended: bool) -> None:
+    def load(self, wave_by_machine: Mapping[str, int], has_previous_steward_ended: bool) -> None:
         """Take in the upkeep that the last steward ordered and that is not known to have begun."""
         self._wave_by_machine = dict(wave_by_machine)
-        frozen_s = 0.0 if is_author_ended else AUTHOR_FROZEN_MAX_S
-        self._until_s = get_loop_s() + ORDER_LATE_MAX_S + frozen_s
+        frozen_s = 0.0 if has_previous_steward_ended else PREVIOUS_STEWARD_FROZEN_MAX_S
+        self._until_s = get_loop_s() + ORDER_DELAY_MAX_S + frozen_s
 
     def settle(self, machine: str) -> None:
         """Note that this steward's order for a machine was carried out."""
--- a/tests/unit/test_machine_orders.py
+++ b/tests/unit/test_machine_orders.py
@@ -15,7 +15,10 @@
 from robinthread._internal.fleet.fleet_view import MoveOrder, UpkeepOrder
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.machine_orders import MachineOrders
-from robinthread._internal.node.unsettled_upkeep import AUTHOR_FROZEN_MAX_S, ORDER_LATE_MAX_S
+from robinthread._internal.node.unsettled_upkeep import (
+    ORDER_DELAY_MAX_S,
+    PREVIOUS_STEWARD_FROZEN_MAX_S,
+)
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import (
@@ -101,7 +104,7 @@
             for wait_s, held in ((TURN_S, {machine}), (0.0, set())):
                 following = make_orders(self.platform, 2, wait_s)
                 following.load(read_records(self.platform))
-                self.assertEqual(held, following.list_held())
+                self.assertEqual(held, following.list_blocked())
 
         run_virtual(work())
 
@@ -140,9 +143,9 @@
             (machine,) = self._add_machines(1)
             await make_orders(self.platform, 1, wait_s=0.0).give((MoveOrder(machine, POOL),))
             following = make_orders(self.platform, 2, wait_s=0.0)
-            self.assertEqual(frozenset(), following.ordered_before)
+            self.assertEqual(frozenset(), following.previously_ordered)
             following.load(read_records(self.platform))
-            self.assertEqual({machine}, following.ordered_before)
+            self.assertEqual({machine}, following.previously_ordered)
 
         run_virtual(work())
 
@@ -157,7 +160,7 @@
                 name: Machine(name, pool, MachineState.UP, "hall", "r", "", ROOM, "")
                 for name, pool in ((come, POOL), (late, RESERVE))
             }
-            self.assertEqual({come, late}, following.list_held())
+            self.assertEqual({come, late}, following.list_blocked())
             self.assertEqual({late}, following.list_leaving(known))
             known[come] = replace(known[come], state=MachineState.MOVING)
             self.assertEqual({come, late}, following.list_leaving(known))
@@ -254,10 +257,10 @@
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
             orders.unsettled.note_listed({machine: replace(listed, state=MachineState.UPKEEP)})
             self.assertEqual({}, orders.unsettled.get_waves())
-            for wait_s, left_s in ((0.0, 0.0), (TURN_S, AUTHOR_FROZEN_MAX_S)):
+            for wait_s, left_s in ((0.0, 0.0), (TURN_S, PREVIOUS_STEWARD_FROZEN_MAX_S)):
                 self.platform = PlatformStandin(plan_second)
                 orders, machine = await self._replace(begun=False, wait_s=wait_s)
-                await asyncio.sleep(ORDER_LATE_MAX_S - 1)
+                await asyncio.sleep(ORDER_DELAY_MAX_S - 1)
                 self.assertEqual({machine: 1}, orders.unsettled.get_waves())
                 await asyncio.sleep(left_s + 2)
                 self.assertEqual({}, orders.unsettled.get_waves())
--- a/tests/unit/test_share_allocator.py
+++ b/tests/unit/test_share_allocator.py
@@ -13,7 +13,7 @@
     ShareTable,
     WorkspaceStanding,
 )
-from robinthread._internal.node.share_allocator import HEARD_WITHIN_S, ShareAllocator
+from robinthread._internal.node.share_allocator import FIRST_REPORTS_WAIT_S, ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
 POOLS = ("a", "b")
@@ -47,7 +47,7 @@
         """Have the keeper ask the pools once and decide; return what they go by."""
         orders = {pool: self.allocator.make_order(pool, config) for pool in POOLS}
         reports = {pool: self._answer(pool, orders[pool]) for pool in answering}
-        self.allocator.note_reports(config, reports)
+        self.allocator.record_reports(config, reports)
         self.allocator.decide(config, fell_in or {}, now_s)
         return {pool: state.table for pool, state in self.states.items()}
 
@@ -101,10 +101,10 @@
         pools.settle(config)
         later = _Pools(token=2, began_at_s=10.0)
         later.states = {"a": ShareState(), "b": pools.states["b"]}
-        for now_s in (10.1, 10.2, 10.0 + HEARD_WITHIN_S / 2):
+        for now_s in (10.1, 10.2, 10.0 + FIRST_REPORTS_WAIT_S / 2):
             later.step(config, answering=("a",), now_s=now_s)
             self.assertEqual(0.0, later.get_share("a"))
-        for now_s in (10.0 + HEARD_WITHIN_S, 12.0, 13.0):
+        for now_s in (10.0 + FIRST_REPORTS_WAIT_S, 12.0, 13.0):
             later.step(config, answering=("a",), now_s=now_s)
         self.assertAlmostEqual(KEPT_SHARE / len(POOLS), later.get_share("a"))
         later.settle(config)
@@ -115,7 +115,7 @@
         pools.step(config)
         pools.states["b"] = ShareState(2, 1, ShareTable(1, 0.9))
         report = PoolReport(True, share_state=pools.states["b"])
-        pools.allocator.note_reports(config, {"b": report})
+        pools.allocator.record_reports(config, {"b": report})
         pools.allocator.decide(config, {}, 0.0)
         order = pools.allocator.make_order("b", config)
         assert order is not None
@@ -142,7 +142,9 @@
         later.used, later.states = pools.used, {"a": pools.states["a"], "b": ShareState()}
         shares = set()
         for step in range(20):
-            later.step(fallen, fell_in, answering=("b",), now_s=10.0 + step * HEARD_WITHIN_S / 4)
+            later.step(
+                fallen, fell_in, answering=("b",), now_s=10.0 + step * FIRST_REPORTS_WAIT_S / 4
+            )
             shares.add(later.get_share("b"))
         self.assertEqual({0.0}, shares)
         later.settle(fallen, fell_in)
