--- a/src/robinthread/_internal/node/open_requests.py
+++ b/src/robinthread/_internal/node/open_requests.py
@@ -7,7 +7,7 @@
 class Answerable(Protocol):
     """A request that can be answered before its work is done."""
 
-    def give_up(self) -> None:
+    def answer_early(self) -> None:
         """Answer now with what is known."""
 
 
@@ -34,9 +34,9 @@
         """Wait until all are answered."""
         await self._none_open.wait()
 
-    def give_up_all(self) -> int:
+    def answer_all_early(self) -> int:
         """Answer what is left with what is known; return how many these were."""
         left = list(self._open)
         for request in left:
-            request.give_up()
+            request.answer_early()
         return len(left)
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -281,7 +281,7 @@
             now_s = get_loop_s()
             if now_s >= next_tick_s:
                 next_tick_s = now_s + TICK_S
-                self._minder.look(now_s)
+                self._minder.check(now_s)
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
             self.jobs.are_rooms_known = self._runtime.are_rooms_known()
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -99,7 +99,7 @@
     assembled = assemble_node(holder, make_environment(settings, events, policy), me)
     metrics.observe("loop_lag_seconds", "of", lambda: {"event loop": assembled.lag.lag_s})
     metrics.observe("pool_state", "pool", assembled.status_reporter.read_states)
-    metrics.observe("lasting_away", "pool", assembled.status_reporter.count_lasting_away)
+    metrics.observe("lasting_away", "pool", assembled.status_reporter.count_lasting_not_running)
     metrics.observe(
         "workspace_part", "pool_and_workspace", assembled.status_reporter.read_workspace_parts
     )
@@ -140,7 +140,7 @@
     requests: OpenRequests,
 ) -> HTTPServer:
     """Listen for the balancer, for other nodes and for callers; return the last."""
-    listen(make_ready_application(assembled.readiness.look), settings.ready_address)
+    listen(make_ready_application(assembled.readiness.check), settings.ready_address)
     listen(make_peer_application(assembled.request_handler), peer_address)
     application = make_callers_application(
         assembled.gate, assembled.config_holder, events, requests
--- a/src/robinthread/_internal/node/readiness.py
+++ b/src/robinthread/_internal/node/readiness.py
@@ -30,7 +30,7 @@
         self._events = events
         self._told: str | None = None
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Tell whether callers should be sent here."""
         obstacle = self._find_obstacle()
         if obstacle != self._told:
--- a/src/robinthread/_internal/node/run_minder.py
+++ b/src/robinthread/_internal/node/run_minder.py
@@ -21,7 +21,7 @@
         self._orders = orders
         self._wait_reporter = WaitReporter(runtime)
 
-    def look(self, now_s: float) -> None:
+    def check(self, now_s: float) -> None:
         """Open what is due; stop, move, copy and pace what asks for it."""
         self._wait_reporter.report(now_s)
         self._open_due()
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -39,12 +39,12 @@
         """Tell until cancelled."""
         while True:
             await asyncio.sleep(LOOK_PERIOD_S)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Write what is due now."""
         self._events.tell_gathered()
-        self._readiness.look()
+        self._readiness.check()
         is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
         if is_due:
             self._told_at_s = get_loop_s()
@@ -58,7 +58,7 @@
         """Return 1 for each pool that is open and 0 for each that was only taken."""
         return {pool: float(owner.is_open) for pool, owner in self._owned.owners.items()}
 
-    def count_lasting_away(self) -> dict[str, float]:
+    def count_lasting_not_running(self) -> dict[str, float]:
         """Count, by pool, the lasting tasks that run nowhere."""
         return {
             pool: sum(task.step.is_lasting for task in owner.jobs.waiting.values())
--- a/src/robinthread/_internal/node/stop_budget.py
+++ b/src/robinthread/_internal/node/stop_budget.py
@@ -15,7 +15,7 @@
     """Runs the parts of a stop; none takes longer than what is left for all.
 
     ``grace_s`` is the time between the signal and the kill, ``lag_s`` how late the event
-    loop may have heard the signal.  ``took_ms`` tells what each part took, ``left_undone``
+    loop may have heard the signal.  ``took_ms`` tells what each part took, ``unfinished_parts``
     which ones did not end in time or failed.
     """
 
@@ -25,7 +25,7 @@
         self.budget_s = max(0.0, grace_s * BUDGET_SHARE - lag_s)
         self._ends_at_s = self._loop.time() + self.budget_s
         self.took_ms: dict[str, float] = {}
-        self.left_undone: list[str] = []
+        self.unfinished_parts: list[str] = []
 
     @property
     def left_s(self) -> float:
@@ -45,7 +45,7 @@
         if not reason:
             return True
         task.cancel()
-        self.left_undone.append(part)
+        self.unfinished_parts.append(part)
         self._events.write("stop_part_undone", part=part, took_ms=self.took_ms[part], reason=reason)
         return False
 
--- a/src/robinthread/_internal/node/stopping.py
+++ b/src/robinthread/_internal/node/stopping.py
@@ -42,8 +42,8 @@
         "stopped",
         took_ms=round((budget.budget_s - budget.left_s) * 1000, 1),
         parts_ms=budget.took_ms,
-        left_undone=budget.left_undone,
-        given_up_count=requests.give_up_all(),
+        left_undone=budget.unfinished_parts,
+        given_up_count=requests.answer_all_early(),
     )
 
 
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -123,7 +123,7 @@
         """Note that the request is answered."""
         self._requests.end(self)
 
-    def give_up(self) -> None:
+    def answer_early(self) -> None:
         """Answer before the outcome is known."""
         is_read = self.request.method == "GET"
         self._answer_outcome(GateOutcome.OWNER_UNREACHABLE if is_read else GateOutcome.UNKNOWN)
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_nodes_left_out.py
@@ -85,10 +85,10 @@
             lose_first_reads_of_owners(client)
             for _look in range(60):
                 await asyncio.sleep(0.1)
-                if late.readiness.look():
+                if late.readiness.check():
                     told = await get_status(platform, "late", make_job(1).job_id)
                     self.assertIsNotNone(told)
-            self.assertTrue(late.readiness.look())
+            self.assertTrue(late.readiness.check())
 
         run_virtual(work())
 
--- a/tests/functional/test_stops_on_platform.py
+++ b/tests/functional/test_stops_on_platform.py
@@ -36,7 +36,7 @@
     await platform.nodes[owner].assembled.node.stop(budget)
     took_s = asyncio.get_running_loop().time() - began_at_s
     platform.kill_node(owner)
-    return took_s, budget.left_undone
+    return took_s, budget.unfinished_parts
 
 
 class StopsOnPlatformTest(TestCase):
--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -51,7 +51,7 @@
 def _draw_node(site: Site) -> str | None:
     """Draw a node as the platform does: a ready one, any where fewer than half are."""
     nodes = site.platform.nodes
-    ready = [name for name in sorted(nodes) if nodes[name].assembled.readiness.look()]
+    ready = [name for name in sorted(nodes) if nodes[name].assembled.readiness.check()]
     names = ready if 2 * len(ready) >= len(nodes) else sorted(nodes)
     return site.random.choice(names) if names else None
 
--- a/tests/unit/test_status_reporter.py
+++ b/tests/unit/test_status_reporter.py
@@ -49,7 +49,7 @@
             self.assertTrue(0 <= last["store_unconfirmed_for_s"] < 2)
             status_reporter = platform.nodes["node0"].assembled.status_reporter
             self.assertEqual(1.0, status_reporter.read_states()[POOL])
-            self.assertEqual(0, status_reporter.count_lasting_away()[POOL])
+            self.assertEqual(0, status_reporter.count_lasting_not_running()[POOL])
 
         run_virtual(work())
 
@@ -66,7 +66,7 @@
             self.assertEqual((2, 2), (last["waiting"], last["waiting_lasting"]))
             self.assertIsNone(last["lease_left_s"])
             status_reporter = platform.nodes["node0"].assembled.status_reporter
-            self.assertEqual(2, status_reporter.count_lasting_away()[POOL])
+            self.assertEqual(2, status_reporter.count_lasting_not_running()[POOL])
 
         run_virtual(work())
 
@@ -103,13 +103,13 @@
         async def work() -> None:
             platform = PlatformStandin(plan_second, 1)
             node = platform.start_node("node0").assembled
-            self.assertFalse(node.readiness.look())
+            self.assertFalse(node.readiness.check())
             await asyncio.sleep(1)
             platform.configure(
                 1, (QUEUE,), (PoolPolicy(POOL), PoolPolicy(RESERVE, is_reserve=True))
             )
             await asyncio.sleep(2)
-            self.assertTrue(node.readiness.look())
+            self.assertTrue(node.readiness.check())
             platform.store.faults.silent.add("node0")
             await asyncio.sleep(4)
             platform.store.faults.silent.clear()
@@ -118,7 +118,7 @@
             self.assertEqual(["no configuration", "no word from the store"], unready)
             self.assertEqual(2, len(find_lines(platform, "ready", None)))
             await node.node.stop(make_stop_budget(platform))
-            self.assertFalse(node.readiness.look())
+            self.assertFalse(node.readiness.check())
             self.assertEqual("stopping", find_lines(platform, "unready", None)[-1]["reason"])
 
         run_virtual(work())
--- a/tests/unit/test_stop_budget.py
+++ b/tests/unit/test_stop_budget.py
@@ -36,7 +36,7 @@
             self.assertFalse(await budget.run("late", asyncio.sleep(PART_S)))
             took_s = loop.time() - began_at_s
             self.assertAlmostEqual(GRACE_S * BUDGET_SHARE - LAG_S, took_s, 2)
-            self.assertEqual(["stubborn", "late"], budget.left_undone)
+            self.assertEqual(["stubborn", "late"], budget.unfinished_parts)
             self.assertEqual(PART_S * 1000, budget.took_ms["quick"])
 
         run_virtual(work())
