--- a/src/robinthread/_internal/durable/ownership.py
+++ b/src/robinthread/_internal/durable/ownership.py
@@ -28,16 +28,16 @@
     """A process that may own pools: its node, its life and where peers reach it.
 
     ``capacity_millicores`` is how much work it can carry as an owner, see
-    ``get_capacity_millicores``.  ``began_at_ms`` is when it began by its clock's time of day,
+    ``get_capacity_millicores``.  ``started_at_ms`` is when it began by its clock's time of day,
     which tells a newer life of a node from an older one that is still listed; 0 where it
     does not tell.
     """
 
     node: str
-    life: str
+    incarnation: str
     address: str
     capacity_millicores: int = 1000
-    began_at_ms: int = 0
+    started_at_ms: int = 0
 
 
 class EarlierOwner(msgspec.Struct, frozen=True, array_like=True):
--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -24,7 +24,11 @@
 from robinthread._internal.node.gate_outcome import GateOutcome
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.standins.job_host_standin import TaskPlan
-from robinthread._internal.standins.platform_standin import RESERVE, BirthTold, PlatformStandin
+from robinthread._internal.standins.platform_standin import (
+    RESERVE,
+    PlatformStandin,
+    StartTimeSource,
+)
 
 # Nodes have found each other, and pools their owners, by then.
 SETTLES_S: Final = 4.0
@@ -76,9 +80,9 @@
     def _start_platform(self) -> PlatformStandin:
         spec = self._deployment
         platform = PlatformStandin(self._plan_task, self._seed)
-        platform.keeps_host_ids, platform.births_told = (
+        platform.keeps_host_ids, platform.start_time_sources = (
             spec.machines.keeps_host_ids,
-            tuple(BirthTold),
+            tuple(StartTimeSource),
         )
         charge_calls(platform, self._processors, spec.costs)
         platform.hosts.faults.latency_s = spec.nodes.call_ms / 1000
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -29,7 +29,8 @@
     ``is_usable`` tells whether it answers and takes work, or would if it were
     not to be emptied.  ``is_vacating`` confirms that it gets no new work.
     ``is_needed`` tells that tasks wait for it which do not fit on every host.
-    ``is_awaited`` tells that its owner has not heard it yet, and expects to.  ``born_ms``
+    ``is_awaited`` tells that its owner has not heard it yet, and expects to.
+    ``host_started_at_ms``
     tells which life of the host it is, where that is known.
     """
 
@@ -41,7 +42,7 @@
     lasting_count: int
     is_needed: bool = False
     is_awaited: bool = False
-    born_ms: int | None = None
+    host_started_at_ms: int | None = None
 
 
 class LackReport(msgspec.Struct, frozen=True, array_like=True):
--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -57,7 +57,7 @@
 
     def __init__(self, record: UpstreamHost, lease: HostLease) -> None:
         self._record = record
-        self._id = record.life_id
+        self._id = record.incarnation_id
         self._used = NO_RESOURCES
         self._used_by_lasting = NO_RESOURCES
         self.lasting_count = 0
@@ -96,7 +96,7 @@
     @record.setter
     def record(self, record: UpstreamHost) -> None:
         self._record = record
-        self._id = record.life_id
+        self._id = record.incarnation_id
         self._note_used(self._used)
 
     def note_draining(self, default_s: float, now_s: float) -> None:
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -96,7 +96,7 @@
 
     def add_host(self, record: UpstreamHost) -> Host:
         """Take a host in, or what it newly says of itself."""
-        host = self._get_host(record.life_id)
+        host = self._get_host(record.incarnation_id)
         host.record = record
         return host
 
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -11,7 +11,7 @@
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.run import Run
 from robinthread._internal.jobs.task import Task
-from robinthread._internal.models.host_life import make_life_id, split_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id, split_incarnation_id
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.task_key import TaskKey
 
@@ -75,7 +75,10 @@
     def list_lives(self) -> tuple[str, ...]:
         """Return the ids of the hosts' lives."""
         pairs = itertools.zip_longest(self.hosts, self.births)
-        return tuple(make_life_id(host_id, born_ms) for host_id, born_ms in pairs)
+        return tuple(
+            make_incarnation_id(host_id, host_started_at_ms)
+            for host_id, host_started_at_ms in pairs
+        )
 
 
 def encode_progress(job: Job) -> bytes:
@@ -85,16 +88,16 @@
     if not job.status.is_final or any(job.iter_running()):
         started = (task for task in job.tasks.values() if task.last_run)
         tasks = tuple(_make_task_progress(task, hosts) for task in started)
-    lives = [split_life_id(life_id) for life_id in hosts]
-    births = tuple(born_ms for _host_id, born_ms in lives)
+    lives = [split_incarnation_id(incarnation_id) for incarnation_id in hosts]
+    births = tuple(host_started_at_ms for _host_id, host_started_at_ms in lives)
     progress = JobProgress(
         job.id,
         job.spec.queue,
         job.status.value,
-        tuple(host_id for host_id, _born_ms in lives),
+        tuple(host_id for host_id, _host_started_at_ms in lives),
         tasks,
         job.ended_at_ms,
-        births if any(born_ms is not None for born_ms in births) else (),
+        births if any(host_started_at_ms is not None for host_started_at_ms in births) else (),
     )
     return msgspec.msgpack.encode(progress)
 
--- a/src/robinthread/_internal/models/host_life.py
+++ b/src/robinthread/_internal/models/host_incarnation.py
@@ -6,17 +6,17 @@
 _BORN: Final = "@"
 
 
-def make_life_id(host_id: str, born_ms: int | None) -> str:
+def make_incarnation_id(host_id: str, host_started_at_ms: int | None) -> str:
     """Return what names one life of a host; the id alone where its birth is not told.
 
     All that is known of a host hangs on its life: two of them have two ids.
     """
-    return host_id if born_ms is None else f"{host_id}{_BORN}{born_ms}"
+    return host_id if host_started_at_ms is None else f"{host_id}{_BORN}{host_started_at_ms}"
 
 
-def split_life_id(life_id: str) -> tuple[str, int | None]:
+def split_incarnation_id(incarnation_id: str) -> tuple[str, int | None]:
     """Return a host's id, and when that life of it began if that was told."""
-    host_id, separator, born = life_id.rpartition(_BORN)
+    host_id, separator, born = incarnation_id.rpartition(_BORN)
     if separator and born.isdecimal():
         return host_id, int(born)
-    return life_id, None
+    return incarnation_id, None
--- a/src/robinthread/_internal/models/host_report.py
+++ b/src/robinthread/_internal/models/host_report.py
@@ -47,10 +47,10 @@
 class HostReport:
     """All runs present, and the ends that are not acknowledged yet.
 
-    ``born_ms`` tells which life of the host says so, where it tells that.
+    ``host_started_at_ms`` tells which life of the host says so, where it tells that.
     """
 
     clock_ms: int
     running: tuple[RunningTask, ...]
     ended: tuple[EndedRun, ...]
-    born_ms: int | None = None
+    host_started_at_ms: int | None = None
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -79,7 +79,7 @@
     operators = KeyedFollower(store, records.operators_partition, config_holder.apply, events)
     table = OwnerTable(store, events)
     writer = GroupWriter(
-        store, INBOX_PARTITION, f"entry/{me.node}/{me.life}", settings.store.call_max_bytes
+        store, INBOX_PARTITION, f"entry/{me.node}/{me.incarnation}", settings.store.call_max_bytes
     )
     context = NodeContext(
         settings_holder=settings_holder,
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -93,7 +93,7 @@
         answers of 0.24 s, five pools are open 2.0 s after the start in place of 4.3 s.
         """
         members = self._member.members
-        newest = sorted(members, key=lambda member: member.began_at_ms)
+        newest = sorted(members, key=lambda member: member.started_at_ms)
         lives = {member.node: member for member in newest}
         returned = {
             pool: lives[found.owner.node]
@@ -102,7 +102,7 @@
             and found.owner.node in lives
             and found.owner.node != self._me.node
             and found.owner not in members
-            and 0 < found.owner.began_at_ms < lives[found.owner.node].began_at_ms
+            and 0 < found.owner.started_at_ms < lives[found.owner.node].started_at_ms
         }
         return returned | dict.fromkeys(self._get_former_pools(), self._me)
 
--- a/src/robinthread/_internal/node/fleet_views.py
+++ b/src/robinthread/_internal/node/fleet_views.py
@@ -8,7 +8,7 @@
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
 from robinthread._internal.models.fleet_config import FleetConfig
-from robinthread._internal.models.host_life import make_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.node.context import NodeContext
@@ -58,7 +58,7 @@
             self._make_pool_view(pool, report, silent_halls) for pool, report in reports.items()
         )
         lives = {
-            host.host_id: make_life_id(host.host_id, host.born_ms)
+            host.host_id: make_incarnation_id(host.host_id, host.host_started_at_ms)
             for report in reports.values()
             for host in report.hosts
         }
--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -126,7 +126,7 @@
             len(self._owned.owners),
             self._lag.lag_s,
             self._member.is_heard,
-            self._me.life,
+            self._me.incarnation,
         )
 
     async def answer_take(self, question: TakeQuestion) -> TakeAnswer:
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_follower.py
@@ -127,7 +127,7 @@
         if host is not None and host.contact is HostContact.ANSWERING:
             if host.acknowledged_end > host.forgotten_end:
                 is_fresh = asked_at_s - host.reported_at_s <= ACKNOWLEDGED_WITHIN_S
-                is_sure = is_fresh or host.record.born_ms is None
+                is_sure = is_fresh or host.record.host_started_at_ms is None
                 acknowledged, wait_s = (host.acknowledged_end, wait_s) if is_sure else (0, 0.0)
             if lease_ms is not None:
                 until_ms = host.lease.grant(lease_ms, asked_at_s)
--- a/src/robinthread/_internal/node/host_lives.py
+++ b/src/robinthread/_internal/node/host_lives.py
@@ -8,7 +8,7 @@
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_succession import adopt_runs, end_former, find_lives
 from robinthread._internal.jobs.late_starts import RunKey
-from robinthread._internal.models.host_life import make_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.node.host_ends import end_host, pause_after_crashes
@@ -41,7 +41,7 @@
         self._former_births: set[int] = set()
         self.silent_look_until_s = 0.0
         self.listed = record
-        self.host: Host | None = self._begin_life(record.born_ms)
+        self.host: Host | None = self._begin_life(record.host_started_at_ms)
 
     def note_listed(self, record: UpstreamHost) -> None:
         """Take in what the host's entry says now."""
@@ -49,11 +49,14 @@
         host = self.host
         if host is None:
             return
-        if record.born_ms in (None, host.record.born_ms):
+        if record.host_started_at_ms in (None, host.record.host_started_at_ms):
             self._describe(host)
-        elif host.contact is HostContact.UNHEARD and record.born_ms not in self._former_births:
-            self.host = self._begin_life(record.born_ms)
-            if host.record.born_ms is None:
+        elif (
+            host.contact is HostContact.UNHEARD
+            and record.host_started_at_ms not in self._former_births
+        ):
+            self.host = self._begin_life(record.host_started_at_ms)
+            if host.record.host_started_at_ms is None:
                 adopt_runs(self._jobs, host, self.host)
             elif not host.runs:
                 self._jobs.remove_host(host.id, 0)
@@ -69,17 +72,17 @@
         """Tell whether a report is of another life than the one that is followed."""
         return self.host is not None and self._get_birth_ms(report) not in (
             None,
-            self.host.record.born_ms,
+            self.host.record.host_started_at_ms,
         )
 
     def meet(self, report: HostReport, asked_at_s: float) -> Host:
         """Return the life that a report is of; those before it have ended."""
-        host, born_ms = self.host, self._get_birth_ms(report)
+        host, host_started_at_ms = self.host, self._get_birth_ms(report)
         if host is None:
-            host = self._begin_life(born_ms)
-        elif born_ms not in (None, host.record.born_ms):
+            host = self._begin_life(host_started_at_ms)
+        elif host_started_at_ms not in (None, host.record.host_started_at_ms):
             self._note_former(host)
-            host = self._begin_life(born_ms)
+            host = self._begin_life(host_started_at_ms)
         self.host = host
         if host.contact is HostContact.UNHEARD:
             self._end_others(host, report, asked_at_s)
@@ -88,21 +91,24 @@
 
     def _get_birth_ms(self, report: HostReport) -> int | None:
         """Return the birth of the life that reports; an entry may be of one that has ended."""
-        if report.born_ms is not None:
-            return report.born_ms
-        born_ms = self.listed.born_ms
-        is_former = self.host is not None and born_ms in self._former_births
-        return None if is_former else born_ms
+        if report.host_started_at_ms is not None:
+            return report.host_started_at_ms
+        host_started_at_ms = self.listed.host_started_at_ms
+        is_former = self.host is not None and host_started_at_ms in self._former_births
+        return None if is_former else host_started_at_ms
 
-    def _begin_life(self, born_ms: int | None) -> Host:
+    def _begin_life(self, host_started_at_ms: int | None) -> Host:
         """Follow a life; the pool may know it from an earlier owner's record."""
-        known = self._jobs.hosts.get(make_life_id(self.listed.id, born_ms))
-        record = replace(self.listed, born_ms=born_ms)
-        if born_ms != self.listed.born_ms and self.listed.born_ms is not None:
+        known = self._jobs.hosts.get(make_incarnation_id(self.listed.id, host_started_at_ms))
+        record = replace(self.listed, host_started_at_ms=host_started_at_ms)
+        if (
+            host_started_at_ms != self.listed.host_started_at_ms
+            and self.listed.host_started_at_ms is not None
+        ):
             # What the entry says of draining is another life's.
             record = replace(record, is_draining=False, leaves_in_ms=0)
         host = self._jobs.add_host(record)
-        host.is_described = self.listed.born_ms in (None, born_ms)
+        host.is_described = self.listed.host_started_at_ms in (None, host_started_at_ms)
         host.is_listed = True
         if host.is_described:
             self._describe(host)
@@ -113,14 +119,14 @@
 
     def _describe(self, host: Host) -> None:
         """Take what the entry says for what a life is."""
-        host.record = replace(self.listed, born_ms=host.record.born_ms)
+        host.record = replace(self.listed, host_started_at_ms=host.record.host_started_at_ms)
         host.is_described = True
         drain_s = self._runtime.context.settings.bounds.drain_ms / 1000
         host.note_draining(drain_s, get_loop_s())
 
     def _note_former(self, host: Host) -> None:
-        if host.record.born_ms is not None:
-            self._former_births.add(host.record.born_ms)
+        if host.record.host_started_at_ms is not None:
+            self._former_births.add(host.record.host_started_at_ms)
 
     def _end_others(self, host: Host, report: HostReport, asked_at_s: float) -> None:
         """End the other lives of the host that answers, also those of earlier owners' records."""
@@ -129,7 +135,7 @@
         for other in find_lives(self._jobs, host.record.id):
             if other is host:
                 continue
-            if other.record.born_ms is None and other.contact is HostContact.UNHEARD:
+            if other.record.host_started_at_ms is None and other.contact is HostContact.UNHEARD:
                 adopt_runs(self._jobs, other, host)
                 continue
             reason = "another life answers under its id"
--- a/src/robinthread/_internal/node/job_gate.py
+++ b/src/robinthread/_internal/node/job_gate.py
@@ -79,7 +79,7 @@
             # One without a workspace was handed in while its queue was public.
             is_same = not spec.workspace or may_touch(spec.workspace, accepted_of)
             return GateOutcome.DONE if is_same else GateOutcome.ID_TAKEN
-        copy = f"{self._me.life}.{next(self._copies)}"
+        copy = f"{self._me.incarnation}.{next(self._copies)}"
         outcome = await self._records.write(make_job_record(spec, copy), deadline_s)
         if outcome is GateOutcome.DONE:
             _remember(self._accepted, spec.job_id, spec.workspace)
--- a/src/robinthread/_internal/node/owner_checks.py
+++ b/src/robinthread/_internal/node/owner_checks.py
@@ -168,9 +168,9 @@
 
 def _read_answer(owner: Member, answer: StoreAnswer) -> _Word:
     # A node of an older version does not tell its life.
-    if answer.life and answer.life != owner.life:
+    if answer.incarnation and answer.incarnation != owner.incarnation:
         return _Word.HAS_ENDED
-    return _Word.LIVES if answer.life and answer.is_member else _Word.IS_SILENT
+    return _Word.LIVES if answer.incarnation and answer.is_member else _Word.IS_SILENT
 
 
 async def _measure_late_s(work: asyncio.Future[StoreAnswer]) -> float:
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -48,14 +48,14 @@
 class StoreAnswer(msgspec.Struct, frozen=True, array_like=True):
     """Whether the store serves a node, how many pools it owns, how late its loop runs.
 
-    ``is_member`` tells whether the store has heard its ``life`` within its time to live.
+    ``is_member`` tells whether the store has heard its ``incarnation`` within its time to live.
     """
 
     is_served: bool
     owned_count: int
     lag_s: float = 0.0
     is_member: bool = False
-    life: str = ""
+    incarnation: str = ""
 
 
 class TakeQuestion(msgspec.Struct, frozen=True, array_like=True):
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -75,7 +75,8 @@
         """Tell whether a host's entry is there; of the life that is followed, whatever it tells."""
         record = own.get(host.record.id)
         return record is not None and (
-            self._is_followed(host) or record.born_ms in (None, host.record.born_ms)
+            self._is_followed(host)
+            or record.host_started_at_ms in (None, host.record.host_started_at_ms)
         )
 
     def _is_followed(self, host: Host) -> bool:
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -133,5 +133,5 @@
         lasting_count=host.lasting_count,
         is_needed=is_needed,
         is_awaited=is_trusted and host.is_awaited(now_s),
-        born_ms=host.record.born_ms,
+        host_started_at_ms=host.record.host_started_at_ms,
     )
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -87,11 +87,11 @@
         secrets.token_hex(4),
         peer_address,
         capacity_millicores,
-        began_at_ms=int(time.time() * 1000),
+        started_at_ms=int(time.time() * 1000),
     )
     events.write(
         "started",
-        life=me.life,
+        life=me.incarnation,
         peer_address=peer_address,
         hall=settings.hall,
         capacity_millicores=capacity_millicores,
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -98,7 +98,7 @@
             self._orders_journal,
             self._waves,
             self._events,
-            f"{me.node}/{me.life}",
+            f"{me.node}/{me.incarnation}",
             token,
             context.settings.bounds.steward_turn_ms / 1000,
             _get_settle_s(context.settings.bounds),
--- a/src/robinthread/_internal/platform/births.py
+++ b/src/robinthread/_internal/platform/host_start_time.py
@@ -5,11 +5,11 @@
 import msgspec
 
 # The largest number that records and messages between nodes carry.
-BIRTH_MAX_MS: Final = 2**63 - 1
+HOST_STARTED_AT_MAX_MS: Final = 2**63 - 1
 # Unix milliseconds.  A host that restarts may not say it: then the field is absent, never null.
-Birth = Annotated[int, msgspec.Meta(ge=0, le=BIRTH_MAX_MS)] | msgspec.UnsetType
+HostStartTime = Annotated[int, msgspec.Meta(ge=0, le=HOST_STARTED_AT_MAX_MS)] | msgspec.UnsetType
 
 
-def get_birth_ms(birth: Birth) -> int | None:
+def get_host_started_at_ms(birth: HostStartTime) -> int | None:
     """Return when a host began, or None where it does not say so."""
     return birth if isinstance(birth, int) else None
--- a/src/robinthread/_internal/platform/hosts.py
+++ b/src/robinthread/_internal/platform/hosts.py
@@ -24,7 +24,7 @@
 from robinthread._internal.models.start_order import StartOrder
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.platform.births import Birth, get_birth_ms
+from robinthread._internal.platform.host_start_time import HostStartTime, get_host_started_at_ms
 from robinthread._internal.platform.task_names import format_task, parse_task
 from robinthread._internal.telemetry.call_timer import timed_call
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
@@ -69,7 +69,7 @@
     running: list[list[Any]] = []
     # Rows: number, task, run, how it ended, checkpoint.
     finished: list[list[Any]] = []
-    born: Birth = msgspec.UNSET
+    born: HostStartTime = msgspec.UNSET
 
 
 class _WireAnswer(msgspec.Struct):
@@ -107,7 +107,7 @@
                 report.clock_ms,
                 tuple(map(_parse_running, report.running)),
                 tuple(map(_parse_ended, report.finished)),
-                get_birth_ms(report.born),
+                get_host_started_at_ms(report.born),
             )
         except (ValueError, KeyError, TypeError) as error:
             raise HostNoAnswerError(f"malformed report: {error!r}") from error
--- a/src/robinthread/_internal/platform/operators.py
+++ b/src/robinthread/_internal/platform/operators.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.models.workspace_policy import WorkspacePolicy, digest_keys
 from robinthread._internal.node.environment import PlatformRecords
-from robinthread._internal.platform.births import Birth, get_birth_ms
+from robinthread._internal.platform.host_start_time import HostStartTime, get_host_started_at_ms
 
 WAVE_PREFIX: Final = "wave/"
 # A host and a port.
@@ -98,7 +98,7 @@
     capacity: WireCapacity = msgspec.field(default_factory=WireCapacity)
     labels: list[str] = []
     remaining_ms: Size = 0
-    born: Birth = msgspec.UNSET
+    born: HostStartTime = msgspec.UNSET
 
 
 class _WireWave(msgspec.Struct):
@@ -134,7 +134,7 @@
         labels=frozenset(wire.labels),
         is_draining=wire.state == "draining",
         leaves_in_ms=wire.remaining_ms,
-        born_ms=get_birth_ms(wire.born),
+        host_started_at_ms=get_host_started_at_ms(wire.born),
     )
 
 
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -56,7 +56,7 @@
 
 
 class JobHostStandin:
-    """One life of a host; its reports tell ``born_ms`` where that is set."""
+    """One life of a host; its reports tell ``host_started_at_ms`` where that is set."""
 
     def __init__(
         self,
@@ -67,10 +67,10 @@
         takes_ticket: Callable[[StartOrder], bool] = lambda order: True,
         checks_room: Callable[[], bool] = lambda: True,
         take_down: Callable[[str], None] = lambda host_id: None,
-        born_ms: int | None = None,
+        host_started_at_ms: int | None = None,
     ) -> None:
         self.record = record
-        self._born_ms = born_ms
+        self._host_started_at_ms = host_started_at_ms
         self._take_down = take_down
         self._gangs = gangs
         self._takes_ticket = takes_ticket
@@ -162,7 +162,7 @@
                 if not present.is_stopping
             ),
             tuple(end for end in self._ended if end.number > listed_above),
-            self._born_ms,
+            self._host_started_at_ms,
         )
 
     async def wait_for_end(self, wait_s: float) -> None:
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -148,7 +148,7 @@
     assembled: AssembledNode
 
 
-class BirthTold(enum.Enum):
+class StartTimeSource(enum.Enum):
     """Where hosts say when they began."""
 
     ENTRY = "entry"
@@ -168,7 +168,7 @@
         host_id = f"i-{next(self._numbers)}"
         if platform.keeps_host_ids:
             host_id = self._ids.setdefault(machine, host_id)
-        born_ms = platform.get_wall_ms()
+        host_started_at_ms = platform.get_wall_ms()
         record = UpstreamHost(
             id=host_id,
             machine=machine,
@@ -178,7 +178,9 @@
             rack=rack,
             room=room,
             labels=frozenset({rack}),
-            born_ms=born_ms if BirthTold.ENTRY in platform.births_told else None,
+            host_started_at_ms=host_started_at_ms
+            if StartTimeSource.ENTRY in platform.start_time_sources
+            else None,
         )
         hosts = platform.hosts
         platform.advice.begin_life(host_id)
@@ -196,7 +198,7 @@
             takes_ticket,
             lambda: platform.hosts_check_room,
             platform.crash_for_a_while,
-            born_ms if BirthTold.REPORT in platform.births_told else None,
+            host_started_at_ms if StartTimeSource.REPORT in platform.start_time_sources else None,
         )
         host.crashes_all_after_s = platform.crashing_machines.get(machine)
         hosts.add(host)
@@ -213,7 +215,7 @@
     ``questions`` counts what nodes were asked by others, by node.  The hosts of
     ``crashing_machines`` crash so many seconds after whatever they begin.  Where
     ``charge_question`` is set, a question costs the processors of both nodes.  Where
-    ``keeps_host_ids`` a machine's next host has the id of the last one, and ``births_told``
+    ``keeps_host_ids`` a machine's next host has the id of the last one, and ``start_time_sources``
     tells its lives apart; their time of day is ``clock_back_ms`` behind.
     """
 
@@ -226,7 +228,7 @@
         self.asks_for_tickets = False
         self.host_back_s = HOST_BACK_S
         self.keeps_host_ids = False
-        self.births_told: Collection[BirthTold] = ()
+        self.start_time_sources: Collection[StartTimeSource] = ()
         self.clock_back_ms = 0
         self.hosts_check_room = True
         self.crashing_machines: dict[str, float] = {}
@@ -315,8 +317,8 @@
     ) -> RunningNode:
         """Start a node, in a new life."""
         # The loop's clock begins at 0, which stands for a process that does not tell.
-        began_at_ms = 1 + int(asyncio.get_running_loop().time() * 1000)
-        me = Member(name, f"life{next(self._lives)}", name, capacity_millicores, began_at_ms)
+        started_at_ms = 1 + int(asyncio.get_running_loop().time() * 1000)
+        me = Member(name, f"life{next(self._lives)}", name, capacity_millicores, started_at_ms)
         environment = NodeEnvironment(
             store=self.store.connect(name),
             hosts=self.hosts.connect(name),
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -29,8 +29,8 @@
     """Return how many records of owners follow after a node with several pools began anew."""
     ahead_ms = set_back_ms
 
-    def make(node: str, life: str, address: str, capacity: int, began_at_ms: int) -> Member:
-        return Member(node, life, address, capacity, began_at_ms + ahead_ms)
+    def make(node: str, life: str, address: str, capacity: int, started_at_ms: int) -> Member:
+        return Member(node, life, address, capacity, started_at_ms + ahead_ms)
 
     with mock.patch.object(platform_standin, "Member", make):
         platform = PlatformStandin(plan_second)
--- a/tests/functional/test_owners_asked_in_time.py
+++ b/tests/functional/test_owners_asked_in_time.py
@@ -29,7 +29,7 @@
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError(address)
         await asyncio.sleep(ANSWER_S)
-        return StoreAnswer(True, 1, 0.0, True, LIVING.life)
+        return StoreAnswer(True, 1, 0.0, True, LIVING.incarnation)
 
 
 class OwnersAskedInTimeTest(TestCase):
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -14,7 +14,7 @@
 from robinthread._internal.models.machine import MachineState
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.models.upkeep_wave import UpkeepWave
-from robinthread._internal.standins.platform_standin import BirthTold, PlatformStandin
+from robinthread._internal.standins.platform_standin import PlatformStandin, StartTimeSource
 from tests.lib.job_platforms import POOL, QUEUE, ROOM, get_owner, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
@@ -27,7 +27,7 @@
 
 async def _start(at_once_max: int, keeps_host_ids: bool = False) -> PlatformStandin:
     platform = PlatformStandin(plan_second)
-    platform.keeps_host_ids, platform.births_told = keeps_host_ids, tuple(BirthTold)
+    platform.keeps_host_ids, platform.start_time_sources = keeps_host_ids, tuple(StartTimeSource)
     platform.configure(1, (QUEUE,), POOLS)
     due = tuple(platform.machines.add(POOL, f"r{number % 2}", ROOM) for number in range(MACHINES))
     for number in range(3):
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.node.job_gate import GateOutcome
 from robinthread._internal.standins.job_host_standin import TaskPlan
-from robinthread._internal.standins.platform_standin import BirthTold, PlatformStandin
+from robinthread._internal.standins.platform_standin import PlatformStandin, StartTimeSource
 from robinthread._internal.standins.run_ledger import LedgerRun
 from tests.lib.day_troubles import HOST_KINDS, HOSTS_MIN, Trouble, TroubleKind, bring_about
 from tests.lib.job_platforms import find_breaks, get_owner, get_status, hand_in, make_job
@@ -144,7 +144,7 @@
 async def play_day(day: DrawnDay, keeps_host_ids: bool = False) -> DayFindings:
     """Play a day, and tell what was found; hosts may come back under the ids they had."""
     platform = await _start(day)
-    platform.keeps_host_ids, platform.births_told = keeps_host_ids, tuple(BirthTold)
+    platform.keeps_host_ids, platform.start_time_sources = keeps_host_ids, tuple(StartTimeSource)
     loop = asyncio.get_running_loop()
     beating = asyncio.create_task(platform.keep_heartbeats(day.heartbeat_s or TROUBLES_S * 10))
     jobs: list[asyncio.Task[HandedIn]] = []
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.standins.job_host_standin import TaskPlan
-from robinthread._internal.standins.platform_standin import BirthTold, PlatformStandin
+from robinthread._internal.standins.platform_standin import PlatformStandin, StartTimeSource
 from tests.lib.crashing import feed, wait_until_ended
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
 from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform
@@ -33,8 +33,8 @@
 # Suspects of a lasting job are tried one after the other on a host, each for five seconds.
 TRIED_WITHIN_S = 25
 CLOCK_BACK_MS = (0, 0, 60_000)
-BOTH = (BirthTold.ENTRY, BirthTold.REPORT)
-TOLD: tuple[Collection[BirthTold], ...] = (BOTH, BOTH, (BirthTold.REPORT,))
+BOTH = (StartTimeSource.ENTRY, StartTimeSource.REPORT)
+TOLD: tuple[Collection[StartTimeSource], ...] = (BOTH, BOTH, (StartTimeSource.REPORT,))
 KINDS = (
     TroubleKind.KILL_OWNER,
     TroubleKind.STOP_OWNER,
@@ -64,7 +64,7 @@
     specs: tuple[JobSpec, ...]
     back_s: tuple[float, ...]
     crashes_per_s: float
-    births_told: Collection[BirthTold]
+    start_time_sources: Collection[StartTimeSource]
     clock_back_ms: int
     racks_at_once: bool
     troubles: tuple[Trouble, ...]
@@ -124,11 +124,14 @@
 
 
 async def start_returning(
-    hosts: int = HOSTS, nodes: int = 3, seed: int = 1, births_told: Collection[BirthTold] = BOTH
+    hosts: int = HOSTS,
+    nodes: int = 3,
+    seed: int = 1,
+    start_time_sources: Collection[StartTimeSource] = BOTH,
 ) -> PlatformStandin:
     """Start a platform whose hosts come back under their ids."""
     platform = await start_platform(plan, nodes=nodes, hosts=0, seed=seed)
-    platform.keeps_host_ids, platform.births_told = True, births_told
+    platform.keeps_host_ids, platform.start_time_sources = True, start_time_sources
     for number in range(hosts):
         platform.machines.add("press", f"r{number % 2}", Resources(16_000, 32_000, 0))
     await asyncio.sleep(2.0)
@@ -137,7 +140,7 @@
 
 async def play_return_day(day: ReturnDay) -> ReturnFindings:
     """Play a day, and tell what was found."""
-    platform = await start_returning(seed=day.seed, births_told=day.births_told)
+    platform = await start_returning(seed=day.seed, start_time_sources=day.start_time_sources)
     gangs = {spec.job_id for spec in day.specs if spec.steps[0].is_gang}
 
     def plan_gangs(task: TaskKey) -> TaskPlan:
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from robinthread._internal.models.upkeep_wave import UpkeepWave
-from robinthread._internal.standins.platform_standin import BirthTold
+from robinthread._internal.standins.platform_standin import StartTimeSource
 from tests.lib.soak.callers import Caller, CallersBook
 from tests.lib.soak.node_process import NodeProcess
 from tests.lib.soak.troubles import SoakTrouble, bring_about, draw_troubles
@@ -127,7 +127,7 @@
 async def _start(day: SoakDay) -> AsyncIterator[tuple[SoakWorld, list[NodeProcess]]]:
     world = SoakWorld(day.seed)
     # Half of the soaks have hosts that come back under the ids they had.
-    world.keeps_host_ids, world.births_told = day.seed % 2 == 1, tuple(BirthTold)
+    world.keeps_host_ids, world.start_time_sources = day.seed % 2 == 1, tuple(StartTimeSource)
     await world.start(day.machines, day.reserve)
     store = world.start_store()
     # Each soak has addresses of its own, so that several may run beside each other.
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -142,7 +142,7 @@
             "capacity": _encode_room(record.room),
             "labels": ["large", record.rack],
             "remaining_ms": record.leaves_in_ms or 0,
-            **_encode_birth(record.born_ms),
+            **_encode_start_time(record.host_started_at_ms),
         }
         self.store.put(PLATFORM_RECORDS.hosts_partition, record.id, msgspec.json.encode(value))
 
@@ -225,12 +225,12 @@
         return _encode_report(report)
 
 
-def _encode_birth(born_ms: int | None) -> dict[str, Any]:
-    return {} if born_ms is None else {"born": born_ms}
+def _encode_start_time(host_started_at_ms: int | None) -> dict[str, Any]:
+    return {} if host_started_at_ms is None else {"born": host_started_at_ms}
 
 
 def _encode_report(report: HostReport) -> dict[str, Any]:
-    return _encode_birth(report.born_ms) | {
+    return _encode_start_time(report.host_started_at_ms) | {
         "clock_ms": report.clock_ms,
         "running": [
             [format_task(run.task), run.run, "", run.progress_percent, run.recent_load]
--- a/tests/unit/test_foreign_records.py
+++ b/tests/unit/test_foreign_records.py
@@ -131,10 +131,10 @@
             self.assertFalse(_is_host(HOST | {"address": address}))
 
     def test_birth_is_a_whole_number_or_absent(self) -> None:
-        self.assertIsNone(parse_host("i-1", json.dumps(HOST).encode()).born_ms)
+        self.assertIsNone(parse_host("i-1", json.dumps(HOST).encode()).host_started_at_ms)
         for birth in (0, 1_777_007_541_075, 2**63 - 1):
             entry = json.dumps(HOST | {"born": birth}).encode()
-            self.assertEqual(birth, parse_host("i-1", entry).born_ms)
+            self.assertEqual(birth, parse_host("i-1", entry).host_started_at_ms)
         taken = [birth for birth in NOT_BIRTHS if _is_host(HOST | {"born": birth})]
         self.assertEqual([], taken)
 
--- a/tests/unit/test_host_lives.py
+++ b/tests/unit/test_host_lives.py
@@ -10,7 +10,7 @@
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress, decode_progress, encode_progress
 from robinthread._internal.jobs.run import Run, RunPhase
-from robinthread._internal.models.host_life import make_life_id, split_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id, split_incarnation_id
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
 from tests.lib.job_platforms import POOL, QUEUE, ROOM, make_job
@@ -19,20 +19,35 @@
 TASK = TaskKey(f"{1:016x}", 0, 0, 0)
 
 
-def _make_record(born_ms: int | None) -> UpstreamHost:
-    return UpstreamHost("i-1", "m-1", POOL, "m-1:80", "", "r0", ROOM, frozenset(), born_ms=born_ms)
+def _make_record(host_started_at_ms: int | None) -> UpstreamHost:
+    return UpstreamHost(
+        "i-1",
+        "m-1",
+        POOL,
+        "m-1:80",
+        "",
+        "r0",
+        ROOM,
+        frozenset(),
+        host_started_at_ms=host_started_at_ms,
+    )
 
 
 class LifeIdTest(TestCase):
     def test_lives_of_one_host_have_ids_of_their_own(self) -> None:
-        ids = [make_life_id("i-1", born_ms) for born_ms in (None, 0, BORN_MS, LATER_MS)]
+        ids = [
+            make_incarnation_id("i-1", host_started_at_ms)
+            for host_started_at_ms in (None, 0, BORN_MS, LATER_MS)
+        ]
         self.assertEqual(4, len(set(ids)))
 
     def test_id_tells_its_host_and_birth(self) -> None:
         for host_id in ("i-1", "a@b", "", "x@"):
-            for born_ms in (None, 0, BORN_MS):
-                life_id = make_life_id(host_id, born_ms)
-                self.assertEqual((host_id, born_ms), split_life_id(life_id))
+            for host_started_at_ms in (None, 0, BORN_MS):
+                incarnation_id = make_incarnation_id(host_id, host_started_at_ms)
+                self.assertEqual(
+                    (host_id, host_started_at_ms), split_incarnation_id(incarnation_id)
+                )
 
 
 class LateStartsTest(TestCase):
@@ -61,13 +76,16 @@
         self.pool = PoolJobs()
         self.job = self.pool.add_job(make_job(1), QUEUE, 0, 0.0)
 
-    def _place(self, born_ms: int | None, index: int) -> Run:
-        host = self.pool.add_host(_make_record(born_ms))
+    def _place(self, host_started_at_ms: int | None, index: int) -> Run:
+        host = self.pool.add_host(_make_record(host_started_at_ms))
         return self.pool.place(self.job.get_task(TaskKey(self.job.id, 0, 0, index)), host)
 
     def test_record_tells_lives_apart(self) -> None:
         self.pool.open_due(self.job, 0)
-        runs = [self._place(born_ms, index) for index, born_ms in enumerate((BORN_MS, LATER_MS))]
+        runs = [
+            self._place(host_started_at_ms, index)
+            for index, host_started_at_ms in enumerate((BORN_MS, LATER_MS))
+        ]
         read = PoolJobs()
         read.add_job(make_job(1), QUEUE, 0, 0.0, decode_progress(encode_progress(self.job)))
         self.assertEqual({run.host_id for run in runs}, set(read.hosts))
--- a/tests/unit/test_owner_checks.py
+++ b/tests/unit/test_owner_checks.py
@@ -19,7 +19,7 @@
 from tests.lib.virtual import run_virtual, stall_loop
 
 OWNER = Member("owner", "life", "owner")
-LIVING = StoreAnswer(True, 1, 0.0, True, OWNER.life)
+LIVING = StoreAnswer(True, 1, 0.0, True, OWNER.incarnation)
 # How long a living owner takes to answer.
 ANSWER_S = 0.01
 # As long as a new node's loop may be held by what it loads, and more.
@@ -112,13 +112,14 @@
         self._check_gone(watch(_Peers(unheard)), MISSING_CONFIRM_S + SLACK_S)
 
     def test_owner_is_gone_at_once_where_another_life_answers(self) -> None:
-        gone_at_s = watch(_Peers(msgspec.structs.replace(LIVING, life="next")))
+        gone_at_s = watch(_Peers(msgspec.structs.replace(LIVING, incarnation="next")))
         assert gone_at_s is not None
         self.assertLess(gone_at_s, ANSWER_S + SLACK_S)
 
     def test_answer_that_tells_no_life_is_no_proof_that_the_owner_has_ended(self) -> None:
         self._check_gone(
-            watch(_Peers(msgspec.structs.replace(LIVING, life=""))), MISSING_CONFIRM_S + SLACK_S
+            watch(_Peers(msgspec.structs.replace(LIVING, incarnation=""))),
+            MISSING_CONFIRM_S + SLACK_S,
         )
 
     def test_living_owner_stays_whenever_the_loop_of_who_asks_stalls(self) -> None:
--- a/tests/unit/test_taking_lines.py
+++ b/tests/unit/test_taking_lines.py
@@ -104,7 +104,7 @@
     def test_member_that_the_store_does_not_list_says_so_until_it_is_listed(self) -> None:
         async def work() -> None:
             platform = PlatformStandin(plan_second, 1)
-            late = Member("late", "life1", "late", began_at_ms=1)
+            late = Member("late", "life1", "late", started_at_ms=1)
             platform.store.unlisted.add(msgspec.json.encode(late).decode())
             platform.start_node("late")
             await asyncio.sleep(7)
