--- a/src/robinthread/_internal/durable/append_pace.py
+++ b/src/robinthread/_internal/durable/append_latency.py
@@ -8,10 +8,10 @@
 # while many append to one partition.
 SLOW_APPEND_S: Final = 0.1
 # How long it counts as slow afterwards: callers that were turned away come back within 1 to 2 s.
-SLOW_KEPT_S: Final = 2.0
+SLOW_HOLD_S: Final = 2.0
 
 
-class AppendPace:
+class AppendLatency:
     """Watches the appends, or joins, that one caller makes in turn."""
 
     def __init__(self) -> None:
@@ -25,15 +25,15 @@
     def end(self) -> None:
         """Note that the append has ended, however it went."""
         if self._began_at_s is not None:
-            self.note_took(asyncio.get_running_loop().time() - self._began_at_s)
+            self.record_duration(asyncio.get_running_loop().time() - self._began_at_s)
         self._began_at_s = None
 
-    def note_took(self, took_s: float) -> None:
+    def record_duration(self, took_s: float) -> None:
         """Note how long an append took that another node made."""
         if took_s >= SLOW_APPEND_S:
-            self.note_slow()
+            self.mark_slow()
 
-    def note_slow(self) -> None:
+    def mark_slow(self) -> None:
         """Note that the store turned an append away."""
         self._slow_at_s = asyncio.get_running_loop().time()
 
@@ -43,4 +43,4 @@
         now_s = asyncio.get_running_loop().time()
         if self._began_at_s is not None and now_s - self._began_at_s >= SLOW_APPEND_S:
             return True
-        return now_s - self._slow_at_s < SLOW_KEPT_S
+        return now_s - self._slow_at_s < SLOW_HOLD_S
--- a/src/robinthread/_internal/durable/group_writer.py
+++ b/src/robinthread/_internal/durable/group_writer.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from robinthread._internal.durable.append_pace import AppendPace
+from robinthread._internal.durable.append_latency import AppendLatency
 from robinthread._internal.durable.errors import (
     StoreError,
     StoreNoAnswerError,
@@ -35,7 +35,7 @@
 class GroupWriter:
     """Appends to one partition, one batch at a time, each with all that waits.
 
-    ``pace`` tells how the store takes its appends.
+    ``latency`` tells how the store takes its appends.
 
     A batch without an answer is sent again under the same stamp, and kept once.
     One that is given up may have been kept, but will not be later: the next
@@ -51,7 +51,7 @@
         self._sequence = 0
         self._waiting: deque[_Entry] = deque()
         self._wakeup = asyncio.Event()
-        self.pace = AppendPace()
+        self.latency = AppendLatency()
 
     async def write(self, record: KeyedRecord, deadline_s: float) -> int:
         """Append a record and return its offset.
@@ -71,9 +71,9 @@
             await self._wakeup.wait()
             self._wakeup.clear()
             while self._waiting:
-                self.pace.begin()
+                self.latency.begin()
                 await self._append(self._take_batch())
-                self.pace.end()
+                self.latency.end()
 
     def _take_batch(self) -> list[_Entry]:
         batch: list[_Entry] = []
@@ -97,7 +97,7 @@
             try:
                 result = await self._store.append(self._partition, records, stamp=stamp)
             except StoreRefusedError as refused:
-                self.pace.note_slow()
+                self.latency.mark_slow()
                 if error is None:
                     _fail(batch, refused)
                     return
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from robinthread._internal.durable.append_pace import AppendPace
+from robinthread._internal.durable.append_latency import AppendLatency
 from robinthread._internal.durable.errors import StoreError
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.durable.store import Store
@@ -52,7 +52,7 @@
     """Keeps this node a member; ``members`` are those that the store listed last.
 
     ``listed_at_s`` is when that was, by the event loop's clock.  ``is_listed`` tells whether
-    this node was among them: others do not see it otherwise.  ``pace`` is that of its joins,
+    this node was among them: others do not see it otherwise.  ``latency`` is that of its joins,
     which it makes all the time.
     """
 
@@ -76,7 +76,7 @@
         self._failure_count = 0
         self._failing_since_s = math.inf
         self._turn = asyncio.Lock()
-        self.pace = AppendPace()
+        self.latency = AppendLatency()
         self.generation = 0
         self.members: frozenset[Member] = frozenset()
         self.listed_at_s = -math.inf
@@ -160,11 +160,11 @@
         if self.is_leaving:
             return
         self._note_pace(began_at_s)
-        self.pace.begin()
+        self.latency.begin()
         membership = await self._store.join(
             GROUP, self._name, [get_topic(self._topic)], self._get_ttl_ms(), self.generation
         )
-        self.pace.end()
+        self.latency.end()
         now_s = asyncio.get_running_loop().time()
         self._joined_at_s = now_s
         self._failure_count = 0
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -60,7 +60,7 @@
         """Append a record, here or through another node."""
         if self._member.is_cut_off:
             outcome = await self._relay(record, deadline_s)
-        elif self._writer.pace.is_slow or self._member.pace.is_slow:
+        elif self._writer.latency.is_slow or self._member.latency.is_slow:
             outcome = await self._gather(record, deadline_s)
         else:
             outcome = await self._append(record, deadline_s)
@@ -94,7 +94,7 @@
         if gatherer is not None:
             began_at_s = asyncio.get_running_loop().time()
             outcome = await self._relay_to(gatherer, record, deadline_s)
-            self._writer.pace.note_took(asyncio.get_running_loop().time() - began_at_s)
+            self._writer.latency.record_duration(asyncio.get_running_loop().time() - began_at_s)
             if outcome is not GateOutcome.REFUSED:
                 return outcome
         return await self._append(record, deadline_s) if may_append else GateOutcome.REFUSED
