--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -49,13 +49,13 @@
         self._listeners: list[Listener] = []
         self._events = events
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` for all jobs known and to come."""
         self._listeners.append(listener)
         for job in list(self.jobs.values()):
             listener(job)
 
-    def unlisten(self, listener: Listener) -> None:
+    def unsubscribe(self, listener: Listener) -> None:
         """Call ``listener`` no more."""
         self._listeners.remove(listener)
 
--- a/src/robinthread/_internal/node/host_directory.py
+++ b/src/robinthread/_internal/node/host_directory.py
@@ -30,11 +30,11 @@
         self._listeners: list[Callable[[], None]] = []
         self.hosts: dict[str, UpstreamHost] = {}
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def subscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each change."""
         self._listeners.append(listener)
 
-    def unlisten(self, listener: Callable[[], None]) -> None:
+    def unsubscribe(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` no more."""
         self._listeners.remove(listener)
 
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -116,8 +116,8 @@
         )
         if self._is_stopped:
             return
-        self._context.job_index.listen(self._take_job)
-        self._context.host_directory.listen(self._hosts.update)
+        self._context.job_index.subscribe(self._take_job)
+        self._context.host_directory.subscribe(self._hosts.update)
         self._hosts.update()
         self.is_open = True
         self.opening.end()
@@ -149,8 +149,8 @@
         if self._is_stopped:
             return
         if self.is_open:
-            self._context.job_index.unlisten(self._take_job)
-            self._context.host_directory.unlisten(self._hosts.update)
+            self._context.job_index.unsubscribe(self._take_job)
+            self._context.host_directory.unsubscribe(self._hosts.update)
             if is_planned and not self.fenced.is_set():
                 await self._recorder.flush(FLUSH_WAIT_S)
         self.is_open = False
