--- a/src/robinthread/_internal/durable/ownership.py
+++ b/src/robinthread/_internal/durable/ownership.py
@@ -18,10 +18,10 @@
 OWNERS_PARTITION: Final = Partition("keyed.owners")
 # How long an owner that was replaced is kept in mind: ten times as long as one that does
 # not hear of it may go on.
-LOST_KEPT_S: Final = 60.0
+UNRELEASED_RETENTION_S: Final = 60.0
 # How many a record names at most, one a node: a change of owner takes some 2 s, so 16 in
 # turn outlast by far what one that does not hear of it may go on.
-EARLIER_MAX: Final = 16
+EARLIER_OWNERS_MAX: Final = 16
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -70,22 +70,22 @@
     is_stopping: bool
 
 
-class LostOwner(msgspec.Struct, frozen=True):
+class UnreleasedOwner(msgspec.Struct, frozen=True):
     """An owner that was replaced and had not given its pool back: it may be running still.
 
-    ``lost_at_s`` is when that was seen or read, by the event loop's clock: it was replaced
+    ``replaced_at_s`` is when that was seen or read, by the event loop's clock: it was replaced
     by then.
     """
 
     owner: Member
     token: int
-    lost_at_s: float
+    replaced_at_s: float
 
 
 class OwnerTable:
     """The newest owner of each pool, and the one before it where that was seen.
 
-    ``lost`` are, by pool, those of late that did not give it back, the last one last.
+    ``unreleased`` are, by pool, those of late that did not give it back, the last one last.
     """
 
     def __init__(self, store: Store, events: EventLog) -> None:
@@ -93,7 +93,7 @@
         self._events = events
         self.owners: dict[str, Ownership] = {}
         self.previous: dict[str, Ownership] = {}
-        self.lost: dict[str, tuple[LostOwner, ...]] = {}
+        self.unreleased: dict[str, tuple[UnreleasedOwner, ...]] = {}
         self.changed = asyncio.Event()
         self.follower = KeyedFollower(store, OWNERS_PARTITION, self._apply, events)
 
@@ -102,7 +102,7 @@
         found = self.owners.get(pool)
         return None if found is None or found.is_released else found
 
-    async def take(
+    async def acquire(
         self, pool: str, member: Member, returned: Mapping[str, Member] | None = None
     ) -> bool:
         """Take a pool unless anything has changed; the fold tells the outcome.
@@ -164,16 +164,24 @@
             for earlier in (*kept, *replaced)
             if author is None or earlier.owner.node != author.node
         }
-        return tuple(sorted(by_node.values(), key=lambda earlier: earlier.token)[-EARLIER_MAX:])
+        return tuple(
+            sorted(by_node.values(), key=lambda earlier: earlier.token)[-EARLIER_OWNERS_MAX:]
+        )
 
-    def _list_lost(self, pool: str) -> list[LostOwner]:
+    def _list_lost(self, pool: str) -> list[UnreleasedOwner]:
         now_s = asyncio.get_running_loop().time()
-        return [lost for lost in self.lost.get(pool, ()) if now_s - lost.lost_at_s < LOST_KEPT_S]
+        return [
+            lost
+            for lost in self.unreleased.get(pool, ())
+            if now_s - lost.replaced_at_s < UNRELEASED_RETENTION_S
+        ]
 
     def _drop_stopped(self, tokens: Mapping[str, int]) -> None:
         """Forget owners that have stopped under these tokens."""
         for pool, token in tokens.items():
-            self.lost[pool] = tuple(lost for lost in self.lost.get(pool, ()) if lost.token != token)
+            self.unreleased[pool] = tuple(
+                lost for lost in self.unreleased.get(pool, ()) if lost.token != token
+            )
 
     def _has_token(self, pool: str, token: int) -> bool:
         current = self.get(pool)
@@ -225,6 +233,6 @@
         """Keep those in mind, from now on, that are not known yet."""
         now_s = asyncio.get_running_loop().time()
         lost = {
-            earlier.token: LostOwner(earlier.owner, earlier.token, now_s) for earlier in found
+            earlier.token: UnreleasedOwner(earlier.owner, earlier.token, now_s) for earlier in found
         } | {lost.token: lost for lost in self._list_lost(pool)}
-        self.lost[pool] = tuple(lost[token] for token in sorted(lost))
+        self.unreleased[pool] = tuple(lost[token] for token in sorted(lost))
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -169,7 +169,7 @@
     async def _take(self, pool: str) -> bool:
         """Take a pool; return whether that succeeded."""
         try:
-            is_taken = await self._table.take(pool, self._me, self._election.get_returned())
+            is_taken = await self._table.acquire(pool, self._me, self._election.get_returned())
         except StoreError as error:
             self._events.write("take_failed", pool=pool, error=f"{type(error).__name__}: {error}")
             return False
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from typing import Final
 
-from robinthread._internal.durable.ownership import LostOwner, Member, OwnerTable
+from robinthread._internal.durable.ownership import Member, OwnerTable, UnreleasedOwner
 from robinthread._internal.jobs.host_lease import ForeignLeases, get_lapse_time_s
 from robinthread._internal.node.pool_runtime import (
     LEASE_MS,
@@ -28,10 +28,12 @@
     that has stopped says so, or the next life of its process does.
     """
 
-    def __init__(self, pool: str, found: Iterable[LostOwner], ask_stopped: AskStopped) -> None:
+    def __init__(
+        self, pool: str, found: Iterable[UnreleasedOwner], ask_stopped: AskStopped
+    ) -> None:
         self._pool = pool
         self._ask_stopped = ask_stopped
-        self._grants_until_s = {lost: lost.lost_at_s + UNCONFIRMED_MAX_S for lost in found}
+        self._grants_until_s = {lost: lost.replaced_at_s + UNCONFIRMED_MAX_S for lost in found}
         self._taken_at_s = get_loop_s()
         self._leases = ForeignLeases()
 
@@ -43,7 +45,7 @@
         """
         self._leases = leases
         self._grants_until_s = {
-            lost: min(now_s + UNCONFIRMED_MAX_S, lost.lost_at_s + OWNERS_UNREAD_MAX_S)
+            lost: min(now_s + UNCONFIRMED_MAX_S, lost.replaced_at_s + OWNERS_UNREAD_MAX_S)
             for lost in self._grants_until_s
         }
         self._update()
@@ -76,11 +78,11 @@
                 await asyncio.gather(*(self._ask(lost, events) for lost in running))
             await asyncio.sleep(ASK_PERIOD_S)
 
-    def _list_running(self) -> list[LostOwner]:
+    def _list_running(self) -> list[UnreleasedOwner]:
         now_s = get_loop_s()
         return [lost for lost, until_s in self._grants_until_s.items() if until_s > now_s]
 
-    async def _ask(self, lost: LostOwner, events: EventLog) -> None:
+    async def _ask(self, lost: UnreleasedOwner, events: EventLog) -> None:
         if not await self._ask_stopped(lost.owner, self._pool, lost.token):
             return
         self._grants_until_s[lost] = get_loop_s()
@@ -112,7 +114,7 @@
     """
     found = (
         lost
-        for lost in table.lost.get(pool, ())
+        for lost in table.unreleased.get(pool, ())
         if lost.token != stopped_tokens.get(pool) and lost.owner.node != me.node
     )
     return Predecessors(pool, found, ask_stopped)
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -6,14 +6,14 @@
 from testtools import TestCase
 
 from robinthread._internal.durable.ownership import (
-    EARLIER_MAX,
-    LOST_KEPT_S,
+    EARLIER_OWNERS_MAX,
     OWNERS_PARTITION,
+    UNRELEASED_RETENTION_S,
     EarlierOwner,
-    LostOwner,
     Member,
     OwnerRecord,
     OwnerTable,
+    UnreleasedOwner,
 )
 from robinthread._internal.durable.store import KeyedRecord
 from robinthread._internal.standins.store_standin import StoreStandin
@@ -57,12 +57,12 @@
             record(0, A)
             await asyncio.sleep(1)
             record(1, B)
-            self.assertEqual((LostOwner(A, 1, 1.0),), table.lost["press"])
+            self.assertEqual((UnreleasedOwner(A, 1, 1.0),), table.unreleased["press"])
             await asyncio.sleep(1)
             record(2, B, is_released=True)
             record(3, C)
             self.assertTrue(table.previous["press"].is_released)
-            self.assertEqual((LostOwner(A, 1, 1.0),), table.lost["press"])
+            self.assertEqual((UnreleasedOwner(A, 1, 1.0),), table.unreleased["press"])
 
         run_virtual(work())
 
@@ -73,11 +73,11 @@
                 value = msgspec.msgpack.encode(OwnerRecord(member))
                 table._apply([KeyedRecord("press", value, offset)], False)
                 await asyncio.sleep(1)
-            self.assertEqual([A, B], [lost.owner for lost in table.lost["press"]])
-            await asyncio.sleep(LOST_KEPT_S)
+            self.assertEqual([A, B], [lost.owner for lost in table.unreleased["press"]])
+            await asyncio.sleep(UNRELEASED_RETENTION_S)
             value = msgspec.msgpack.encode(OwnerRecord(A))
             table._apply([KeyedRecord("press", value, 3)], False)
-            self.assertEqual([C], [lost.owner for lost in table.lost["press"]])
+            self.assertEqual([C], [lost.owner for lost in table.unreleased["press"]])
 
         run_virtual(work())
 
@@ -86,15 +86,15 @@
     def test_newest_record_tells_of_all_that_may_be_running(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
-            await (await make_table(standin)).take("press", A)
-            await (await make_table(standin)).take("press", B)
+            await (await make_table(standin)).acquire("press", A)
+            await (await make_table(standin)).acquire("press", B)
             await asyncio.sleep(1)
             late = await make_table(standin)
-            (lost,) = late.lost["press"]
+            (lost,) = late.unreleased["press"]
             self.assertEqual((A, 1), (lost.owner, lost.token))
-            self.assertGreater(lost.lost_at_s, 1.0)
-            await late.take("press", C)
-            self.assertEqual([A, B], [lost.owner for lost in late.lost["press"]])
+            self.assertGreater(lost.replaced_at_s, 1.0)
+            await late.acquire("press", C)
+            self.assertEqual([A, B], [lost.owner for lost in late.unreleased["press"]])
             self.assertEqual([A, B], read_earlier(standin))
 
         run_virtual(work())
@@ -102,12 +102,12 @@
     def test_owner_that_gives_back_tells_of_those_before_it(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
-            await (await make_table(standin)).take("press", A)
+            await (await make_table(standin)).acquire("press", A)
             second = await make_table(standin)
-            await second.take("press", B)
+            await second.acquire("press", B)
             await second.release(["press"], B, is_stopping=True)
             self.assertEqual([A], read_earlier(standin))
-            await (await make_table(standin)).take("press", C)
+            await (await make_table(standin)).acquire("press", C)
             self.assertEqual([A], read_earlier(standin))
 
         run_virtual(work())
@@ -116,9 +116,9 @@
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
-            await table.take("press", A)
+            await table.acquire("press", A)
             await table.release(["press"], A, is_stopping=False)
-            await table.take("press", B)
+            await table.acquire("press", B)
             self.assertEqual([], read_earlier(standin))
             await table.take_over({"press": table.owners["press"].token}, C)
             self.assertEqual([], read_earlier(standin))
@@ -131,11 +131,11 @@
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
-            await table.take("press", A)
-            for number in range(2 * EARLIER_MAX):
-                await table.take("press", Member("b", f"life{number}", "b"))
+            await table.acquire("press", A)
+            for number in range(2 * EARLIER_OWNERS_MAX):
+                await table.acquire("press", Member("b", f"life{number}", "b"))
             self.assertEqual([A], read_earlier(standin))
-            await table.take("press", C)
+            await table.acquire("press", C)
             last = Member("b", f"life{number}", "b")
             self.assertEqual([A, last], read_earlier(standin))
 
@@ -145,12 +145,12 @@
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
-            members = [Member(str(number), "life", "n") for number in range(EARLIER_MAX + 3)]
+            members = [Member(str(number), "life", "n") for number in range(EARLIER_OWNERS_MAX + 3)]
             for member in members:
-                await table.take("press", member)
+                await table.acquire("press", member)
             self.assertEqual(members[2:-1], read_earlier(standin))
-            await asyncio.sleep(LOST_KEPT_S)
-            await table.take("press", A)
+            await asyncio.sleep(UNRELEASED_RETENTION_S)
+            await table.acquire("press", A)
             self.assertEqual([members[-1]], read_earlier(standin))
 
         run_virtual(work())
--- a/tests/unit/test_predecessors.py
+++ b/tests/unit/test_predecessors.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.durable.ownership import LostOwner, Member
+from robinthread._internal.durable.ownership import Member, UnreleasedOwner
 from robinthread._internal.jobs.host_lease import ForeignLeases, get_lapse_time_s
 from robinthread._internal.node.pool_runtime import LEASE_MS
 from robinthread._internal.node.predecessors import Predecessors
@@ -30,7 +30,9 @@
         async def work() -> None:
             loop = asyncio.get_running_loop()
             leases = ForeignLeases()
-            predecessors = Predecessors("press", [LostOwner(LOST, 7, loop.time())], say_stopped)
+            predecessors = Predecessors(
+                "press", [UnreleasedOwner(LOST, 7, loop.time())], say_stopped
+            )
             await asyncio.sleep(SHUT_OUT_S)
             shut_out_at_s = loop.time()
             predecessors.note_shut_out(shut_out_at_s, leases)
