--- a/src/robinthread/_internal/durable/inbox_records.py
+++ b/src/robinthread/_internal/durable/inbox_records.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobHandedIn:
+class JobSubmitted:
     """A job's record."""
 
     key: str
@@ -45,7 +45,7 @@
     job_id: str
 
 
-InboxRecord = JobHandedIn | JobCancelled | RecordDropped
+InboxRecord = JobSubmitted | JobCancelled | RecordDropped
 
 
 def make_job_record(spec: JobSpec, copy: str) -> KeyedRecord:
@@ -76,7 +76,7 @@
     fault = spec.find_fault() or ("" if spec.job_id == job_id else "its key names another job")
     if fault:
         raise msgspec.ValidationError(fault)
-    return JobHandedIn(record.key, spec)
+    return JobSubmitted(record.key, spec)
 
 
 def _parse_canceller(key: str, value: bytes) -> str | None:
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.durable.inbox_records import (
     JobCancelled,
-    JobHandedIn,
+    JobSubmitted,
     RecordDropped,
     parse_inbox_record,
 )
@@ -75,7 +75,7 @@
 
     def _apply_one(self, record: KeyedRecord) -> None:
         match parse_inbox_record(record):
-            case JobHandedIn(key, spec):
+            case JobSubmitted(key, spec):
                 self._add(key, spec, record.offset)
             case JobCancelled() as cancelled:
                 self._cancel(cancelled)
--- a/src/robinthread/_internal/durable/keyed_follower.py
+++ b/src/robinthread/_internal/durable/keyed_follower.py
@@ -86,7 +86,7 @@
                 self._note_success()
                 await asyncio.sleep(self._get_pause_s())
 
-    def hurry(self, period_s: float, for_s: float) -> None:
+    def poll_faster(self, period_s: float, for_s: float) -> None:
         """Read every ``period_s`` at least, for a while."""
         self._hurry_period_s = period_s
         self._hurry_until_s = asyncio.get_running_loop().time() + for_s
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -93,7 +93,7 @@
         host_directory=host_directory,
         config_holder=config_holder,
         get_wall_ms=environment.get_wall_ms,
-        expect_hosts=lambda: hosts.hurry(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
+        expect_hosts=lambda: hosts.poll_faster(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
         read_hosts_to_end=lambda: _read_to_end(hosts),
         read_inbox_once=inbox.read_to_end,
         read_inbox_to_end=lambda: _read_to_end(inbox),
