--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -9,7 +9,7 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.workspace_policy import WorkspacePolicy
-from robinthread._internal.models.workspace_shares import ShareState, WorkspaceStanding
+from robinthread._internal.models.workspace_shares import ShareState, WorkspaceUsage
 from robinthread._internal.node.share_keeper import ShareKeeper
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -28,7 +28,7 @@
         1, (), pools, 1000, tuple(WorkspacePolicy(name, limit=LIMIT) for name in names)
     )
     standings = tuple(
-        WorkspaceStanding(name, (5_000, 0, 0), (90_000, 0, 0), (2_000, 0, 0))
+        WorkspaceUsage(name, (5_000, 0, 0), (90_000, 0, 0), (2_000, 0, 0))
         for name in names[:wanting_count]
     )
     keeper = ShareKeeper(1, 0.2, 0.0, EventLog("bench", lambda line: None))
@@ -40,7 +40,7 @@
 def _take_step(
     keeper: ShareKeeper,
     config: FleetConfig,
-    standings: tuple[WorkspaceStanding, ...],
+    standings: tuple[WorkspaceUsage, ...],
 ) -> float:
     orders = {pool: keeper.make_order(pool, config) for pool in config.list_working_pools()}
     reports = {
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -13,7 +13,7 @@
 from robinthread._internal.durable.share_meter import ShareMeter
 from robinthread._internal.durable.store import KeyedRecord
 from robinthread._internal.models.job_spec import JobSpec
-from robinthread._internal.models.workspace_policy import may_touch
+from robinthread._internal.models.workspace_policy import may_access
 from robinthread._internal.telemetry.event_log import EventLog
 
 
@@ -91,7 +91,7 @@
         job = self.jobs[spec.job_id] = IndexedJob(spec, offset, is_beyond)
         job.keys.add(key)
         ahead = self._cancelled_ahead.pop(spec.job_id, ())
-        job.is_cancelled = any(may_touch(one.workspace, spec.workspace) for one in ahead)
+        job.is_cancelled = any(may_access(one.workspace, spec.workspace) for one in ahead)
         self._tell(job)
 
     def _cancel(self, cancelled: JobCancelled) -> None:
@@ -100,7 +100,7 @@
             self._cancelled_ahead.setdefault(cancelled.job_id, []).append(cancelled)
             return
         job.keys.add(cancelled.key)
-        if not job.is_cancelled and may_touch(cancelled.workspace, job.spec.workspace):
+        if not job.is_cancelled and may_access(cancelled.workspace, job.spec.workspace):
             job.is_cancelled = True
             self._tell(job)
 
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -5,7 +5,7 @@
 from robinthread._internal.models.workspace_shares import (
     ShareOrder,
     ShareState,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
 
 
@@ -79,4 +79,4 @@
     lacks: tuple[LackReport, ...] = ()
     urgent_room: tuple[int, int, int] | None = None
     share_state: ShareState | None = None
-    workspaces: tuple[WorkspaceStanding, ...] = ()
+    workspaces: tuple[WorkspaceUsage, ...] = ()
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -81,7 +81,7 @@
                 run.is_resumed = run.is_inherited = True
                 run.settled_at_s = now_s
                 self._get_host(run.host_id).add_run(run, task.step.room)
-                self.workspaces.note_begun(spec.workspace, task.step.claim)
+                self.workspaces.note_begun(spec.workspace, task.step.charged_resources)
         self.crash_book.resume_trials(job)
         return job
 
@@ -106,14 +106,14 @@
         run = task.add_run(host.id, number)
         host.add_run(run, task.room)
         job = self.jobs[task.key.job_id]
-        self.workspaces.note_begun(job.spec.workspace, task.step.claim)
+        self.workspaces.note_begun(job.spec.workspace, task.step.charged_resources)
         self._mark(job)
         return run
 
     def may_begin(self, task: Task) -> bool:
         """Tell whether its workspace's share has room for a waiting task, and all its gang."""
         job = self.jobs[task.key.job_id]
-        workspace, claim = job.spec.workspace, task.step.claim
+        workspace, claim = job.spec.workspace, task.step.charged_resources
         if not workspace:
             return True
         if task.step.is_gang:
@@ -285,7 +285,9 @@
         run.phase = RunPhase.OVER
         task.runs.remove(run)
         self.hosts[run.host_id].remove_run(run, task.step.room)
-        self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
+        self.workspaces.note_over(
+            self.jobs[run.task.job_id].spec.workspace, task.step.charged_resources
+        )
         if self.crash_book.trials.is_run_of(task.counted_key, run.number):
             self.crash_book.trials.drop(task.counted_key)
         return True
--- a/src/robinthread/_internal/jobs/workspace_room.py
+++ b/src/robinthread/_internal/jobs/workspace_room.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.workspace_shares import (
     ShareOrder,
     ShareState,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
 
 # A workspace is told of that takes more than this part of its share here: before it needs more.
@@ -74,7 +74,7 @@
         limit = self._limits.get(workspace)
         if limit is None:
             return True
-        return (self.get_used(workspace) + room).get_part_of(limit) <= self.get_share(
+        return (self.get_used(workspace) + room).get_utilization(limit) <= self.get_share(
             workspace
         ) + ROUNDING
 
@@ -96,13 +96,13 @@
             self._state = ShareState(order.token, order.number, table)
         return self._state
 
-    def list_standings(self, waiting: Mapping[str, Resources]) -> tuple[WorkspaceStanding, ...]:
+    def list_standings(self, waiting: Mapping[str, Resources]) -> tuple[WorkspaceUsage, ...]:
         """Tell of the workspaces that are near their share or whose share is a set one.
 
         ``waiting`` is what the tasks that wait would take, by workspace.
         """
         return tuple(
-            WorkspaceStanding(
+            WorkspaceUsage(
                 name,
                 self.get_used(name).astuple(),
                 waiting.get(name, NO_RESOURCES).astuple(),
@@ -114,7 +114,7 @@
     def list_parts(self) -> dict[str, float]:
         """Return which part of its limit each workspace that has one takes here."""
         return {
-            name: self._used[name].get_part_of(limit)
+            name: self._used[name].get_utilization(limit)
             for name, limit in self._limits.items()
             if name in self._used
         }
@@ -127,6 +127,6 @@
             name
             for name, used in self._used.items()
             if name in self._limits
-            and used.get_part_of(self._limits[name]) > TOLD_FROM_PART * self.get_share(name)
+            and used.get_utilization(self._limits[name]) > TOLD_FROM_PART * self.get_share(name)
         }
         return sorted(named & self._limits.keys() | near)
--- a/src/robinthread/_internal/models/job_spec.py
+++ b/src/robinthread/_internal/models/job_spec.py
@@ -46,7 +46,7 @@
         return Resources(cpu, self.memory_mb, self.gpu_count)
 
     @property
-    def claim(self) -> Resources:
+    def charged_resources(self) -> Resources:
         """Return what one task takes of its workspace's limit."""
         return Resources(self.cpu_millicores, self.memory_mb, self.gpu_count)
 
--- a/src/robinthread/_internal/models/resources.py
+++ b/src/robinthread/_internal/models/resources.py
@@ -57,7 +57,7 @@
         )
         return min((have // takes for have, takes in pairs if takes), default=sys.maxsize)
 
-    def get_part_of(self, limit: "Resources") -> float:
+    def get_utilization(self, limit: "Resources") -> float:
         """Return the largest part that this is of any kind of room that is limited."""
         pairs = (
             (self.cpu_millicores, limit.cpu_millicores),
--- a/src/robinthread/_internal/models/workspace_shares.py
+++ b/src/robinthread/_internal/models/workspace_shares.py
@@ -37,7 +37,7 @@
     table: ShareTable | None = None
 
 
-class WorkspaceStanding(msgspec.Struct, frozen=True, array_like=True):
+class WorkspaceUsage(msgspec.Struct, frozen=True, array_like=True):
     """What a workspace takes in a pool, what its waiting tasks would, and one of them.
 
     That one, ``held_back``, is the most urgent that had to wait for a larger share.  Rooms are
--- a/src/robinthread/_internal/node/job_gate.py
+++ b/src/robinthread/_internal/node/job_gate.py
@@ -10,7 +10,7 @@
 from robinthread._internal.models.job_spec import JobSpec
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
-from robinthread._internal.models.workspace_policy import may_touch
+from robinthread._internal.models.workspace_policy import may_access
 from robinthread._internal.node.gate_outcome import GateOutcome
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
@@ -77,7 +77,7 @@
         accepted_of = self._accepted.get(spec.job_id)
         if accepted_of is not None:
             # One without a workspace was handed in while its queue was public.
-            is_same = not spec.workspace or may_touch(spec.workspace, accepted_of)
+            is_same = not spec.workspace or may_access(spec.workspace, accepted_of)
             return GateOutcome.DONE if is_same else GateOutcome.ID_TAKEN
         copy = f"{self._me.incarnation}.{next(self._copies)}"
         outcome = await self._records.write(make_job_record(spec, copy), deadline_s)
@@ -118,7 +118,7 @@
         """Tell a job's status as its pool's owner knows it."""
         ended = self._ended.get(job_id)
         if ended is not None:
-            if not may_touch(workspace, ended.workspace):
+            if not may_access(workspace, ended.workspace):
                 return JobTold(GateOutcome.NO_SUCH_JOB)
             return JobTold(GateOutcome.DONE, ended.status)
         answer = await self._ask_job(queue.pool, job_id)
@@ -126,7 +126,7 @@
             answer = await self._ask_job(answer.pool, job_id)
         if not answer.is_owner or (answer.pool and not answer.status):
             return JobTold(GateOutcome.OWNER_UNREACHABLE)
-        if not answer.pool or not may_touch(workspace, answer.workspace):
+        if not answer.pool or not may_access(workspace, answer.workspace):
             return JobTold(GateOutcome.NO_SUCH_JOB)
         status = JobStatus(answer.status)
         if status.is_final:
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -117,7 +117,7 @@
         for task in pool.waiting.values():
             workspace = pool.jobs[task.key.job_id].spec.workspace
             if workspace in sums:
-                sums[workspace] += task.step.claim
+                sums[workspace] += task.step.charged_resources
     return sums
 
 
--- a/src/robinthread/_internal/node/share_keeper.py
+++ b/src/robinthread/_internal/node/share_keeper.py
@@ -16,7 +16,7 @@
 from robinthread._internal.models.workspace_shares import (
     ShareOrder,
     ShareTable,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -40,7 +40,7 @@
     confirmed: ShareTable
     was_told: bool
     pending: ShareTable | None = None
-    standings: Mapping[str, WorkspaceStanding] = field(default_factory=dict)
+    standings: Mapping[str, WorkspaceUsage] = field(default_factory=dict)
 
     @property
     def order(self) -> ShareTable | None:
@@ -179,7 +179,7 @@
         if version is None:
             uses = {
                 pool: _make_use(
-                    known.standings.get(workspace, WorkspaceStanding(workspace, (0, 0, 0))),
+                    known.standings.get(workspace, WorkspaceUsage(workspace, (0, 0, 0))),
                     limit,
                     known.get_bound(workspace),
                 )
@@ -262,9 +262,9 @@
         self._written = rounded
 
 
-def _make_use(standing: WorkspaceStanding, limit: Resources, bound: float) -> PoolUse:
+def _make_use(standing: WorkspaceUsage, limit: Resources, bound: float) -> PoolUse:
     used, waiting, held_back = (
-        Resources(*room).get_part_of(limit)
+        Resources(*room).get_utilization(limit)
         for room in (standing.used, standing.waiting, standing.held_back)
     )
     return PoolUse(used, waiting, held_back, bound)
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -46,7 +46,7 @@
         after = self.get_running(workspace) + run.room
         self._open[workspace].append(run)
         part = min(
-            (after.get_part_of(limit) for limit in self._list_in_force(workspace, now_s)),
+            (after.get_utilization(limit) for limit in self._list_in_force(workspace, now_s)),
             default=0.0,
         )
         if part > 1.0:
--- a/tests/lib/limited.py
+++ b/tests/lib/limited.py
@@ -155,9 +155,9 @@
     pools = {host.record.id: host.record.pool for host in platform.hosts.hosts.values()}
     for run in ledger.runs:
         if run.ended_at_s is None and ledger.limits.workspaces.get(run.task.job_id) == workspace:
-            by_pool[pools[run.host_id]] += run.room.get_part_of(limit)
+            by_pool[pools[run.host_id]] += run.room.get_utilization(limit)
     at_s = asyncio.get_running_loop().time()
-    return UseSample(at_s, ledger.limits.get_running(workspace).get_part_of(limit), by_pool)
+    return UseSample(at_s, ledger.limits.get_running(workspace).get_utilization(limit), by_pool)
 
 
 async def keep_sampling(
--- a/tests/unit/test_share_keeper.py
+++ b/tests/unit/test_share_keeper.py
@@ -11,7 +11,7 @@
     ShareOrder,
     ShareState,
     ShareTable,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
 from robinthread._internal.node.share_keeper import HEARD_WITHIN_S, ShareKeeper
 from robinthread._internal.telemetry.event_log import EventLog
@@ -53,7 +53,7 @@
         if order is not None:
             table = self.states[pool].table if order.table is None else order.table
             self.states[pool] = ShareState(order.token, order.number, table)
-        standing = WorkspaceStanding(
+        standing = WorkspaceUsage(
             "maps",
             (self.used[pool], 0, 0),
             (self.held_back[pool], 0, 0),
