--- a/src/robinthread/_internal/jobs/evacuation.py
+++ b/src/robinthread/_internal/jobs/evacuation.py
@@ -45,11 +45,11 @@
 def may_leave(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
     """Tell whether a lasting task's step can spare it now."""
     step = task.step
-    if not step.has_away_limit:
+    if not step.has_not_running_limit:
         return True
     members = job.get_tasks(task.key.occurrence, task.key.step)
     away = sum(not is_at_work(pool, other, now_s) for other in members if other is not task)
-    return away < step.away_max
+    return away < step.not_running_max
 
 
 def is_at_work(pool: PoolJobs, task: Task, now_s: float) -> bool:
@@ -85,7 +85,7 @@
     Of two that are stopped at once either may end first, and the one on the sound host must
     not end while the other one is away.
     """
-    if not task.step.has_away_limit:
+    if not task.step.has_not_running_limit:
         return False
     members = job.get_tasks(task.key.occurrence, task.key.step)
     return any(
--- a/src/robinthread/_internal/models/job_spec.py
+++ b/src/robinthread/_internal/models/job_spec.py
@@ -36,8 +36,8 @@
     image: str = ""
     latency_target_ms: int = 0
     fills_leftover: bool = False
-    away_max: int = 0
-    has_away_limit: bool = False
+    not_running_max: int = 0
+    has_not_running_limit: bool = False
 
     @property
     def room(self) -> Resources:
@@ -94,7 +94,7 @@
     if step.task_count < 1:
         return "a step has a task at least"
     sizes = (step.cpu_millicores, step.memory_mb, step.gpu_count, step.estimate_ms)
-    bounds = (step.per_host_max, step.away_max, step.latency_target_ms)
+    bounds = (step.per_host_max, step.not_running_max, step.latency_target_ms)
     return "a negative size" if min(*sizes, *bounds) < 0 else ""
 
 
--- a/src/robinthread/_internal/models/task_key.py
+++ b/src/robinthread/_internal/models/task_key.py
@@ -20,6 +20,6 @@
         return StepKey(self.job_id, self.occurrence, self.step)
 
     @property
-    def place(self) -> str:
+    def position(self) -> str:
         """Return the task's place within its job as log lines show it."""
         return f"{self.occurrence}.{self.step}.{self.index}"
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -124,7 +124,7 @@
             self._events.write(
                 "stop_unanswered",
                 job=task.job_id,
-                task=task.place,
+                task=task.position,
                 run=run,
                 host=host.id,
                 error=type(error).__name__,
@@ -153,7 +153,7 @@
         self._events.write(
             "run_paced",
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=host.id,
             percent=change.percent,
@@ -169,7 +169,7 @@
         self._events.write(
             "start_dropped",
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=host.id,
             reason="the host has shrunk" if is_over else "its room is not known",
@@ -234,7 +234,7 @@
             self._events.write(
                 "start_unanswered",
                 job=job.id,
-                task=run.task.place,
+                task=run.task.position,
                 run=run.number,
                 host=host.id,
                 error=type(error).__name__,
@@ -252,7 +252,7 @@
             self._events.write(
                 "run_started",
                 job=job.id,
-                task=run.task.place,
+                task=run.task.position,
                 run=run.number,
                 host=host.id,
                 pool=self._runtime.pool,
@@ -281,7 +281,7 @@
         self._events.write(
             "start_rejected",
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=host.id,
             reason=reason,
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -90,7 +90,7 @@
         events.write(
             note.kind.value,
             job=note.task.job_id,
-            task=note.task.place,
+            task=note.task.position,
             pool=pool,
             run=note.run,
             hosts=note.host_ids,
@@ -106,7 +106,7 @@
 def _name_run(run: Run, broke_at_s: float) -> str:
     """Name a run, with how long before its host broke its start was sent."""
     ago_ms = (broke_at_s - (run.sent_at_s or 0.0)) * 1000
-    return f"{run.task.job_id}/{run.task.place}/{run.number} {ago_ms:.1f} ms"
+    return f"{run.task.job_id}/{run.task.position}/{run.number} {ago_ms:.1f} ms"
 
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
--- a/src/robinthread/_internal/node/report_taker.py
+++ b/src/robinthread/_internal/node/report_taker.py
@@ -61,7 +61,7 @@
         self._events.write(
             event,
             job=end.task.job_id,
-            task=end.task.place,
+            task=end.task.position,
             run=end.run,
             host=host.id,
             outcome=end.end.value,
@@ -91,7 +91,7 @@
         self._events.write(
             "unknown_run_stopped",
             job=running.task.job_id,
-            task=running.task.place,
+            task=running.task.position,
             run=running.run,
             host=host.id,
         )
@@ -104,7 +104,7 @@
         self._events.write(
             "run_not_there",
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=run.host_id,
             phase=run.phase.value,
--- a/src/robinthread/_internal/node/run_minder.py
+++ b/src/robinthread/_internal/node/run_minder.py
@@ -69,7 +69,7 @@
         self._runtime.events.write(
             event,
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=run.host_id,
             **fields,
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -303,6 +303,6 @@
         image=step.image,
         latency_target_ms=step.target_ms,
         fills_leftover=step.fills,
-        away_max=step.may_miss or 0,
-        has_away_limit=step.may_miss is not None,
+        not_running_max=step.may_miss or 0,
+        has_not_running_limit=step.may_miss is not None,
     )
--- a/tests/functional/test_room_and_spread.py
+++ b/tests/functional/test_room_and_spread.py
@@ -41,8 +41,8 @@
         memory_mb=100,
         is_lasting=True,
         per_host_max=2,
-        away_max=1,
-        has_away_limit=True,
+        not_running_max=1,
+        has_not_running_limit=True,
     )
 
     def test_pool_grows_to_the_hosts_that_they_must_be_spread_over(self) -> None:
--- a/tests/functional/test_room_on_a_host.py
+++ b/tests/functional/test_room_on_a_host.py
@@ -34,8 +34,8 @@
     memory_mb=17_000,
     is_lasting=True,
     per_host_max=1,
-    away_max=1,
-    has_away_limit=True,
+    not_running_max=1,
+    has_not_running_limit=True,
 )
 WIDE = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000)
 # It fits only where no lasting task is, and leaves room for a wide one.
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -14,7 +14,12 @@
 
 ROOM = Resources(16_000, 32_000, 0)
 LASTING = StepSpec(
-    6, cpu_millicores=1000, is_lasting=True, per_host_max=2, away_max=1, has_away_limit=True
+    6,
+    cpu_millicores=1000,
+    is_lasting=True,
+    per_host_max=2,
+    not_running_max=1,
+    has_not_running_limit=True,
 )
 
 
@@ -65,7 +70,9 @@
 class LastingOnDrainingHostTest(TestCase):
     """One task of a step may be away; an order that ends it on a sound host counts by its end."""
 
-    STEP = StepSpec(2, cpu_millicores=1000, is_lasting=True, away_max=1, has_away_limit=True)
+    STEP = StepSpec(
+        2, cpu_millicores=1000, is_lasting=True, not_running_max=1, has_not_running_limit=True
+    )
 
     def test_sound_host_keeps_its_task_while_another_leaves_a_draining_one(self) -> None:
         for draining, vacating in (("h0", "h1"), ("h1", "h0")):
