--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -27,7 +27,7 @@
 from robinthread._internal.platform.callers import make_callers_application
 from robinthread._internal.platform.hosts import PlatformHosts
 from robinthread._internal.platform.machines import PlatformMachines
-from robinthread._internal.platform.operators import PLATFORM_RECORDS
+from robinthread._internal.platform.platform_records import PLATFORM_RECORDS
 from robinthread._internal.platform.store import PlatformStore
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.telemetry.event_log import EventLog, LineWriter
--- a/src/robinthread/_internal/platform/machines.py
+++ b/src/robinthread/_internal/platform/machines.py
@@ -14,7 +14,7 @@
     MachineRefusedError,
 )
 from robinthread._internal.models.machine import Machine, MachineState
-from robinthread._internal.platform.operators import WireCapacity, get_rack
+from robinthread._internal.platform.platform_records import WireCapacity, parse_rack
 from robinthread._internal.telemetry.call_timer import timed_call
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 from robinthread._internal.utils.http_call import (
@@ -141,7 +141,7 @@
         pool=wire.pool,
         state=STATES.get(wire.state, MachineState.DOWN),
         hall=wire.zone,
-        rack=get_rack(wire.labels),
+        rack=parse_rack(wire.labels),
         kind=wire.labels[0] if wire.labels else "",
         room=wire.capacity.decode(),
         host_id=wire.id or "",
--- a/src/robinthread/_internal/platform/operators.py
+++ b/src/robinthread/_internal/platform/platform_records.py
@@ -129,7 +129,7 @@
         pool=wire.service,
         address=wire.address,
         hall=wire.zone,
-        rack=get_rack(wire.labels),
+        rack=parse_rack(wire.labels),
         room=wire.capacity.decode(),
         labels=frozenset(wire.labels),
         is_draining=wire.state == "draining",
@@ -150,7 +150,7 @@
     return KeyedRecord(f"{WAVE_PREFIX}{wave}", value)
 
 
-def get_rack(labels: list[str]) -> str:
+def parse_rack(labels: list[str]) -> str:
     """Return the rack: labels are the kind, then the rack."""
     return labels[1] if len(labels) > 1 else ""
 
--- a/tests/functional/test_node_stop.py
+++ b/tests/functional/test_node_stop.py
@@ -15,7 +15,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.platform.operators import PLATFORM_RECORDS
+from robinthread._internal.platform.platform_records import PLATFORM_RECORDS
 from robinthread._internal.standins.store_standin import StoreStandin
 from tests.lib.job_platforms import QUEUE
 from tests.lib.store_server import serve_store
--- a/tests/lib/caller_calls.py
+++ b/tests/lib/caller_calls.py
@@ -17,7 +17,7 @@
 from robinthread._internal.node.job_gate import GateOutcome, JobGate, JobTold
 from robinthread._internal.node.open_requests import OpenRequests
 from robinthread._internal.platform.callers import make_callers_application
-from robinthread._internal.platform.operators import parse_config
+from robinthread._internal.platform.platform_records import parse_config
 from robinthread._internal.standins.platform_standin import RECORDS
 from robinthread._internal.telemetry.event_log import EventLog
 
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -22,7 +22,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.platform.hosts import HOST_HEADER
 from robinthread._internal.platform.machines import HOLDER_HEADER, TOKEN_HEADER
-from robinthread._internal.platform.operators import PLATFORM_RECORDS, WAVE_PREFIX
+from robinthread._internal.platform.platform_records import PLATFORM_RECORDS, WAVE_PREFIX
 from robinthread._internal.platform.task_names import format_task, parse_task
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
--- a/tests/unit/test_foreign_records.py
+++ b/tests/unit/test_foreign_records.py
@@ -25,7 +25,7 @@
 from robinthread._internal.node.config_holder import ConfigHolder
 from robinthread._internal.node.group_member import GROUP, get_topic
 from robinthread._internal.node.host_directory import MISSING_GRACE_S, HostDirectory
-from robinthread._internal.platform.operators import (
+from robinthread._internal.platform.platform_records import (
     PLATFORM_RECORDS,
     parse_config,
     parse_host,
