--- a/bench/wave_run.py
+++ b/bench/wave_run.py
@@ -206,6 +206,6 @@
 
 def _list_held(state: FleetState) -> dict[str, bool]:
     return {
-        pool.name: pool.budget.is_held_by(state.iter_pool_hosts(pool.name))
+        pool.name: pool.budget.is_met_by(state.iter_pool_hosts(pool.name))
         for pool in state.pools.values()
     }
--- a/src/robinthread/_internal/commands/demo.py
+++ b/src/robinthread/_internal/commands/demo.py
@@ -160,7 +160,7 @@
     def watch(_: object) -> None:
         nonlocal held
         held = held and all(
-            pool.budget.is_held_by(site.state.iter_pool_hosts(pool.name))
+            pool.budget.is_met_by(site.state.iter_pool_hosts(pool.name))
             for pool in site.state.pools.values()
         )
 
--- a/src/robinthread/_internal/durable/order_records.py
+++ b/src/robinthread/_internal/durable/order_records.py
@@ -32,7 +32,7 @@
     targets: tuple[OrderTarget, ...] = ()
 
     @property
-    def by_machine(self) -> dict[str, OrderTarget]:
+    def targets_by_machine(self) -> dict[str, OrderTarget]:
         """Return what the order of each machine is for."""
         targets = chain(self.targets, repeat(OrderTarget()))
         return dict(zip(self.machines, targets, strict=False))
--- a/src/robinthread/_internal/fold/step.py
+++ b/src/robinthread/_internal/fold/step.py
@@ -37,7 +37,7 @@
     found = state.pools.get(pool)
     if found is None:
         return True
-    return found.budget.is_held_by(host for host in state.hosts.values() if host.pool == pool)
+    return found.budget.is_met_by(host for host in state.hosts.values() if host.pool == pool)
 
 
 def take_back_permits(state: FleetState, pool: str, offset: int) -> FleetState:
--- a/src/robinthread/_internal/models/budget.py
+++ b/src/robinthread/_internal/models/budget.py
@@ -19,7 +19,7 @@
     per_hall_hosts: dict[str, int] = field(default_factory=dict)
     per_rack_hosts: dict[str, int] = field(default_factory=dict)
 
-    def is_held_by(self, hosts: Iterable[Host]) -> bool:
+    def is_met_by(self, hosts: Iterable[Host]) -> bool:
         """Tell whether the serving ones among ``hosts`` hold the budget."""
         serving = [host for host in hosts if host.is_serving]
         return (
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -96,7 +96,7 @@
         now_s = get_loop_s()
         for record in records:
             try:
-                self._targets |= parse_orders_record(record).by_machine
+                self._targets |= parse_orders_record(record).targets_by_machine
             except msgspec.MsgspecError as error:
                 self._events.write("record_malformed", key=record.key, error=str(error))
         self._paused_until_s = dict.fromkeys(self._targets, now_s + self._wait_s)
--- a/src/robinthread/_internal/operators/preview_call.py
+++ b/src/robinthread/_internal/operators/preview_call.py
@@ -72,7 +72,7 @@
     def may_leave(names: frozenset[str]) -> bool:
         if found is None:
             return True
-        return found.budget.is_held_by(host for host in members if host.name not in names)
+        return found.budget.is_met_by(host for host in members if host.name not in names)
 
     def list_residuals(name: str) -> list[float]:
         slots = dispatcher.hosts.get(name) if dispatcher else None
--- a/src/robinthread/_internal/operators/status_call.py
+++ b/src/robinthread/_internal/operators/status_call.py
@@ -52,7 +52,7 @@
     return pb.PoolStatus(
         name=pool.name,
         version=pool.version,
-        is_budget_held=pool.budget.is_held_by(hosts),
+        is_budget_held=pool.budget.is_met_by(hosts),
         hosts=len(hosts),
         serving=phases[HostPhase.SERVING],
         away=sum(phases[phase] for phase in AWAY_PHASES),
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -242,7 +242,7 @@
     found = state.pools.get(pool)
     if found is None:
         return True
-    return found.budget.is_held_by(
+    return found.budget.is_met_by(
         host for host in state.iter_pool_hosts(pool) if host.name not in names
     )
 
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -37,7 +37,7 @@
             held = []
             daemon.follower.watch(
                 lambda folded: held.append(
-                    daemon.state.pools[POOL].budget.is_held_by(daemon.state.iter_pool_hosts(POOL))
+                    daemon.state.pools[POOL].budget.is_met_by(daemon.state.iter_pool_hosts(POOL))
                 )
             )
             hosts = tuple(daemon.state.hosts)
--- a/tests/unit/test_fold_random.py
+++ b/tests/unit/test_fold_random.py
@@ -45,7 +45,7 @@
 
 
 def is_held(state: FleetState) -> bool:
-    return state.pools["p"].budget.is_held_by(state.iter_pool_hosts("p"))
+    return state.pools["p"].budget.is_met_by(state.iter_pool_hosts("p"))
 
 
 class RandomFoldTest(TestCase):
--- a/tests/unit/test_spec_replay.py
+++ b/tests/unit/test_spec_replay.py
@@ -105,7 +105,7 @@
 
     def _is_held(self, fold: Fold) -> bool:
         state = fold.folder.state
-        return state.pools["p"].budget.is_held_by(state.iter_pool_hosts("p"))
+        return state.pools["p"].budget.is_met_by(state.iter_pool_hosts("p"))
 
 
 class MembershipReplayTest(TestCase):
