--- a/bench/job_slopes.py
+++ b/bench/job_slopes.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from robinthread._internal.durable.inbox_records import make_job_record
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import encode_progress
@@ -27,7 +27,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
-ROOM: Final = Resources(16_000, 32_000, 0)
+HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 TASKS_PER_JOB: Final = 10
 # Hosts of a pool, and jobs that come while one round of tasks runs: 22 is letter 1's
 # mean pool (3,200 hosts, 144 pools).
@@ -45,7 +45,9 @@
 def _measure(host_count: int, job_count: int) -> None:
     pool = PoolJobs()
     for number in range(host_count):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     specs = [_make_spec(number) for number in range(job_count)]
     task_count = job_count * TASKS_PER_JOB
@@ -54,13 +56,13 @@
     with _timed("take a job in", job_count):
         for number, spec in enumerate(specs):
             job = pool.add_job(spec, policy, number, 0.0)
-            pool.open_due(job, 0)
+            pool.queue_due_tasks(job, 0)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     with _timed("place a task", task_count):
         placed = place_waiting(pool, 0.0, 0)
     with _timed("read a pool's demand", 1):
-        DemandMeter(1.8, DemandPolicy()).read(pool, 0.5, 0)
+        DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.5, 0)
     with _timed("look for stragglers", 1):
         find_stragglers(pool)
     with _timed("encode a job's progress", job_count):
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -6,14 +6,14 @@
 
 from robinthread._internal.durable.inbox_records import (
     JobCancelled,
-    JobHandedIn,
+    JobSubmitted,
     RecordDropped,
     parse_inbox_record,
 )
 from robinthread._internal.durable.share_meter import ShareMeter
 from robinthread._internal.durable.store import KeyedRecord
 from robinthread._internal.models.job_spec import JobSpec
-from robinthread._internal.models.workspace_policy import may_touch
+from robinthread._internal.models.workspace_policy import may_access
 from robinthread._internal.telemetry.event_log import EventLog
 
 
@@ -49,13 +49,13 @@
         self._listeners: list[Listener] = []
         self._events = events
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` for all jobs known and to come."""
         self._listeners.append(listener)
         for job in list(self.jobs.values()):
             listener(job)
 
-    def unlisten(self, listener: Listener) -> None:
+    def unsubscribe(self, listener: Listener) -> None:
         """Call ``listener`` no more."""
         self._listeners.remove(listener)
 
@@ -75,7 +75,7 @@
 
     def _apply_one(self, record: KeyedRecord) -> None:
         match parse_inbox_record(record):
-            case JobHandedIn(key, spec):
+            case JobSubmitted(key, spec):
                 self._add(key, spec, record.offset)
             case JobCancelled() as cancelled:
                 self._cancel(cancelled)
@@ -91,7 +91,7 @@
         job = self.jobs[spec.job_id] = IndexedJob(spec, offset, is_beyond)
         job.keys.add(key)
         ahead = self._cancelled_ahead.pop(spec.job_id, ())
-        job.is_cancelled = any(may_touch(one.workspace, spec.workspace) for one in ahead)
+        job.is_cancelled = any(may_access(one.workspace, spec.workspace) for one in ahead)
         self._tell(job)
 
     def _cancel(self, cancelled: JobCancelled) -> None:
@@ -100,7 +100,7 @@
             self._cancelled_ahead.setdefault(cancelled.job_id, []).append(cancelled)
             return
         job.keys.add(cancelled.key)
-        if not job.is_cancelled and may_touch(cancelled.workspace, job.spec.workspace):
+        if not job.is_cancelled and may_access(cancelled.workspace, job.spec.workspace):
             job.is_cancelled = True
             self._tell(job)
 
--- a/src/robinthread/_internal/fleet/fleet_view.py
+++ b/src/robinthread/_internal/fleet/fleet_view.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport
 from robinthread._internal.fleet.sizing import PoolSize
 from robinthread._internal.models.machine import Machine, MachineState
 
@@ -12,7 +12,7 @@
     """A maintenance wave: what is left of it and how many may begin now.
 
     Of its ``machines``, ``pending`` are those whose upkeep has not begun, and ``down`` those that
-    are down or may be, the latter ``doubtful``.  Of the pending ones, an earlier steward ordered
+    are down or may be, the latter ``unconfirmed``.  Of the pending ones, an earlier steward ordered
     the ``unsettled``: they count as down, and may be ordered all the same, which settles them.
     """
 
@@ -23,7 +23,7 @@
     down: frozenset[str]
     left_s: float
     unsettled: frozenset[str] = frozenset()
-    doubtful: frozenset[str] = frozenset()
+    unconfirmed: frozenset[str] = frozenset()
 
     @property
     def free_slots(self) -> int:
@@ -48,11 +48,11 @@
     arriving: tuple[Machine, ...] = ()
 
     @property
-    def hosts(self) -> tuple[HostStanding, ...]:
+    def hosts(self) -> tuple[HostStatus, ...]:
         """Return the standing of the hosts that are still lives of their machines."""
         return tuple(host for host in self.report.hosts if self._is_current(host))
 
-    def _is_current(self, host: HostStanding) -> bool:
+    def _is_current(self, host: HostStatus) -> bool:
         machine = self.machines.get(host.machine)
         return (
             machine is not None
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -18,16 +18,16 @@
 class PoolSize:
     """Hosts below which a pool fetches more, and above which it lets some go.
 
-    ``lack_count`` hosts are to come in any case, for tasks that fit on none that is there.
+    ``shortage_count`` hosts are to come in any case, for tasks that fit on none that is there.
     """
 
     fetch_count: int
     keep_count: int
-    lack_count: int = 0
+    shortage_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class HostRanks:
+class HostTiers:
     """Hosts that a pool needs, each count within the next one.
 
     ``least_count`` for what lasts, ``urgent_count`` with jobs that can be on time, and
@@ -46,22 +46,26 @@
     lasting ones are kept on top of those that the lasting ones need, and what carries
     lasting tasks is kept while hosts are missing for more of these.
     """
-    fetch_count = max(report.hosts_min, _count_hosts(report.fetch_room, room))
+    fetch_count = max(report.hosts_min, _count_hosts(report.fetch_resources, room))
     keep_count = max(
         fetch_count,
-        _count_hosts(report.keep_room, room),
+        _count_hosts(report.keep_resources, room),
         _count_apart(report, room),
         _count_least(report, room),
     )
-    return PoolSize(fetch_count, keep_count, sum(lack.count for lack in report.lacks))
+    return PoolSize(fetch_count, keep_count, sum(lack.count for lack in report.shortages))
 
 
-def get_host_ranks(report: PoolReport, size: PoolSize, room: Resources) -> HostRanks:
+def get_host_tiers(report: PoolReport, size: PoolSize, room: Resources) -> HostTiers:
     """Return how many hosts of ``room`` a pool of such a size needs, by what for."""
-    urgent_room = report.keep_room if report.urgent_room is None else report.urgent_room
+    urgent_resources = (
+        report.keep_resources if report.urgent_resources is None else report.urgent_resources
+    )
     least_count = _count_least(report, room)
-    urgent_count = max(least_count, _count_hosts(urgent_room, room), _count_apart(report, room))
-    return HostRanks(least_count, min(urgent_count, size.keep_count), size.keep_count)
+    urgent_count = max(
+        least_count, _count_hosts(urgent_resources, room), _count_apart(report, room)
+    )
+    return HostTiers(least_count, min(urgent_count, size.keep_count), size.keep_count)
 
 
 def _count_least(report: PoolReport, room: Resources) -> int:
@@ -76,17 +80,17 @@
 
 def _count_apart(report: PoolReport, room: Resources) -> int:
     """Return how many hosts are needed for lasting tasks, and beside these for wide ones."""
-    lack_count = sum(lack.count for lack in report.lacks)
-    apart_count = report.apart_count + lack_count - _count_lasting_lack(report)
-    return _count_lasting(report, room) + apart_count
+    shortage_count = sum(lack.count for lack in report.shortages)
+    separate_host_count = report.separate_host_count + shortage_count - _count_lasting_lack(report)
+    return _count_lasting(report, room) + separate_host_count
 
 
 def _count_lasting(report: PoolReport, room: Resources) -> int:
-    return max(report.hosts_min, _count_full_hosts(report.lasting_room, room))
+    return max(report.hosts_min, _count_full_hosts(report.lasting_resources, room))
 
 
 def _count_lasting_lack(report: PoolReport) -> int:
-    return sum(lack.count for lack in report.lacks if lack.is_lasting)
+    return sum(lack.count for lack in report.shortages if lack.is_lasting)
 
 
 def _count_hosts(needs: tuple[int, int, int], room: Resources) -> int:
--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -7,19 +7,23 @@
 from functools import reduce
 from typing import Final
 
+from robinthread._internal.jobs.host_requirements import (
+    HostRequirements,
+    StepDemand,
+    find_host_requirements,
+)
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.job_timing import (
     StepForecast,
-    get_chain_s,
+    estimate_work,
+    get_critical_path_s,
     get_slack_s,
-    get_work,
     iter_forecasts,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
-from robinthread._internal.jobs.room_need import RoomNeed, StepNeed, find_room_need
+from robinthread._internal.jobs.resource_vector import ZERO_VECTOR, ResourceVector, as_vector
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.waiting_steps import WaitingStep, list_waiting_steps
-from robinthread._internal.jobs.work import NO_WORK, Work, as_work
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
@@ -47,7 +51,7 @@
 
     Of the latter, ``urgent`` is without jobs that can no longer be on time.  Whatever the room,
     ``hosts_min`` hosts are needed for tasks that may not share one.  ``lasting`` is the part of
-    the room that lasting tasks take.  ``on_hosts`` tells what is needed for tasks that do not
+    the room that lasting tasks take.  ``host_requirements`` are those of tasks that do not
     fit on every host.
     """
 
@@ -56,10 +60,10 @@
     urgent: Resources
     hosts_min: int
     lasting: Resources
-    on_hosts: RoomNeed
+    host_requirements: HostRequirements
 
 
-class DemandMeter:
+class DemandForecaster:
     """Forecasts a pool's need from the jobs it has and those that should arrive.
 
     ``lead_s`` is how long a host takes from being asked for to its first task.
@@ -69,21 +73,21 @@
         self._lead_s = lead_s
         self._policy = policy
         self._arrivals_s: deque[float] = deque()
-        self._mean_work: Work | None = None
+        self._mean_work: ResourceVector | None = None
         self._mean_chain_s = 0.0
 
-    def note_job(self, job: Job, times: RunTimes, now_s: float) -> None:
+    def record_job(self, job: Job, times: RunTimes, now_s: float) -> None:
         """Note a job that was handed in."""
         if job.spec.is_lasting or job.spec.is_timed:
             return
-        work, chain_s = get_work(job, times), get_chain_s(job, times)
+        work, chain_s = estimate_work(job, times), get_critical_path_s(job, times)
         if self._mean_work is None:
             self._mean_work, self._mean_chain_s = work, chain_s
         self._mean_work = self._mean_work.scale(1 - WORK_WEIGHT) + work.scale(WORK_WEIGHT)
         self._mean_chain_s += WORK_WEIGHT * (chain_s - self._mean_chain_s)
         self._arrivals_s.append(now_s)
 
-    def read(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
+    def forecast(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
         """Return what the pool's tasks need."""
         late = _find_late(pool, now_ms)
         lasting = _sum_lasting(pool)
@@ -91,14 +95,14 @@
         steps = [
             step
             for step in list_waiting_steps(pool)
-            if (step.spec.is_gang or not step.job.blamed) and not _is_held_back(pool, step.job)
+            if (step.spec.is_gang or not step.job.culprits) and not _is_held_back(pool, step.job)
         ]
         needs = [self._get_need(pool, step, late) for step in steps]
         arriving = self._get_arriving_work(now_s)
         in_time, too_late = self._forecast_all(pool, late, now_s)
         waiting_in_time, waiting_late = _sum_waiting(pool, steps, late)
         share = self._policy.late_share
-        late_forecasts = [replace(step, room=step.room.scale(share)) for step in too_late]
+        late_forecasts = [replace(step, resources=step.resources.scale(share)) for step in too_late]
         fetch, keep = self._get_rooms(
             [*in_time, *late_forecasts], waiting_in_time + waiting_late.scale(share), arriving
         )
@@ -110,12 +114,12 @@
             (urgent + lasting).round(),
             _count_hosts_for_lasting(pool),
             lasting.round(),
-            find_room_need(pool, needs, now_s) if needs else RoomNeed(),
+            find_host_requirements(pool, needs, now_s) if needs else HostRequirements(),
         )
 
     def _get_rooms(
-        self, forecasts: Sequence[StepForecast], waiting: Work, arriving: Work
-    ) -> tuple[Work, Work]:
+        self, forecasts: Sequence[StepForecast], waiting: ResourceVector, arriving: ResourceVector
+    ) -> tuple[ResourceVector, ResourceVector]:
         """Return the room to fetch hosts for, and the room to keep them for."""
         soon = self._forecast(forecasts, arriving, self._lead_s).scale(1 + HEADROOM_SHARE)
         fetch = keep = soon + waiting.scale(1 / DRAIN_S)
@@ -123,11 +127,15 @@
             keep = keep.max(self._forecast(forecasts, arriving, ahead_s))
         return fetch, keep
 
-    def _forecast(self, forecasts: Iterable[StepForecast], arriving: Work, ahead_s: float) -> Work:
+    def _forecast(
+        self, forecasts: Iterable[StepForecast], arriving: ResourceVector, ahead_s: float
+    ) -> ResourceVector:
         """Return the room that all tasks would take ``ahead_s`` from now, given room."""
-        known = (step.room for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s)
+        known = (
+            step.resources for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s
+        )
         begun_share = min(1.0, ahead_s / self._mean_chain_s) if self._mean_chain_s else 0.0
-        return sum(known, start=NO_WORK) + arriving.scale(begun_share)
+        return sum(known, start=ZERO_VECTOR) + arriving.scale(begun_share)
 
     def _forecast_all(
         self, pool: PoolJobs, late: frozenset[Place], now_s: float
@@ -136,7 +144,7 @@
         in_time: list[StepForecast] = []
         too_late: list[StepForecast] = []
         for job in pool.jobs.values():
-            if job.status.is_final or job.spec.is_lasting or job.blamed:
+            if job.status.is_final or job.spec.is_lasting or job.culprits:
                 continue
             if _is_held_back(pool, job) and not any(job.iter_running()):
                 continue
@@ -145,23 +153,23 @@
                 found += iter_forecasts(job, occurrence, pool.run_times, now_s)
         return in_time, too_late
 
-    def _get_need(self, pool: PoolJobs, step: WaitingStep, late: frozenset[Place]) -> StepNeed:
+    def _get_need(self, pool: PoolJobs, step: WaitingStep, late: frozenset[Place]) -> StepDemand:
         """Return how many tasks of a step should run at a time for all to begin in time."""
         count = step.task_count - step.copy_count
         if step.spec.is_lasting:
-            return StepNeed(step, count)
+            return StepDemand(step, count)
         if step.spec.is_gang:
             # It begins whole or not at all, however late it is.
-            return StepNeed(step, count)
+            return StepDemand(step, count)
         takes_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
         share = self._get_share((step.job.id, step.occurrence), late)
-        return StepNeed(step, share * count * min(1.0, takes_s / DRAIN_S))
+        return StepDemand(step, share * count * min(1.0, takes_s / DRAIN_S))
 
     def _get_share(self, place: Place, late: frozenset[Place]) -> float:
         """Return the share of an occurrence's room for which to ask for hosts."""
         return self._policy.late_share if place in late else 1.0
 
-    def _get_arriving_work(self, now_s: float) -> Work:
+    def _get_arriving_work(self, now_s: float) -> ResourceVector:
         """Return the room that jobs of usual size need at the rate they arrive at.
 
         One large job tells nothing of the next: it is counted where its tasks are.
@@ -169,7 +177,7 @@
         while self._arrivals_s and now_s - self._arrivals_s[0] > 2 * RATE_WINDOW_S:
             self._arrivals_s.popleft()
         if self._mean_work is None:
-            return NO_WORK
+            return ZERO_VECTOR
         return self._mean_work.scale(self._get_rate_per_s(now_s))
 
     def _get_rate_per_s(self, now_s: float) -> float:
@@ -193,25 +201,25 @@
 
 def _sum_waiting(
     pool: PoolJobs, steps: Iterable[WaitingStep], late: frozenset[Place]
-) -> tuple[Work, Work]:
+) -> tuple[ResourceVector, ResourceVector]:
     """Sum the work of the tasks that wait for a host: of jobs in time, and of late ones."""
-    sums = {False: NO_WORK, True: NO_WORK}
+    sums = {False: ZERO_VECTOR, True: ZERO_VECTOR}
     for step in steps:
         if not step.spec.is_lasting:
             takes_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
             is_late = (step.job.id, step.occurrence) in late
-            sums[is_late] += as_work(step.spec.room).scale(step.task_count * takes_s)
+            sums[is_late] += as_vector(step.spec.resources).scale(step.task_count * takes_s)
     return sums[False], sums[True]
 
 
-def _get_widest_gang(steps: Iterable[WaitingStep]) -> Work:
+def _get_widest_gang(steps: Iterable[WaitingStep]) -> ResourceVector:
     """Return the room that the widest waiting gang that ends needs at once, late or not."""
     rooms = (
-        as_work(step.spec.room).scale(step.task_count)
+        as_vector(step.spec.resources).scale(step.task_count)
         for step in steps
         if step.spec.is_gang and not step.spec.is_lasting
     )
-    return reduce(Work.max, rooms, NO_WORK)
+    return reduce(ResourceVector.max, rooms, ZERO_VECTOR)
 
 
 def _find_late(pool: PoolJobs, now_ms: int) -> frozenset[Place]:
@@ -237,13 +245,13 @@
     return max(counts, default=0)
 
 
-def _sum_lasting(pool: PoolJobs) -> Work:
+def _sum_lasting(pool: PoolJobs) -> ResourceVector:
     """Sum the room of all lasting tasks."""
     rooms = (
-        step.room.scale(step.task_count)
+        step.resources.scale(step.task_count)
         for job in pool.jobs.values()
         if not job.status.is_final
         for step in job.spec.steps
         if step.is_lasting
     )
-    return as_work(sum(rooms, start=NO_RESOURCES))
+    return as_vector(sum(rooms, start=NO_RESOURCES))
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -3,9 +3,14 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, replace
 
-from robinthread._internal.jobs.blame import add_crash, set_crashes
-from robinthread._internal.jobs.crash_book import RACK_LOST_WITHIN_S, LostHost
-from robinthread._internal.jobs.crashes import INNOCENT_S, START_S, UNKNOWN_AGE_MS, Crash
+from robinthread._internal.jobs.crash_attribution import add_crash, set_crashes
+from robinthread._internal.jobs.crash_tracker import RACK_LOST_WITHIN_S, LostHost
+from robinthread._internal.jobs.crashes import (
+    EXONERATED_AFTER_S,
+    STARTUP_WINDOW_S,
+    UNKNOWN_AGE_MS,
+    Crash,
+)
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
@@ -21,7 +26,7 @@
     age_s: float | None
 
 
-def note_crashed(
+def record_host_crash(
     pool: PoolJobs,
     host: Host,
     now_s: float,
@@ -37,36 +42,36 @@
         pool.remove_host(host.id, now_ms, carried, successor)
         return
     at_s = host.get_lost_at_s()
-    found = [*pool.crash_book.take_lapsed(host.id), *_find_crashes(pool, host, at_s)]
-    record, ran_anything = host.record, bool(found or host.runs)
-    pool.crash_book.note_lost(LostHost(host.id, record.machine, record.rack, at_s, ran_anything))
+    found = [*pool.crash_tracker.pop_lapsed(host.id), *_find_crashes(pool, host, at_s)]
+    record, had_runs = host.record, bool(found or host.runs)
+    pool.crash_tracker.record_loss(LostHost(host.id, record.machine, record.rack, at_s, had_runs))
     _end_trials(pool, found, now_s)
     pool.remove_host(host.id, now_ms, carried, successor)
     for task, crash in found:
         add_crash(pool, task, crash, now_ms)
 
 
-def note_lapsed(pool: PoolJobs, host: Host, now_s: float, now_ms: int) -> None:
+def record_host_lapse(pool: PoolJobs, host: Host, now_s: float, now_ms: int) -> None:
     """Note that nothing runs any more on a host that does not answer.
 
     Whether it crashed is not known.  Where a connection to it broke that is likely, so that its
     tasks are suspect at once; they are to blame only once it is sure.
     """
     if not pool.policy.isolates_crashing_tasks:
-        pool.lapse_host(host, now_ms)
+        pool.end_host_runs(host, now_ms)
         return
     found = _find_crashes(pool, host, host.get_lost_at_s())
-    pool.crash_book.note_lapsed(host.id, found)
+    pool.crash_tracker.record_host_lapse(host.id, found)
     _end_trials(pool, found, now_s)
-    pool.lapse_host(host, now_ms)
-    if host.broken_at_s is not None:
+    pool.end_host_runs(host, now_ms)
+    if host.connection_broken_at_s is not None:
         for task, crash in found:
-            add_crash(pool, task, replace(crash, is_sure=False), now_ms)
+            add_crash(pool, task, replace(crash, is_confirmed=False), now_ms)
 
 
 def withdraw_lapsed(pool: PoolJobs, host: Host) -> None:
     """Note that a host answers again: it has not crashed."""
-    for task, crash in pool.crash_book.take_lapsed(host.id):
+    for task, crash in pool.crash_tracker.pop_lapsed(host.id):
         if task.key.job_id in pool.jobs and crash.host_id in {
             each.host_id for each in task.crashes
         }:
@@ -75,10 +80,10 @@
 
 
 def _end_trials(pool: PoolJobs, found: Iterable[tuple[Task, Crash]], now_s: float) -> None:
-    trials = pool.crash_book.trials
+    trials = pool.crash_tracker.trials
     for task, crash in found:
-        if trials.is_run_of(task.key, crash.run):
-            trials.note_lost(now_s)
+        if trials.is_trial_run(task.key, crash.run):
+            trials.record_loss(now_s)
             trials.drop(task.key)
 
 
@@ -89,7 +94,7 @@
     return [
         (lost.counted, _judge(pool, host, lost, lost_runs, is_rack_lost))
         for lost in lost_runs
-        if lost.age_s is None or lost.age_s < INNOCENT_S
+        if lost.age_s is None or lost.age_s < EXONERATED_AFTER_S
     ]
 
 
@@ -97,28 +102,30 @@
     pool: PoolJobs, host: Host, lost: _Lost, lost_runs: Iterable[_Lost], is_rack_lost: bool
 ) -> Crash:
     others = [other for other in lost_runs if other.counted is not lost.counted]
-    is_close = host.broken_at_s is not None and (lost.age_s or 0.0) < START_S
-    trial = pool.crash_book.trials.get(lost.counted.key)
-    is_sure = False
+    is_near_start = (
+        host.connection_broken_at_s is not None and (lost.age_s or 0.0) < STARTUP_WINDOW_S
+    )
+    trial = pool.crash_tracker.trials.get(lost.counted.key)
+    is_confirmed = False
     if trial is not None and trial.run == lost.run.number:
-        is_sure = (is_close and _are_all_older(others, START_S)) or (
-            trial.is_alone and _are_all_older(others, INNOCENT_S)
+        is_confirmed = (is_near_start and _are_all_older(others, STARTUP_WINDOW_S)) or (
+            trial.is_alone and _are_all_older(others, EXONERATED_AFTER_S)
         )
     if lost.run.is_inherited and lost.run.is_alone:
-        is_sure = _are_all_older(others, INNOCENT_S)
+        is_confirmed = _are_all_older(others, EXONERATED_AFTER_S)
     # Of a rack's loss, no run is suspect; that a trial was hit by chance, one crash may say.
-    is_close = is_close and (is_sure or not is_rack_lost)
+    is_near_start = is_near_start and (is_confirmed or not is_rack_lost)
     # What was there before this owner came may have been there for longer than it saw.
     is_age_known = lost.age_s is not None and not lost.run.is_inherited
     age_ms = round((lost.age_s or 0.0) * 1000) if is_age_known else UNKNOWN_AGE_MS
-    return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_close, is_sure)
+    return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_near_start, is_confirmed)
 
 
 def _iter_lost(pool: PoolJobs, host: Host, at_s: float) -> Iterator[_Lost]:
     for run in host.runs.values():
         is_unsent = run.sent_at_s is None and not run.is_inherited
         if run.phase is not RunPhase.RECORDING and not is_unsent:
-            yield _Lost(run, pool.get_counted(run), run.get_age_s(at_s))
+            yield _Lost(run, pool.get_crash_task(run), run.get_age_s(at_s))
 
 
 def _are_all_older(others: Iterable[_Lost], age_s: float) -> bool:
@@ -136,7 +143,7 @@
     ]
     if any(other.contact is HostContact.ANSWERING for other in others):
         return False
-    return pool.crash_book.was_rack_lost(rack, at_s) or any(
+    return pool.crash_tracker.was_rack_lost(rack, at_s) or any(
         other.contact is HostContact.SILENT
         and abs(other.get_lost_at_s() - at_s) <= RACK_LOST_WITHIN_S
         for other in others
--- a/src/robinthread/_internal/jobs/room_need.py
+++ b/src/robinthread/_internal/jobs/host_requirements.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StepNeed:
+class StepDemand:
     """A step of which tasks wait, and how many should run at a time."""
 
     waiting: WaitingStep
@@ -46,20 +46,20 @@
     """
 
     count: int
-    room: Resources
+    resources: Resources
     label: str
     is_lasting: bool
 
 
 @dataclass(frozen=True, slots=True)
-class RoomNeed:
+class HostRequirements:
     """The pool's hosts that tasks wait for which do not fit on all, and hosts it lacks.
 
-    ``apart_count`` of the hosts are needed by tasks that end and carry no lasting ones.
+    ``separate_host_count`` of the hosts are needed by tasks that end and carry no lasting ones.
     """
 
     host_ids: frozenset[str] = frozenset()
-    apart_count: int = 0
+    separate_host_count: int = 0
     missing: tuple[MissingHosts, ...] = ()
 
 
@@ -68,7 +68,7 @@
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.room = host.room_beside_lasting
+        self.free = host.capacity_beside_lasting
         self.share = 1.0
         self.is_needed = False
 
@@ -78,10 +78,12 @@
     """Hosts that are missing, as a real number."""
 
     hosts: float = 0.0
-    room: Resources = field(default=NO_RESOURCES)
+    resources: Resources = field(default=NO_RESOURCES)
 
 
-def find_room_need(pool: PoolJobs, needs: Iterable[StepNeed], now_s: float) -> RoomNeed:
+def find_host_requirements(
+    pool: PoolJobs, needs: Iterable[StepDemand], now_s: float
+) -> HostRequirements:
     """Return the hosts for tasks that do not fit on every host.
 
     What ends leaves its room to others: a host that is full now counts by what it has
@@ -91,12 +93,12 @@
     hosts = [*get_willing_hosts(pool, now_s), *_list_awaited(pool, now_s)]
     serving = [host for host in hosts if not host.is_vacating(now_s)]
     if not serving:
-        return RoomNeed()
-    common = reduce(Resources.min, (host.room_beside_lasting for host in serving))
+        return HostRequirements()
+    common = reduce(Resources.min, (host.capacity_beside_lasting for host in serving))
     narrow = [need for need in needs if not _fits_everywhere(need.spec, common)]
     if not narrow:
-        return RoomNeed()
-    largest = max((host.record.room for host in hosts), key=lambda room: room.cpu_millicores)
+        return HostRequirements()
+    largest = max((host.record.capacity for host in hosts), key=lambda room: room.cpu_millicores)
     narrow.sort(key=lambda need: _get_width(need.spec, largest), reverse=True)
     spaces = [_Space(host) for host in sorted(hosts, key=lambda host: _get_order(host, now_s))]
     lacks: dict[tuple[str, bool], _Lack] = defaultdict(_Lack)
@@ -105,14 +107,18 @@
         if left > SHARE_MIN:
             lack = lacks[need.spec.required_label, need.spec.is_lasting]
             lack.hosts += left / max(1, _count_slots(need.spec, largest))
-            lack.room = lack.room.max(need.spec.room)
+            lack.resources = lack.resources.max(need.spec.resources)
     missing = (
-        MissingHosts(math.ceil(lack.hosts - SHARE_MIN), lack.room, label, is_lasting)
+        MissingHosts(math.ceil(lack.hosts - SHARE_MIN), lack.resources, label, is_lasting)
         for (label, is_lasting), lack in lacks.items()
     )
     needed = [space for space in spaces if space.is_needed]
-    apart_count = sum(space.share < 1.0 and not space.host.lasting_count for space in needed)
-    return RoomNeed(frozenset(space.host.id for space in needed), apart_count, tuple(missing))
+    separate_host_count = sum(
+        space.share < 1.0 and not space.host.lasting_count for space in needed
+    )
+    return HostRequirements(
+        frozenset(space.host.id for space in needed), separate_host_count, tuple(missing)
+    )
 
 
 def _list_awaited(pool: PoolJobs, now_s: float) -> list[Host]:
@@ -120,15 +126,15 @@
 
 
 def _fits_everywhere(step: StepSpec, common: Resources) -> bool:
-    return not step.required_label and not step.per_host_max and step.room.fits_in(common)
+    return not step.required_label and not step.per_host_max and step.resources.fits_in(common)
 
 
 def _get_width(step: StepSpec, room: Resources) -> tuple[bool, float]:
     """Order steps: those that keep their room first, then the widest."""
     shares = (
-        step.room.cpu_millicores / max(1, room.cpu_millicores),
-        step.room.memory_mb / max(1, room.memory_mb),
-        step.room.gpu_count / max(1, room.gpu_count),
+        step.resources.cpu_millicores / max(1, room.cpu_millicores),
+        step.resources.memory_mb / max(1, room.memory_mb),
+        step.resources.gpu_count / max(1, room.gpu_count),
     )
     return (step.is_lasting, max(shares))
 
@@ -140,24 +146,24 @@
     return (False, -host.lasting_count, -len(host.runs), host.id)
 
 
-def _fill(need: StepNeed, spaces: Sequence[_Space]) -> float:
+def _fill(need: StepDemand, spaces: Sequence[_Space]) -> float:
     """Give a step's tasks room, and note where; return how many are left."""
-    step, room, left = need.spec, need.spec.room, need.parallel
+    step, room, left = need.spec, need.spec.resources, need.parallel
     counts = _count_lasting_runs(need.waiting)
     for space in spaces:
         if left <= SHARE_MIN:
             break
-        if not room.fits_in(space.room):
+        if not room.fits_in(space.free):
             continue
         if step.required_label and step.required_label not in space.host.record.labels:
             continue
-        slots = _count_slots(step, space.room, counts[space.host.id])
+        slots = _count_slots(step, space.free, counts[space.host.id])
         taken = min(left, slots * space.share)
         if taken <= SHARE_MIN:
             continue
         if step.is_lasting:
             taken = min(slots, math.ceil(left - SHARE_MIN))
-            space.room -= room.scale(taken)
+            space.free -= room.scale(taken)
         else:
             space.share -= taken / slots
         space.is_needed = True
@@ -168,7 +174,7 @@
 def _count_slots(step: StepSpec, room: Resources, present_count: int = 0) -> int:
     """Return how many tasks of a step fit in a room beside those that stay there."""
     limit = step.per_host_max - present_count if step.per_host_max else step.task_count
-    return max(0, min(limit, room.count(step.room)))
+    return max(0, min(limit, room.count(step.resources)))
 
 
 def _count_lasting_runs(waiting: WaitingStep) -> Counter[str]:
--- a/src/robinthread/_internal/jobs/host_succession.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -4,13 +4,13 @@
 from collections.abc import Collection
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_loss import note_crashed
-from robinthread._internal.jobs.late_starts import RunKey
+from robinthread._internal.jobs.host_loss import record_host_crash
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
+from robinthread._internal.jobs.unconfirmed_starts import RunKey
 
 
-def end_former(
+def end_previous_incarnation(
     pool: PoolJobs,
     former: Host,
     host: Host,
@@ -29,9 +29,9 @@
     carried = [
         run for run in former.runs.values() if _may_be_carried_out(pool, run, present, asked_at_s)
     ]
-    was_known = former.contact is not HostContact.UNHEARD or bool(former.runs)
-    if was_known and not former.was_to_end():
-        note_crashed(pool, former, now_s, now_ms, carried, host)
+    was_known = former.contact is not HostContact.NOT_CONTACTED or bool(former.runs)
+    if was_known and not former.was_expected_to_end():
+        record_host_crash(pool, former, now_s, now_ms, carried, host)
     else:
         pool.remove_host(former.id, now_ms, carried, host)
     for run in carried:
@@ -45,7 +45,7 @@
     pool.remove_host(unnamed.id, 0, list(unnamed.runs.values()), host)
 
 
-def find_lives(pool: PoolJobs, host_id: str) -> list[Host]:
+def find_incarnations(pool: PoolJobs, host_id: str) -> list[Host]:
     """Return the lives of a host that are not known to have ended."""
     return [host for host in pool.hosts.values() if host.record.id == host_id]
 
@@ -65,5 +65,5 @@
     if run.phase is RunPhase.RECORDING:
         return False
     host_id = pool.hosts[run.host_id].record.id
-    is_open = pool.late_starts.is_open(host_id, run.key)
+    is_open = pool.unconfirmed_starts.is_open(host_id, run.key)
     return run.key in present or is_open or run.settled_at_s >= asked_at_s
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -5,8 +5,8 @@
 from typing import Final
 
 from robinthread._internal.jobs.job import Job
+from robinthread._internal.jobs.resource_vector import ResourceVector, as_vector
 from robinthread._internal.jobs.run_times import RunTimes
-from robinthread._internal.jobs.work import Work, as_work
 
 # Least time that a step counts as taking that should have ended by now.
 OVERDUE_S: Final = 0.2
@@ -18,25 +18,27 @@
 
     begins_in_s: float
     ends_in_s: float
-    room: Work
+    resources: ResourceVector
 
 
 def get_slack_s(job: Job, occurrence: int, times: RunTimes, now_ms: int) -> float:
     """Return how long an occurrence may still wait and be on time; negative if late."""
     began_ms = job.get_due_ms(occurrence) or job.spec.accepted_at_ms
-    left_s = get_allowed_s(job, times) - (now_ms - began_ms) / 1000
+    left_s = get_allowed_duration_s(job, times) - (now_ms - began_ms) / 1000
     return left_s - get_remaining_s(job, occurrence, times)
 
 
-def get_allowed_s(job: Job, times: RunTimes) -> float:
+def get_allowed_duration_s(job: Job, times: RunTimes) -> float:
     """Return how long a job may take and be on time.
 
     That is ``stretch`` times its longest chain of steps, and its queue's target more.
     """
-    return job.policy.stretch * get_chain_s(job, times) + job.policy.latency_target_ms / 1000
+    return (
+        job.policy.stretch * get_critical_path_s(job, times) + job.policy.latency_target_ms / 1000
+    )
 
 
-def get_chain_s(job: Job, times: RunTimes) -> float:
+def get_critical_path_s(job: Job, times: RunTimes) -> float:
     """Return the longest chain of the job's steps."""
     return max(_get_ends_s(job, times, lambda number: True), default=0.0)
 
@@ -47,14 +49,14 @@
     return max(ends_s, default=0.0)
 
 
-def get_work(job: Job, times: RunTimes) -> Work:
+def estimate_work(job: Job, times: RunTimes) -> ResourceVector:
     """Return the work of a job that has not begun."""
     steps = job.spec.steps
     parts = (
-        as_work(step.room).scale(step.task_count * times.estimate_s(job.spec.queue, step))
+        as_vector(step.resources).scale(step.task_count * times.estimate_s(job.spec.queue, step))
         for step in steps
     )
-    return sum(parts, start=Work())
+    return sum(parts, start=ResourceVector())
 
 
 def iter_forecasts(
@@ -73,7 +75,7 @@
             ran_s = _get_longest_run_s(job, occurrence, number, now_s)
             takes_s = max(OVERDUE_S, takes_s - ran_s)
         ends_s.append(begins_s + takes_s)
-        yield StepForecast(begins_s, ends_s[-1], as_work(step.room).scale(open_count))
+        yield StepForecast(begins_s, ends_s[-1], as_vector(step.resources).scale(open_count))
 
 
 def _get_longest_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Collection, Iterable, Iterator
 
-from robinthread._internal.jobs.doubts import list_doubted
 from robinthread._internal.jobs.host import Host
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.job_timing import get_slack_s
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.task import Task
+from robinthread._internal.jobs.unresponsive_hosts import list_unresponsive
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.models.resources import Resources
 
@@ -27,9 +27,9 @@
     return (
         task.key.step_key == last.key.step_key
         and not task.step.is_lasting
-        and task.room.fits_in(host.free)
+        and task.resources.fits_in(host.free)
         and host.id not in task.failed_host_ids
-        and may_carry_another(task, host)
+        and allows_another_run(task, host)
     )
 
 
@@ -39,9 +39,9 @@
     return (
         host
         for host in hosts
-        if task.room.fits_in(host.free)
+        if task.resources.fits_in(host.free)
         and may_run(pool, job, task, host, now_s)
-        and may_carry_another(task, host)
+        and allows_another_run(task, host)
     )
 
 
@@ -50,21 +50,19 @@
 
     Where more than half seem unwell, it is the jobs that fail: all are used.
     """
-    if not pool.are_rooms_known:
+    if not pool.are_capacities_known:
         return []
-    left_out = list_doubted(pool, now_s) | pool.crash_book.trials.reserved
+    left_out = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
-        host
-        for host in pool.hosts.values()
-        if host.id not in left_out and host.may_take_work(now_s)
+        host for host in pool.hosts.values() if host.id not in left_out and host.accepts_work(now_s)
     ]
     return _prefer_well(hosts, now_s)
 
 
 def get_willing_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
     """Return the hosts that may take work, and those that could were they not emptied."""
-    doubted = list_doubted(pool, now_s)
-    hosts = [host for host in pool.hosts.values() if host.is_willing() and host.id not in doubted]
+    doubted = list_unresponsive(pool, now_s)
+    hosts = [host for host in pool.hosts.values() if host.is_eligible() and host.id not in doubted]
     return _prefer_well(hosts, now_s)
 
 
@@ -83,7 +81,7 @@
     return pool.tickets.get(task.key.step_key, host.id, now_s) is not None
 
 
-def may_carry_another(task: Task, host: Host) -> bool:
+def allows_another_run(task: Task, host: Host) -> bool:
     """Tell whether a host may carry one more task of a step, and no copy of its own."""
     if any(run.host_id == host.id for run in task.runs):
         return False
@@ -91,10 +89,10 @@
     return not limit or count_step_runs(task, host) < limit
 
 
-def get_room_to_come(pool: PoolJobs, host: Host) -> Resources:
+def get_future_capacity(pool: PoolJobs, host: Host) -> Resources:
     """Return the room that a host has once all that ends by itself has ended."""
     ending = (run for run in host.runs.values() if not run.is_lasting)
-    rooms = (pool.jobs[run.task.job_id].get_task(run.task).room for run in ending)
+    rooms = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
     return sum(rooms, start=host.free)
 
 
@@ -154,7 +152,7 @@
     step: StepSpec = task.step
     is_near = not step.near_rack or host.record.rack == step.near_rack
     has_not_failed = host.id not in task.failed_host_ids
-    free_share = host.free.cpu_millicores / max(1, host.record.room.cpu_millicores)
+    free_share = host.free.cpu_millicores / max(1, host.record.capacity.cpu_millicores)
     if step.is_lasting:
         return (has_not_failed, is_near, -count_step_runs(task, host), free_share)
     return (has_not_failed, is_near, 0, -free_share)
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -4,18 +4,18 @@
 from collections.abc import Iterable, Sequence
 from typing import Final
 
-from robinthread._internal.jobs.crash_book import CrashBook
+from robinthread._internal.jobs.crash_tracker import CrashTracker
 from robinthread._internal.jobs.crashes import Crash
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_lease import ForeignLeases, HostLease
 from robinthread._internal.jobs.job import Job
-from robinthread._internal.jobs.late_starts import LateStarts
 from robinthread._internal.jobs.progress import JobProgress, restore_progress
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.run_times import RunTimes
 from robinthread._internal.jobs.task import Task
-from robinthread._internal.jobs.tickets import TicketBook
-from robinthread._internal.jobs.workspace_room import WorkspaceRoom
+from robinthread._internal.jobs.tickets import TicketCache
+from robinthread._internal.jobs.unconfirmed_starts import UnconfirmedStarts
+from robinthread._internal.jobs.workspace_limiter import WorkspaceLimiter
 from robinthread._internal.models.host_report import RunEnd
 from robinthread._internal.models.job_spec import JobSpec
 from robinthread._internal.models.job_status import JobStatus
@@ -32,10 +32,10 @@
     """Jobs, hosts and the tasks that wait for a host.
 
     ``unrecorded`` are the jobs whose progress the store does not hold yet, and
-    ``to_stop`` the runs that must be told to stop.  ``kept_hosts`` are those that get no
+    ``to_stop`` the runs that must be told to stop.  ``reserved_host_ids`` are those that get no
     other work until a waiting task fits there.  Times in seconds are of the
     event loop's clock.  ``foreign_leases`` are those that earlier owners granted.  While
-    ``are_rooms_known`` is False no host gets any work.
+    ``are_capacities_known`` is False no host gets any work.
     """
 
     def __init__(self, policy: PlacementPolicy = DEFAULT_PLACEMENT) -> None:
@@ -46,13 +46,13 @@
         self.waiting: dict[TaskKey, Task] = {}
         self.unrecorded: dict[str, Job] = {}
         self.to_stop: list[Run] = []
-        self.kept_hosts: dict[TaskKey, str] = {}
+        self.reserved_host_ids: dict[TaskKey, str] = {}
         self.run_times = RunTimes()
-        self.tickets = TicketBook()
-        self.crash_book = CrashBook()
-        self.late_starts = LateStarts()
-        self.workspaces = WorkspaceRoom()
-        self.are_rooms_known = True
+        self.tickets = TicketCache()
+        self.crash_tracker = CrashTracker()
+        self.unconfirmed_starts = UnconfirmedStarts()
+        self.workspaces = WorkspaceLimiter()
+        self.are_capacities_known = True
 
     def add_job(
         self,
@@ -73,19 +73,19 @@
             restore_progress(job, progress)
             for task in list(job.tasks.values()):
                 if task.crashes and not job.status.is_final:
-                    self.note_crashes(job, task, task.crashes)
+                    self.record_crashes(job, task, task.crashes)
         for task in job.iter_running():
             for run in task.runs:
                 run.phase = RunPhase.SENDING
                 # It may have begun long ago: its end says nothing of how long it took.
                 run.is_resumed = run.is_inherited = True
                 run.settled_at_s = now_s
-                self._get_host(run.host_id).add_run(run, task.step.room)
-                self.workspaces.note_begun(spec.workspace, task.step.claim)
-        self.crash_book.resume_trials(job)
+                self._get_host(run.host_id).add_run(run, task.step.resources)
+                self.workspaces.record_start(spec.workspace, task.step.charged_resources)
+        self.crash_tracker.resume_trials(job)
         return job
 
-    def open_due(self, job: Job, now_ms: int) -> None:
+    def queue_due_tasks(self, job: Job, now_ms: int) -> None:
         """Let the tasks wait for hosts whose time and turn have come."""
         while (
             job.next_occurrence < job.occurrence_count
@@ -96,7 +96,7 @@
 
     def add_host(self, record: UpstreamHost) -> Host:
         """Take a host in, or what it newly says of itself."""
-        host = self._get_host(record.life_id)
+        host = self._get_host(record.incarnation_id)
         host.record = record
         return host
 
@@ -104,42 +104,42 @@
         """Give a waiting task a host; the run may be sent once it is recorded."""
         self.waiting.pop(task.key, None)
         run = task.add_run(host.id, number)
-        host.add_run(run, task.room)
+        host.add_run(run, task.resources)
         job = self.jobs[task.key.job_id]
-        self.workspaces.note_begun(job.spec.workspace, task.step.claim)
+        self.workspaces.record_start(job.spec.workspace, task.step.charged_resources)
         self._mark(job)
         return run
 
-    def may_begin(self, task: Task) -> bool:
+    def fits_workspace_limit(self, task: Task) -> bool:
         """Tell whether its workspace's share has room for a waiting task, and all its gang."""
         job = self.jobs[task.key.job_id]
-        workspace, claim = job.spec.workspace, task.step.claim
+        workspace, claim = job.spec.workspace, task.step.charged_resources
         if not workspace:
             return True
         if task.step.is_gang:
             claim = claim.scale(task.step.task_count)
-        if self.workspaces.has_room(workspace, claim):
+        if self.workspaces.has_capacity(workspace, claim):
             return True
-        self.workspaces.hold_back(workspace, claim)
+        self.workspaces.record_held_back(workspace, claim)
         return False
 
-    def ask_for_copy(self, task: Task) -> None:
+    def request_copy(self, task: Task) -> None:
         """Let a task that has one run, and may have more, wait for another host.
 
         A job that has ended wants none: its runs are there only until they have stopped.
         """
         job = self.jobs[task.key.job_id]
         is_wanted = not job.status.is_final and not task.is_done
-        is_sound = not self.crash_book.is_suspect(task)
+        is_sound = not self.crash_tracker.is_suspect(task)
         if is_wanted and is_sound and task.step.allows_copies and len(task.runs) == 1:
             self.waiting[task.key] = task
 
-    def may_begin_again(self, task: Task) -> bool:
+    def may_restart(self, task: Task) -> bool:
         """Tell whether a task that runs could begin elsewhere once it has been stopped here.
 
         A workspace whose limit has fallen keeps what it runs, and begins nothing.
         """
-        return self.workspaces.has_room(self.jobs[task.key.job_id].spec.workspace, NO_RESOURCES)
+        return self.workspaces.has_capacity(self.jobs[task.key.job_id].spec.workspace, NO_RESOURCES)
 
     def has_silent_runs(self) -> bool:
         """Tell whether there are runs on hosts that do not answer."""
@@ -147,7 +147,7 @@
             host.runs and host.contact is not HostContact.ANSWERING for host in self.hosts.values()
         )
 
-    def take_unrecorded(self) -> list[Job]:
+    def drain_unrecorded(self) -> list[Job]:
         """Return the jobs to record now."""
         jobs, self.unrecorded = list(self.unrecorded.values()), {}
         return jobs
@@ -170,7 +170,7 @@
         if not self._take_run(task, run):
             return
         if run.is_lasting:
-            task.note_ran(run, self.hosts[run.host_id].reported_at_s)
+            task.record_last_run_time(run, self.hosts[run.host_id].reported_at_s)
         task.checkpoint = checkpoint or task.checkpoint
         self._mark(job)
         is_done = end is RunEnd.DONE and not task.step.is_lasting
@@ -187,7 +187,9 @@
         if task.step.is_gang and not is_done:
             self._stop_members(job, task)
 
-    def take_late_done(self, key: TaskKey, number: int, checkpoint: str, now_ms: int) -> bool:
+    def record_late_completion(
+        self, key: TaskKey, number: int, checkpoint: str, now_ms: int
+    ) -> bool:
         """Note that a run was done that had counted as lapsed; return whether that was news.
 
         Its task need not run again, and what was started in its place is stopped.
@@ -227,33 +229,33 @@
         if successor is not None:
             for run in carried:
                 self._move_run(run, host, successor)
-        self.lapse_host(host, now_ms)
-        self.crash_book.take_lapsed(host_id)
+        self.end_host_runs(host, now_ms)
+        self.crash_tracker.pop_lapsed(host_id)
         del self.hosts[host_id]
 
-    def lapse_host(self, host: Host, now_ms: int) -> None:
+    def end_host_runs(self, host: Host, now_ms: int) -> None:
         """Note that nothing runs on a host any more."""
         for run in list(host.runs.values()):
             self.end_run(run, RunEnd.LAPSED, "", now_ms)
 
-    def note_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
+    def record_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
         """Note which crashes of hosts count for a task, or for the gang that it is first of."""
-        self.crash_book.set_crashes(task, crashes)
-        job.blamed.discard(task.key)
-        if any(crash.is_sure for crash in crashes):
-            job.blamed.add(task.key)
+        self.crash_tracker.set_crashes(task, crashes)
+        job.culprits.discard(task.key)
+        if any(crash.is_confirmed for crash in crashes):
+            job.culprits.add(task.key)
         self._mark(job)
 
-    def is_held(self, task: Task) -> bool:
+    def is_withheld(self, task: Task) -> bool:
         """Tell whether a task is not started among others: it is suspect, or its job's is."""
-        if not self.crash_book.suspects:
+        if not self.crash_tracker.suspects:
             return False
-        return bool(self.jobs[task.key.job_id].blamed) or self.crash_book.is_suspect(task)
+        return bool(self.jobs[task.key.job_id].culprits) or self.crash_tracker.is_suspect(task)
 
-    def get_counted(self, run: Run) -> Task:
+    def get_crash_task(self, run: Run) -> Task:
         """Return the task whose crashes count for a run."""
         job = self.jobs[run.task.job_id]
-        return job.get_counted(job.get_task(run.task))
+        return job.get_crash_task(job.get_task(run.task))
 
     def fail(self, job: Job, now_ms: int) -> None:
         """End a job that can't be done."""
@@ -284,17 +286,19 @@
             return False
         run.phase = RunPhase.OVER
         task.runs.remove(run)
-        self.hosts[run.host_id].remove_run(run, task.step.room)
-        self.workspaces.note_over(self.jobs[run.task.job_id].spec.workspace, task.step.claim)
-        if self.crash_book.trials.is_run_of(task.counted_key, run.number):
-            self.crash_book.trials.drop(task.counted_key)
+        self.hosts[run.host_id].remove_run(run, task.step.resources)
+        self.workspaces.record_end(
+            self.jobs[run.task.job_id].spec.workspace, task.step.charged_resources
+        )
+        if self.crash_tracker.trials.is_trial_run(task.crash_task_key, run.number):
+            self.crash_tracker.trials.drop(task.crash_task_key)
         return True
 
     def _move_run(self, run: Run, host: Host, successor: Host) -> None:
         if run.phase is RunPhase.OVER:
             return
         job = self.jobs[run.task.job_id]
-        room = job.get_task(run.task).step.room
+        room = job.get_task(run.task).step.resources
         host.remove_run(run, room)
         run.host_id = successor.id
         run.present_since_s = None
@@ -334,7 +338,7 @@
         for done in job.get_members(task):
             job.set_done(done)
             self.waiting.pop(done.key, None)
-            self.note_crashes(job, done, ())
+            self.record_crashes(job, done, ())
         if not task.step.is_gang:
             for copy in list(task.runs):
                 self.stop(copy)
@@ -363,6 +367,6 @@
         self.tickets.drop_job(job.id)
         for task in job.tasks.values():
             self.waiting.pop(task.key, None)
-            self.crash_book.forget(task)
+            self.crash_tracker.forget(task)
             for run in list(task.runs):
                 self.stop(run)
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -11,7 +11,7 @@
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.run import Run
 from robinthread._internal.jobs.task import Task
-from robinthread._internal.models.host_life import make_life_id, split_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id, split_incarnation_id
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.task_key import TaskKey
 
@@ -37,9 +37,9 @@
     machine: str
     run: int
     age_ms: int
-    is_close: bool
-    is_sure: bool
-    is_explained: bool
+    is_near_start: bool
+    is_confirmed: bool
+    has_other_cause: bool
 
 
 class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
@@ -61,7 +61,7 @@
     """All that must outlast a pool's owner.
 
     A job that has ended keeps no tasks; ``ended_at_ms`` is a Unix time.  ``hosts`` are ids, and
-    ``births`` tells of each which life it was; an older process knows the ids alone.
+    ``host_start_times_ms`` tells of each which life it was; an older process knows the ids alone.
     """
 
     job_id: str
@@ -70,12 +70,15 @@
     hosts: tuple[str, ...] = ()
     tasks: tuple[TaskProgress, ...] = ()
     ended_at_ms: int = 0
-    births: tuple[int | None, ...] = ()
+    host_start_times_ms: tuple[int | None, ...] = ()
 
-    def list_lives(self) -> tuple[str, ...]:
+    def list_incarnations(self) -> tuple[str, ...]:
         """Return the ids of the hosts' lives."""
-        pairs = itertools.zip_longest(self.hosts, self.births)
-        return tuple(make_life_id(host_id, born_ms) for host_id, born_ms in pairs)
+        pairs = itertools.zip_longest(self.hosts, self.host_start_times_ms)
+        return tuple(
+            make_incarnation_id(host_id, host_started_at_ms)
+            for host_id, host_started_at_ms in pairs
+        )
 
 
 def encode_progress(job: Job) -> bytes:
@@ -85,16 +88,18 @@
     if not job.status.is_final or any(job.iter_running()):
         started = (task for task in job.tasks.values() if task.last_run)
         tasks = tuple(_make_task_progress(task, hosts) for task in started)
-    lives = [split_life_id(life_id) for life_id in hosts]
-    births = tuple(born_ms for _host_id, born_ms in lives)
+    lives = [split_incarnation_id(incarnation_id) for incarnation_id in hosts]
+    host_start_times_ms = tuple(host_started_at_ms for _host_id, host_started_at_ms in lives)
     progress = JobProgress(
         job.id,
         job.spec.queue,
         job.status.value,
-        tuple(host_id for host_id, _born_ms in lives),
+        tuple(host_id for host_id, _host_started_at_ms in lives),
         tasks,
         job.ended_at_ms,
-        births if any(born_ms is not None for born_ms in births) else (),
+        host_start_times_ms
+        if any(host_started_at_ms is not None for host_started_at_ms in host_start_times_ms)
+        else (),
     )
     return msgspec.msgpack.encode(progress)
 
@@ -104,7 +109,7 @@
     progress = msgspec.msgpack.decode(value, type=JobProgress)
     if progress.status not in STATUS_VALUES:
         raise msgspec.ValidationError(f"unknown status {progress.status!r}")
-    if len(progress.births) > len(progress.hosts):
+    if len(progress.host_start_times_ms) > len(progress.hosts):
         raise msgspec.ValidationError("there are more births than hosts")
     named = (run.host for task in progress.tasks for run in task.runs)
     if any(not 0 <= host < len(progress.hosts) for host in named):
@@ -117,7 +122,7 @@
     job.status = job.recorded_status = JobStatus(progress.status)
     job.ended_at_ms = progress.ended_at_ms
     job.has_begun = any(row.last_run for row in progress.tasks)
-    lives = progress.list_lives()
+    lives = progress.list_incarnations()
     for row in progress.tasks:
         key = TaskKey(job.id, row.occurrence, row.step, row.index)
         if job.has_task(key):
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -32,7 +32,7 @@
         "last_failed_run",
         "last_run",
         "ran_until_s",
-        "room",
+        "resources",
         "runs",
         "step",
         "took_s",
@@ -41,7 +41,7 @@
     def __init__(self, key: TaskKey, step: StepSpec) -> None:
         self.key = key
         self.step = step
-        self.room = step.room
+        self.resources = step.resources
         self.is_done = False
         self.failure_count = 0
         self.last_failed_run = 0
@@ -54,7 +54,7 @@
         self.runs: list[Run] = []
 
     @property
-    def counted_key(self) -> TaskKey:
+    def crash_task_key(self) -> TaskKey:
         """Return whose crashes count for the task: its own, or those of its gang's first."""
         return replace(self.key, index=0) if self.step.is_gang else self.key
 
@@ -65,7 +65,7 @@
         self.runs.append(run)
         return run
 
-    def note_ran(self, run: Run, heard_at_s: float) -> None:
+    def record_last_run_time(self, run: Run, heard_at_s: float) -> None:
         """Note until when a lasting task ran, by the last report of its host.
 
         A run that no host confirmed may have been there or not: what came before it counts.
--- a/src/robinthread/_internal/node/advice_taker.py
+++ b/src/robinthread/_internal/node/advice_fetcher.py
@@ -20,7 +20,7 @@
 TIMEOUT_SLACK_S: Final = 1.0
 
 
-class AdviceTaker:
+class AdviceFetcher:
     """Gets tickets for a pool's waiting steps, one call after the other."""
 
     def __init__(self, runtime: PoolRuntime, calls: AdviceCalls) -> None:
@@ -77,7 +77,7 @@
             return
         tickets = {lives[host]: ticket for host, ticket in advice.tickets.items() if host in lives}
         advised = HostAdvice(tickets, advice.valid_ms)
-        self._runtime.jobs.tickets.note(step, lives.values(), advised, asked_at_s)
+        self._runtime.jobs.tickets.record_advice(step, lives.values(), advised, asked_at_s)
         self._runtime.events.write(
             "advice_taken",
             job=step.job_id,
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -18,17 +18,17 @@
 from robinthread._internal.node.group_member import GroupMember
 from robinthread._internal.node.handover import Handover
 from robinthread._internal.node.host_directory import HostDirectory
-from robinthread._internal.node.job_gate import JobGate
+from robinthread._internal.node.job_service import JobService
 from robinthread._internal.node.loop_lag import LoopLag
 from robinthread._internal.node.node import Node
 from robinthread._internal.node.owned_pools import OwnedPools
-from robinthread._internal.node.owner_checks import OwnerChecks
-from robinthread._internal.node.peer_answers import PeerAnswers
+from robinthread._internal.node.owner_liveness import OwnerLiveness
+from robinthread._internal.node.peer_request_handler import PeerRequestHandler
+from robinthread._internal.node.pool_rebalancing import RebalancePlanner
 from robinthread._internal.node.readiness import Readiness
 from robinthread._internal.node.record_writer import RecordWriter
-from robinthread._internal.node.relief import ReliefPlanner
 from robinthread._internal.node.settings_holder import SettingsHolder
-from robinthread._internal.node.standing import StandingReporter
+from robinthread._internal.node.status_reporter import StatusReporter
 from robinthread._internal.node.steward import Steward
 
 RETRY_PAUSE_S: Final = 0.2
@@ -46,13 +46,13 @@
     """A node and the parts that its listeners speak to."""
 
     node: Node
-    gate: JobGate
+    job_service: JobService
     owned: OwnedPools
-    answers: PeerAnswers
+    request_handler: PeerRequestHandler
     config_holder: ConfigHolder
     lag: LoopLag
     readiness: Readiness
-    standing: StandingReporter
+    status_reporter: StatusReporter
 
 
 def assemble_node(
@@ -79,7 +79,7 @@
     operators = KeyedFollower(store, records.operators_partition, config_holder.apply, events)
     table = OwnerTable(store, events)
     writer = GroupWriter(
-        store, INBOX_PARTITION, f"entry/{me.node}/{me.life}", settings.store.call_max_bytes
+        store, INBOX_PARTITION, f"entry/{me.node}/{me.incarnation}", settings.store.call_max_bytes
     )
     context = NodeContext(
         settings_holder=settings_holder,
@@ -93,21 +93,21 @@
         host_directory=host_directory,
         config_holder=config_holder,
         get_wall_ms=environment.get_wall_ms,
-        expect_hosts=lambda: hosts.hurry(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
+        poll_hosts_faster=lambda: hosts.poll_faster(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
         read_hosts_to_end=lambda: _read_to_end(hosts),
         read_inbox_once=inbox.read_to_end,
         read_inbox_to_end=lambda: _read_to_end(inbox),
-        get_unconfirmed_s=lambda: loop.time() - table.follower.confirmed_at_s,
-        get_hosts_unread_s=lambda: loop.time() - hosts.confirmed_at_s,
+        get_owners_unconfirmed_s=lambda: loop.time() - table.follower.confirmed_at_s,
+        get_hosts_unconfirmed_s=lambda: loop.time() - hosts.confirmed_at_s,
     )
-    checks = OwnerChecks(environment.peers)
-    member = GroupMember(store, me, events, settings.store.member_ttl_min_ms, checks)
+    owner_liveness = OwnerLiveness(environment.peers)
+    member = GroupMember(store, me, events, settings.store.member_ttl_min_ms, owner_liveness)
     policy = environment.policy.owners
-    election = Election(table, me, member, checks, config_holder, events, policy)
+    election = Election(table, me, member, owner_liveness, config_holder, events, policy)
     owned = OwnedPools(context)
     lag = LoopLag()
     handover = Handover(me, table, election, member, owned, environment.peers, events, lag)
-    relief = ReliefPlanner(me, table, election, member, handover, owned, lag, policy)
+    rebalance_planner = RebalancePlanner(me, table, election, member, handover, owned, lag, policy)
     record_writer = RecordWriter(
         me,
         writer,
@@ -118,33 +118,44 @@
         events,
         environment.policy.entry,
     )
-    gate = JobGate(me, record_writer, owned, table, environment.peers, events)
+    job_service = JobService(me, record_writer, owned, table, environment.peers, events)
 
     def make_steward(token: int, wait_s: float) -> Steward:
         return Steward(context, environment, table, owned, me, token, wait_s)
 
     node = Node(
-        context, me, table, election, member, owned, make_steward, handover, relief, (hosts, inbox)
+        context,
+        me,
+        table,
+        election,
+        member,
+        owned,
+        make_steward,
+        handover,
+        rebalance_planner,
+        (hosts, inbox),
     )
     readiness = Readiness(node, member, table, config_holder, events)
-    standing = StandingReporter(owned, lag, readiness, events)
+    status_reporter = StatusReporter(owned, lag, readiness, events)
     for work in (
         operators.run(),
         hosts.run(),
         inbox.run(),
         table.follower.run(),
         member.run(),
-        checks.run(),
+        owner_liveness.run(),
         handover.run(),
         lag.run(),
         settings_holder.run(),
         writer.run(),
         node.run(),
-        standing.run(),
+        status_reporter.run(),
     ):
         node.spawn(work)
-    answers = PeerAnswers(owned, record_writer, handover)
-    return AssembledNode(node, gate, owned, answers, config_holder, lag, readiness, standing)
+    request_handler = PeerRequestHandler(owned, record_writer, handover)
+    return AssembledNode(
+        node, job_service, owned, request_handler, config_holder, lag, readiness, status_reporter
+    )
 
 
 async def _read_to_end(follower: KeyedFollower) -> None:
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -8,13 +8,13 @@
 from robinthread._internal.durable.ownership import Member, OwnerTable
 from robinthread._internal.node.config_holder import ConfigHolder
 from robinthread._internal.node.group_member import GroupMember
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.settings.policy_settings import OwnerPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
 # The pool of no hosts whose owner gives all orders for machines.
-FLEET: Final = "fleet/machines"
+FLEET_POOL: Final = "fleet/machines"
 
 
 class Election:
@@ -22,7 +22,7 @@
 
     The members tell who lives; ownership itself is one record a pool, taken under a
     condition, so a wrong guess here costs time and no safety.
-    ``is_taking`` is false once this node stops: nobody here would own what it took.
+    ``is_acquiring`` is false once this node stops: nobody here would own what it took.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         table: OwnerTable,
         me: Member,
         member: GroupMember,
-        checks: OwnerChecks,
+        owner_liveness: OwnerLiveness,
         config_holder: ConfigHolder,
         events: EventLog,
         policy: OwnerPolicy,
@@ -38,37 +38,37 @@
         self._table = table
         self._me = me
         self._member = member
-        self._checks = checks
+        self._owner_liveness = owner_liveness
         self._config_holder = config_holder
         self._events = events
         self._policy = policy
-        self.is_taking = True
+        self.is_acquiring = True
 
     @property
-    def may_take(self) -> bool:
+    def may_acquire(self) -> bool:
         """Tell whether the store serves this node and it is to stay."""
-        return self._member.is_served and self.is_taking and self._member.is_settled
+        return self._member.is_served and self.is_acquiring and self._member.is_settled
 
     def get_missing_s(self, pool: str) -> float | None:
         """Return for how long a pool's last owner was no member; None where it was one."""
         previous = self._table.previous.get(pool)
-        return None if previous is None else self._checks.get_missing_s(previous.owner)
+        return None if previous is None else self._owner_liveness.get_missing_s(previous.owner)
 
     def has_ended(self, pool: str) -> bool:
         """Tell whether another life answers where a pool's last owner was."""
         previous = self._table.previous.get(pool)
-        return previous is not None and self._checks.has_ended(previous.owner)
+        return previous is not None and self._owner_liveness.has_ended(previous.owner)
 
-    def get_pools_to_take(self) -> list[str]:
+    def get_pools_to_acquire(self) -> list[str]:
         """Return the pools that have no living owner and that this node is to take."""
         config = self._config_holder.config
-        if config is None or not self.is_taking or not self._member.is_served:
+        if config is None or not self.is_acquiring or not self._member.is_served:
             return []
         if not self._member.is_settled or not self._member.is_listed:
             # What it took now, others would take from it: they do not see it.
             return self._get_former_pools()
-        wanted = sorted([*config.pools, FLEET])
-        self._checks.keep_only(
+        wanted = sorted([*config.pools, FLEET_POOL])
+        self._owner_liveness.retain_only(
             found.owner for pool in wanted if (found := self._table.get(pool)) is not None
         )
         living = self._member.members | {self._me}
@@ -85,7 +85,7 @@
             if order[0] == self._me and self._is_free(pool, gone)
         ]
 
-    def get_returned(self) -> dict[str, Member]:
+    def get_restarted_owners(self) -> dict[str, Member]:
         """Return, by pool, the newer life of its owner's node, where that one is listed.
 
         After a stop of all nodes each former owner takes its pool under a condition that
@@ -93,7 +93,7 @@
         answers of 0.24 s, five pools are open 2.0 s after the start in place of 4.3 s.
         """
         members = self._member.members
-        newest = sorted(members, key=lambda member: member.began_at_ms)
+        newest = sorted(members, key=lambda member: member.started_at_ms)
         lives = {member.node: member for member in newest}
         returned = {
             pool: lives[found.owner.node]
@@ -102,7 +102,7 @@
             and found.owner.node in lives
             and found.owner.node != self._me.node
             and found.owner not in members
-            and 0 < found.owner.began_at_ms < lives[found.owner.node].began_at_ms
+            and 0 < found.owner.started_at_ms < lives[found.owner.node].started_at_ms
         }
         return returned | dict.fromkeys(self._get_former_pools(), self._me)
 
@@ -140,11 +140,14 @@
             found = self._table.get(pool)
             if found is not None and found.owner.node != self._me.node:
                 rank = order.index(self._me) if self._me in order else len(order)
-                if found.owner not in ranks and self._checks.get_missing_s(found.owner) is None:
+                if (
+                    found.owner not in ranks
+                    and self._owner_liveness.get_missing_s(found.owner) is None
+                ):
                     self._note_missing(pool, found.owner)
                 ranks[found.owner] = min(rank, ranks.get(found.owner, rank))
-        is_gone = self._checks.is_gone
-        return frozenset(owner for owner, rank in ranks.items() if is_gone(owner, rank))
+        is_confirmed_lost = self._owner_liveness.is_confirmed_lost
+        return frozenset(owner for owner, rank in ranks.items() if is_confirmed_lost(owner, rank))
 
     def _get_former_pools(self) -> list[str]:
         """Return the pools of this node's former life: that one has surely ended."""
@@ -162,7 +165,7 @@
         if found is None:
             return True
         if found.owner in self._member.members or found.owner == self._me:
-            self._checks.note_listed(found.owner)
+            self._owner_liveness.record_listing(found.owner)
             return False
         return True
 
--- a/src/robinthread/_internal/node/fleet_views.py
+++ b/src/robinthread/_internal/node/fleet_view_builder.py
@@ -2,39 +2,39 @@
 
 from collections.abc import Mapping
 
-from robinthread._internal.fleet.ended_lives import EndedLives
+from robinthread._internal.fleet.ended_incarnations import EndedIncarnations
 from robinthread._internal.fleet.fleet_view import FleetView, MoveOrder, PoolView
-from robinthread._internal.fleet.newcomers import Newcomers
+from robinthread._internal.fleet.new_machines import NewMachines
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.fleet.silent_halls import find_silent_halls
 from robinthread._internal.models.fleet_config import FleetConfig
-from robinthread._internal.models.host_life import make_life_id
+from robinthread._internal.models.host_incarnation import make_incarnation_id
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.machine_orders import MachineOrders
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.wave_tracker import WaveTracker
 
 
-class FleetViews:
+class FleetViewBuilder:
     """Makes views of the fleet; ``machines`` are those of the last list, by name."""
 
-    def __init__(self, context: NodeContext, orders: MachineOrders, waves: WaveKeeper) -> None:
+    def __init__(self, context: NodeContext, orders: MachineOrders, waves: WaveTracker) -> None:
         self._context = context
         self._orders = orders
         self._waves = waves
-        self._newcomers = Newcomers()
-        self._lives = EndedLives()
+        self._new_machines = NewMachines()
+        self._lives = EndedIncarnations()
         self.machines: dict[str, Machine] = {}
 
-    def note_listed(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
+    def record_listing(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
         """Take in a list of machines that was asked for at a time."""
         self.machines = {machine.name: machine for machine in listed}
-        self._newcomers.note_listed(listed, self._orders.ordered_before)
-        self._orders.note_listed(asked_at_s)
-        self._orders.unsettled.note_listed(self.machines)
-        self._lives.note_listed(self.machines, get_loop_s())
+        self._new_machines.record_listing(listed, self._orders.previously_ordered)
+        self._orders.record_listing(asked_at_s)
+        self._orders.unsettled.record_listing(self.machines)
+        self._lives.record_listing(self.machines, get_loop_s())
 
     def list_ended_hosts(self, pool: str) -> tuple[str, ...]:
         """Return the hosts of a pool that have surely ended of late."""
@@ -46,7 +46,7 @@
         """Return the waves that the operators ask for."""
         return list(self._context.config_holder.waves.values())
 
-    def make(self, reports: Mapping[str, PoolReport]) -> FleetView:
+    def build(self, reports: Mapping[str, PoolReport]) -> FleetView:
         """Make a view from what the pools' owners report now."""
         config = self._context.config_holder.config
         assert config is not None
@@ -58,11 +58,11 @@
             self._make_pool_view(pool, report, silent_halls) for pool, report in reports.items()
         )
         lives = {
-            host.host_id: make_life_id(host.host_id, host.born_ms)
+            host.host_id: make_incarnation_id(host.host_id, host.host_started_at_ms)
             for report in reports.values()
             for host in report.hosts
         }
-        self._waves.note_seen(
+        self._waves.record_observation(
             self.machines, lambda machine: self._find_life(machine, config, lives)
         )
         return FleetView(
@@ -73,7 +73,7 @@
                 for machine in self.machines.values()
                 if machine.pool in reserves and machine.state is MachineState.UP
             ),
-            ordered=self._orders.list_held(),
+            ordered=self._orders.list_blocked(),
             leaving=self._orders.list_leaving(self.machines),
             waves=tuple(
                 self._waves.make_view(
@@ -96,7 +96,7 @@
         pool = config.pools.get(machine.pool)
         if pool is not None and pool.is_reserve:
             return ""
-        if not self._newcomers.is_heard(machine):
+        if not self._new_machines.is_reported(machine):
             return None
         return lives.get(machine.host_id, machine.host_id)
 
@@ -106,7 +106,7 @@
         machines = {
             machine.name: machine for machine in self.machines.values() if machine.pool == pool
         }
-        self._newcomers.note_named(host.host_id for host in report.hosts)
+        self._new_machines.record_reported_hosts(host.host_id for host in report.hosts)
         now_s = get_loop_s()
         coming = (
             self.machines[name]
@@ -120,7 +120,7 @@
             and machine.hall not in silent_halls
             and (
                 machine.state in (MachineState.MOVING, MachineState.UPKEEP)
-                or self._newcomers.is_newcomer(machine, now_s)
+                or self._new_machines.is_new(machine, now_s)
             )
         )
         return PoolView(pool, report, machines, (*coming, *arriving))
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from robinthread._internal.durable.append_pace import AppendPace
+from robinthread._internal.durable.append_latency import AppendLatency
 from robinthread._internal.durable.errors import StoreError
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.durable.store import Store
-from robinthread._internal.node.owner_checks import OwnerChecks
+from robinthread._internal.node.owner_liveness import OwnerLiveness
 from robinthread._internal.telemetry.event_log import EventLog
 
 GROUP: Final = "robinthread"
@@ -52,17 +52,22 @@
     """Keeps this node a member; ``members`` are those that the store listed last.
 
     ``listed_at_s`` is when that was, by the event loop's clock.  ``is_listed`` tells whether
-    this node was among them: others do not see it otherwise.  ``pace`` is that of its joins,
+    this node was among them: others do not see it otherwise.  ``join_latency`` is that of joins,
     which it makes all the time.
     """
 
     def __init__(
-        self, store: Store, me: Member, events: EventLog, ttl_min_ms: int, checks: OwnerChecks
+        self,
+        store: Store,
+        me: Member,
+        events: EventLog,
+        ttl_min_ms: int,
+        owner_liveness: OwnerLiveness,
     ) -> None:
         self._store = store
         self._me = me
         self._events = events
-        self._checks = checks
+        self._owner_liveness = owner_liveness
         self._ttl_min_ms = ttl_min_ms
         self._name = msgspec.json.encode(me).decode()
         self._topic = zlib.crc32(me.node.encode()) % FIRST_TOPICS
@@ -76,7 +81,7 @@
         self._failure_count = 0
         self._failing_since_s = math.inf
         self._turn = asyncio.Lock()
-        self.pace = AppendPace()
+        self.join_latency = AppendLatency()
         self.generation = 0
         self.members: frozenset[Member] = frozenset()
         self.listed_at_s = -math.inf
@@ -114,9 +119,9 @@
         return self._failure_count >= FAILURES_MIN and failing_s >= FAILING_MIN_S
 
     @property
-    def is_heard(self) -> bool:
+    def is_within_ttl(self) -> bool:
         """Tell whether the store has heard this node within its time to live."""
-        return not self.is_leaving and self.get_silence_s() < self._get_ttl_ms() / 1000
+        return not self.is_leaving and self.get_store_silence_s() < self._get_ttl_ms() / 1000
 
     @property
     def is_served(self) -> bool:
@@ -128,7 +133,7 @@
         """Tell whether the members have been heard for a while without a gap."""
         return asyncio.get_running_loop().time() - self._steady_since_s >= SETTLE_S
 
-    def get_silence_s(self) -> float:
+    def get_store_silence_s(self) -> float:
         """Return for how long the store has not answered this node."""
         return asyncio.get_running_loop().time() - self._joined_at_s
 
@@ -149,7 +154,7 @@
         if self._steady_since_s != math.inf:
             self._events.write("membership_lost", error=f"{type(error).__name__}: {error}")
         self._steady_since_s = math.inf
-        self._checks.clear()
+        self._owner_liveness.clear()
         self._topic_joined_at_s = math.inf
         self.is_listed = False
         self._failure_count += 1
@@ -160,11 +165,11 @@
         if self.is_leaving:
             return
         self._note_pace(began_at_s)
-        self.pace.begin()
+        self.join_latency.begin()
         membership = await self._store.join(
             GROUP, self._name, [get_topic(self._topic)], self._get_ttl_ms(), self.generation
         )
-        self.pace.end()
+        self.join_latency.end()
         now_s = asyncio.get_running_loop().time()
         self._joined_at_s = now_s
         self._failure_count = 0
@@ -173,7 +178,7 @@
         self._topic_joined_at_s = min(self._topic_joined_at_s, now_s)
         is_changed = membership.generation != self.generation
         self.generation = membership.generation
-        if is_changed or not self.is_listed or self._checks.is_list_due(self.listed_at_s):
+        if is_changed or not self.is_listed or self._owner_liveness.is_list_due(self.listed_at_s):
             self._wants_list.set()
 
     def _note_pace(self, began_at_s: float) -> None:
@@ -197,7 +202,7 @@
     def _note_unread(self, error: StoreError) -> None:
         """Note that the members could not be listed: what was seen of them has a gap."""
         self._events.write("members_unread", error=f"{type(error).__name__}: {error}")
-        self._checks.clear()
+        self._owner_liveness.clear()
         if self._steady_since_s != math.inf:
             self._steady_since_s = asyncio.get_running_loop().time()
         self._wants_list.set()
--- a/src/robinthread/_internal/node/host_follower.py
+++ b/src/robinthread/_internal/node/host_monitor.py
@@ -11,16 +11,16 @@
     HostGoneError,
     HostSilentError,
 )
-from robinthread._internal.jobs.host_loss import note_lapsed, withdraw_lapsed
-from robinthread._internal.jobs.late_starts import LATE_MAX_S
+from robinthread._internal.jobs.host_loss import record_host_lapse, withdraw_lapsed
 from robinthread._internal.jobs.run import RunPhase
+from robinthread._internal.jobs.unconfirmed_starts import UNCONFIRMED_START_MAX_S
 from robinthread._internal.models.host_report import HostReport
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.host_lives import FIRST_ANSWER_MAX_S, HostLives
+from robinthread._internal.node.host_incarnations import FIRST_ANSWER_MAX_S, HostIncarnations
+from robinthread._internal.node.host_report_handler import HostReportHandler
 from robinthread._internal.node.order_sender import STOP_MARGIN_S, OrderSender
 from robinthread._internal.node.pool_runtime import LEASE_MS, PoolRuntime, get_loop_s
-from robinthread._internal.node.recorder import Recorder
-from robinthread._internal.node.report_taker import ReportTaker
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 
 # Longest wait of one look at a host.  Each look renews the lease, so a lease is
 # this much shorter than its length at worst.
@@ -44,28 +44,28 @@
 FIRST_LOOKS_MAX: Final = 2
 
 
-class HostFollower:
+class HostMonitor:
     """Follows a host for as long as it ``is_listed``; ``number`` counts them in a pool."""
 
     def __init__(
         self,
         runtime: PoolRuntime,
         record: UpstreamHost,
-        recorder: Recorder,
+        progress_recorder: ProgressRecorder,
         orders: OrderSender,
         number: int,
     ) -> None:
         self._runtime = runtime
         self._jobs = runtime.jobs
         self._events = runtime.events
-        self._recorder = recorder
-        self._taker = ReportTaker(runtime, orders)
+        self._progress_recorder = progress_recorder
+        self._taker = HostReportHandler(runtime, orders)
         self._lost_looks = 0
         self._number = number
         self._is_spread = False
         self._first_look_at_s = get_loop_s()
         self.is_listed = True
-        self.lives = HostLives(runtime, record, orders)
+        self.lives = HostIncarnations(runtime, record, orders)
 
     async def run(self) -> None:
         """Follow until the host is gone."""
@@ -113,7 +113,7 @@
         """Tell whether tasks wait for what the host answers, or may be harmed until it does."""
         if self.lives.host is not None and self.lives.host.runs:
             return True
-        return bool(self._jobs.late_starts.list_open(self.lives.listed.id, get_loop_s()))
+        return bool(self._jobs.unconfirmed_starts.list_open(self.lives.listed.id, get_loop_s()))
 
     async def _watch(self, wait_s: float) -> HostReport:
         """Look at the host; renew its lease and acknowledge ends only while it answers.
@@ -127,7 +127,7 @@
         if host is not None and host.contact is HostContact.ANSWERING:
             if host.acknowledged_end > host.forgotten_end:
                 is_fresh = asked_at_s - host.reported_at_s <= ACKNOWLEDGED_WITHIN_S
-                is_sure = is_fresh or host.record.born_ms is None
+                is_sure = is_fresh or host.record.host_started_at_ms is None
                 acknowledged, wait_s = (host.acknowledged_end, wait_s) if is_sure else (0, 0.0)
             if lease_ms is not None:
                 until_ms = host.lease.grant(lease_ms, asked_at_s)
@@ -138,7 +138,7 @@
             )
         except HostSilentError:
             if acknowledged or until_ms is not None:
-                self.lives.silent_look_until_s = asked_at_s + LATE_MAX_S
+                self.lives.silent_look_until_s = asked_at_s + UNCONFIRMED_START_MAX_S
             raise
         if host is not None and acknowledged:
             host.forgotten_end = acknowledged
@@ -149,11 +149,11 @@
         host, now_s = self.lives.host, get_loop_s()
         if host is None:
             return
-        host.note_sent(now_s)
+        host.record_order_sent(now_s)
         self._lost_looks += 1
         if self._lost_looks >= FIRST_LOOKS_MAX:
             host.awaited_until_s = now_s
-        host.note_failed(error, now_s)
+        host.record_failure(error, now_s)
         if host.contact is HostContact.ANSWERING:
             host.contact = HostContact.SILENT
             self._events.write(
@@ -172,7 +172,7 @@
                 run_count=len(host.runs),
                 lease_over_in_s=round(host.lease.over_at_s - now_s, 3),
             )
-            note_lapsed(self._jobs, host, now_s, self._runtime.context.get_wall_ms())
+            record_host_lapse(self._jobs, host, now_s, self._runtime.context.get_wall_ms())
             self._runtime.wake()
 
     def _may_be_late(self, error: HostError) -> bool:
@@ -181,7 +181,9 @@
         It asks all hosts at once when it opens.  What a host has done meanwhile would be done
         again if its runs lapsed before its first answer.
         """
-        is_new = self.lives.host is not None and self.lives.host.contact is HostContact.UNHEARD
+        is_new = (
+            self.lives.host is not None and self.lives.host.contact is HostContact.NOT_CONTACTED
+        )
         is_slow = isinstance(error, HostSilentError)
         return is_new and is_slow and get_loop_s() < self._first_look_at_s + FIRST_ANSWER_MAX_S
 
@@ -192,21 +194,21 @@
         if not was_answering:
             self._is_spread = False
             self._events.write("host_heard", host=host.id, pool=self._runtime.pool)
-        if host.contact is HostContact.UNHEARD:
+        if host.contact is HostContact.NOT_CONTACTED:
             self._lost_looks = 0
             self._note_first_heard(host)
         host.contact = HostContact.ANSWERING
-        host.note_answered()
+        host.record_response()
         withdraw_lapsed(self._jobs, host)
         host.reported_at_s = get_loop_s()
-        host.lease.note_clock(report.clock_ms, get_loop_s())
+        host.lease.record_clock(report.clock_ms, get_loop_s())
         newest = self._taker.take(host, report, asked_at_s)
         if newest:
             host.processed_end = newest
-            host.processed_batch = self._recorder.next_batch
+            host.processed_batch = self._progress_recorder.next_batch
         self._runtime.wake()
         if host.processed_end > host.acknowledged_end:
-            if not await self._recorder.wait(host.processed_batch, RECORD_WAIT_S):
+            if not await self._progress_recorder.wait(host.processed_batch, RECORD_WAIT_S):
                 return 0.0
             host.acknowledged_end = host.processed_end
         return self._get_wait_s() if was_answering else 0.0
@@ -229,7 +231,7 @@
         until it has stopped.
         """
         now_s = get_loop_s()
-        host.lease.note_fenced(LEASE_MS, now_s)
+        host.lease.record_fencing(LEASE_MS, now_s)
         stop_s = self._runtime.context.settings.bounds.host_stop_ms / 1000
         host.foreign_stops_over_at_s = now_s + stop_s + STOP_MARGIN_S
         for run in host.runs.values():
--- a/src/robinthread/_internal/node/report_taker.py
+++ b/src/robinthread/_internal/node/host_report_handler.py
@@ -9,7 +9,7 @@
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
 
-class ReportTaker:
+class HostReportHandler:
     """Takes the reports of one pool's hosts in."""
 
     def __init__(self, runtime: PoolRuntime, orders: OrderSender) -> None:
@@ -36,8 +36,8 @@
             return
         self._tell("run_failed" if end.end is RunEnd.FAILED else "run_ended", host, end)
         if end.end is RunEnd.DONE:
-            host.health.note_done()
-        elif end.end is RunEnd.FAILED and host.health.note_failed(end.task.job_id, get_loop_s()):
+            host.health.record_success()
+        elif end.end is RunEnd.FAILED and host.health.record_failure(end.task.job_id, get_loop_s()):
             self._events.write("host_paused", host=host.id, pool=self._runtime.pool)
         self._runtime.jobs.end_run(run, end.end, end.checkpoint, now_ms, get_loop_s())
 
@@ -49,7 +49,7 @@
         """
         is_done = end.end is RunEnd.DONE
         jobs = self._runtime.jobs
-        if is_done and jobs.take_late_done(end.task, end.run, end.checkpoint, now_ms):
+        if is_done and jobs.record_late_completion(end.task, end.run, end.checkpoint, now_ms):
             self._tell("late_end_taken", host, end)
         else:
             self._tell_not_taken(host, end, "no such run is known here")
@@ -61,7 +61,7 @@
         self._events.write(
             event,
             job=end.task.job_id,
-            task=end.task.place,
+            task=end.task.position,
             run=end.run,
             host=host.id,
             outcome=end.end.value,
@@ -80,7 +80,7 @@
                 continue
             run.checkpoint = running.checkpoint
             run.recent_load = running.recent_load
-            run.note_progress(running.progress_percent, now_s)
+            run.record_progress(running.progress_percent, now_s)
             self._runtime.jobs.confirm_start(run, now_s)
         missing = [run for key, run in host.runs.items() if key not in present]
         for run in missing:
@@ -91,7 +91,7 @@
         self._events.write(
             "unknown_run_stopped",
             job=running.task.job_id,
-            task=running.task.place,
+            task=running.task.position,
             run=running.run,
             host=host.id,
         )
@@ -104,7 +104,7 @@
         self._events.write(
             "run_not_there",
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=run.host_id,
             phase=run.phase.value,
--- a/src/robinthread/_internal/node/job_gate.py
+++ b/src/robinthread/_internal/node/job_service.py
@@ -10,15 +10,15 @@
 from robinthread._internal.models.job_spec import JobSpec
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
-from robinthread._internal.models.workspace_policy import may_touch
-from robinthread._internal.node.gate_outcome import GateOutcome
+from robinthread._internal.models.workspace_policy import may_access
+from robinthread._internal.node.job_request_outcome import JobRequestOutcome
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import (
-    JobAnswer,
-    JobQuestion,
-    PendingAnswer,
-    PendingQuestion,
+    JobRequest,
+    JobResponse,
+    PendingCountsRequest,
+    PendingCountsResponse,
 )
 from robinthread._internal.node.record_writer import RecordWriter
 from robinthread._internal.telemetry.event_log import EventLog
@@ -32,10 +32,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobTold:
+class JobState:
     """Outcome of asking for a job, and its status where there is one."""
 
-    outcome: GateOutcome
+    outcome: JobRequestOutcome
     status: JobStatus | None = None
 
 
@@ -45,7 +45,7 @@
     workspace: str
 
 
-class JobGate:
+class JobService:
     """Takes jobs in, cancels them and tells their state, at any node.
 
     A caller's ``workspace`` is None where the queue asks for no key.  What is another one's
@@ -72,16 +72,16 @@
         self._ended: dict[str, _EndedJob] = {}
         self._pending: dict[str, tuple[float, dict[str, int]]] = {}
 
-    async def accept(self, spec: JobSpec, deadline_s: float) -> GateOutcome:
+    async def accept(self, spec: JobSpec, deadline_s: float) -> JobRequestOutcome:
         """Take a job in; done means that the store keeps it."""
         accepted_of = self._accepted.get(spec.job_id)
         if accepted_of is not None:
             # One without a workspace was handed in while its queue was public.
-            is_same = not spec.workspace or may_touch(spec.workspace, accepted_of)
-            return GateOutcome.DONE if is_same else GateOutcome.ID_TAKEN
-        copy = f"{self._me.life}.{next(self._copies)}"
+            is_same = not spec.workspace or may_access(spec.workspace, accepted_of)
+            return JobRequestOutcome.DONE if is_same else JobRequestOutcome.ID_TAKEN
+        copy = f"{self._me.incarnation}.{next(self._copies)}"
         outcome = await self._records.write(make_job_record(spec, copy), deadline_s)
-        if outcome is GateOutcome.DONE:
+        if outcome is JobRequestOutcome.DONE:
             _remember(self._accepted, spec.job_id, spec.workspace)
             self._events.write(
                 "job_accepted",
@@ -100,38 +100,38 @@
 
     async def cancel(
         self, queue: QueuePolicy, job_id: str, deadline_s: float, workspace: str | None = None
-    ) -> GateOutcome:
+    ) -> JobRequestOutcome:
         """Cancel a job; done means that the store keeps it.
 
         Where it can't be told now whose job it is, its owner sees that when it reads the record.
         """
         told = await self.get_status(queue, job_id, workspace)
-        if told.outcome is GateOutcome.NO_SUCH_JOB:
-            return GateOutcome.NO_SUCH_JOB
+        if told.outcome is JobRequestOutcome.NO_SUCH_JOB:
+            return JobRequestOutcome.NO_SUCH_JOB
         if told.status is not None and told.status.is_final:
-            return GateOutcome.DONE
+            return JobRequestOutcome.DONE
         return await self._records.write(make_cancel_record(job_id, workspace), deadline_s)
 
     async def get_status(
         self, queue: QueuePolicy, job_id: str, workspace: str | None = None
-    ) -> JobTold:
+    ) -> JobState:
         """Tell a job's status as its pool's owner knows it."""
         ended = self._ended.get(job_id)
         if ended is not None:
-            if not may_touch(workspace, ended.workspace):
-                return JobTold(GateOutcome.NO_SUCH_JOB)
-            return JobTold(GateOutcome.DONE, ended.status)
+            if not may_access(workspace, ended.workspace):
+                return JobState(JobRequestOutcome.NO_SUCH_JOB)
+            return JobState(JobRequestOutcome.DONE, ended.status)
         answer = await self._ask_job(queue.pool, job_id)
         if answer.is_owner and not answer.status and answer.pool not in ("", queue.pool):
             answer = await self._ask_job(answer.pool, job_id)
         if not answer.is_owner or (answer.pool and not answer.status):
-            return JobTold(GateOutcome.OWNER_UNREACHABLE)
-        if not answer.pool or not may_touch(workspace, answer.workspace):
-            return JobTold(GateOutcome.NO_SUCH_JOB)
+            return JobState(JobRequestOutcome.OWNER_UNREACHABLE)
+        if not answer.pool or not may_access(workspace, answer.workspace):
+            return JobState(JobRequestOutcome.NO_SUCH_JOB)
         status = JobStatus(answer.status)
         if status.is_final:
             _remember(self._ended, job_id, _EndedJob(status, answer.workspace))
-        return JobTold(GateOutcome.DONE, status)
+        return JobState(JobRequestOutcome.DONE, status)
 
     async def count_pending(self, queue: QueuePolicy) -> int | None:
         """Count the queue's jobs of which nothing has begun; None where unknown."""
@@ -145,32 +145,32 @@
             self._pending[queue.pool] = (now_s, counts)
         return counts.get(queue.name, 0)
 
-    async def _ask_job(self, pool: str, job_id: str) -> JobAnswer:
-        question = JobQuestion(pool, job_id)
+    async def _ask_job(self, pool: str, job_id: str) -> JobResponse:
+        question = JobRequest(pool, job_id)
         owner = self._table.get(pool)
         if owner is None:
-            return JobAnswer(is_owner=False)
+            return JobResponse(is_owner=False)
         if owner.owner == self._me:
-            return await self._owned.answer_job(question)
+            return await self._owned.handle_job(question)
         try:
-            return await self._peers.ask(owner.owner.address, question, JobAnswer)
+            return await self._peers.send_request(owner.owner.address, question, JobResponse)
         except PeerUnreachableError as error:
             self._note_unreachable(pool, owner.owner, error)
-            return JobAnswer(is_owner=False)
+            return JobResponse(is_owner=False)
 
-    async def _ask_pending(self, pool: str) -> PendingAnswer:
-        question = PendingQuestion(pool)
+    async def _ask_pending(self, pool: str) -> PendingCountsResponse:
+        question = PendingCountsRequest(pool)
         owner = self._table.get(pool)
         if owner is None:
-            return PendingAnswer(is_owner=False)
+            return PendingCountsResponse(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.answer_pending(question)
+            return self._owned.handle_pending(question)
         try:
             address = owner.owner.address
-            return await self._peers.ask(address, question, PendingAnswer)
+            return await self._peers.send_request(address, question, PendingCountsResponse)
         except PeerUnreachableError as error:
             self._note_unreachable(pool, owner.owner, error)
-            return PendingAnswer(is_owner=False)
+            return PendingCountsResponse(is_owner=False)
 
     def _note_unreachable(self, pool: str, owner: Member, error: Exception) -> None:
         self._events.write("owner_unreachable", pool=pool, owner=owner.node, error=str(error))
--- a/src/robinthread/_internal/node/owner_checks.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -8,7 +8,7 @@
 
 from robinthread._internal.durable.ownership import Member
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
-from robinthread._internal.node.peer_messages import StoreAnswer, StoreQuestion
+from robinthread._internal.node.peer_messages import StoreStatusRequest, StoreStatusResponse
 
 # How long an owner must be missing from the members: while partitions pass from
 # one member to another, a living one may hold none for a moment.  It has as long to answer.
@@ -24,10 +24,10 @@
 # So many nodes ask at once whether a missing owner lives, those that would take its pool
 # first: one is to take it, and nodes may differ in whom they see.  With all of 37 asking, a
 # living owner was asked 144 times a second, and the members were listed 122 times.
-FIRST_ASKERS: Final = 3
+QUERIERS_PER_STAGE: Final = 3
 # Each further such number of nodes asks so much later and more rarely, in case that those
 # before it do not know of each other: a takeover takes some 2 s, so half of that.
-FOLLOW_S: Final = 1.0
+STAGE_DELAY_S: Final = 1.0
 
 
 class _Word(Enum):
@@ -65,7 +65,7 @@
         return self.word is _Word.IS_SILENT and is_recent and now_s >= self.lives_until_s
 
 
-class OwnerChecks:
+class OwnerLiveness:
     """Owners that are missing from the members, and what they say themselves.
 
     The store lists only the members that hold a partition; one that lives may hold none.
@@ -91,7 +91,7 @@
                 owner, absence = await self._added.get()
                 asking.create_task(self._keep_asking(owner, absence))
 
-    def is_gone(self, owner: Member, rank: int = 0) -> bool:
+    def is_confirmed_lost(self, owner: Member, rank: int = 0) -> bool:
         """Note that an owner is not listed, and tell whether it is gone.
 
         ``rank`` counts the nodes that would take a pool of it before this one.
@@ -101,7 +101,7 @@
         if absence is None:
             absence = self._absences[owner] = _Absence(now_s)
             self._added.put_nowait((owner, absence))
-        absence.patience_s = rank // FIRST_ASKERS * FOLLOW_S
+        absence.patience_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
         if absence.word is _Word.HAS_ENDED:
             return True
         return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_silent(now_s)
@@ -116,11 +116,11 @@
         absence = self._absences.get(owner)
         return None if absence is None else asyncio.get_running_loop().time() - absence.since_s
 
-    def note_listed(self, owner: Member) -> None:
+    def record_listing(self, owner: Member) -> None:
         """Note that an owner is listed."""
         self._absences.pop(owner, None)
 
-    def keep_only(self, owners: Iterable[Member]) -> None:
+    def retain_only(self, owners: Iterable[Member]) -> None:
         """Forget the members that own nothing any more."""
         for gone in self._absences.keys() - set(owners):
             del self._absences[gone]
@@ -154,7 +154,9 @@
         loop = asyncio.get_running_loop()
         began_at_s = loop.time()
         asking = asyncio.ensure_future(
-            self._peers.ask(owner.address, StoreQuestion(), StoreAnswer, timeout_s)
+            self._peers.send_request(
+                owner.address, StoreStatusRequest(), StoreStatusResponse, timeout_s
+            )
         )
         late_s = await _measure_late_s(asking)
         try:
@@ -166,14 +168,14 @@
             return _Word.IS_SILENT if was_told or was_on_time else None, late_s
 
 
-def _read_answer(owner: Member, answer: StoreAnswer) -> _Word:
+def _read_answer(owner: Member, answer: StoreStatusResponse) -> _Word:
     # A node of an older version does not tell its life.
-    if answer.life and answer.life != owner.life:
+    if answer.incarnation and answer.incarnation != owner.incarnation:
         return _Word.HAS_ENDED
-    return _Word.LIVES if answer.life and answer.is_member else _Word.IS_SILENT
+    return _Word.LIVES if answer.incarnation and answer.is_member else _Word.IS_SILENT
 
 
-async def _measure_late_s(work: asyncio.Future[StoreAnswer]) -> float:
+async def _measure_late_s(work: asyncio.Future[StoreStatusResponse]) -> float:
     """Wait for some work; return how late the loop came back to what was due meanwhile."""
     loop = asyncio.get_running_loop()
     late_s = 0.0
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -5,24 +5,26 @@
 from collections.abc import Iterable
 
 from robinthread._internal.jobs.host import Host, HostContact
-from robinthread._internal.jobs.host_succession import find_lives
+from robinthread._internal.jobs.host_restart import find_incarnations
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.host_ends import end_host
-from robinthread._internal.node.host_follower import HostFollower
+from robinthread._internal.node.host_monitor import HostMonitor
+from robinthread._internal.node.host_termination import end_host
 from robinthread._internal.node.order_sender import OrderSender
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
-from robinthread._internal.node.recorder import Recorder
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 
 
 class PoolHosts:
     """Follows each listed host of a pool over its lives."""
 
-    def __init__(self, runtime: PoolRuntime, recorder: Recorder, orders: OrderSender) -> None:
+    def __init__(
+        self, runtime: PoolRuntime, progress_recorder: ProgressRecorder, orders: OrderSender
+    ) -> None:
         self._runtime = runtime
         self._jobs = runtime.jobs
-        self._recorder = recorder
+        self._progress_recorder = progress_recorder
         self._orders = orders
-        self._followers: dict[str, HostFollower] = {}
+        self._followers: dict[str, HostMonitor] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._numbers = itertools.count()
         self._told: dict[str, frozenset[str]] = {}
@@ -37,7 +39,7 @@
         for host_id, follower in self._followers.items():
             follower.is_listed = host_id in own
         for host in list(self._jobs.hosts.values()):
-            host.note_listed(self._is_listed(host, own))
+            host.record_listing(self._is_listed(host, own))
             successor = lives.get(host.record.machine)
             if not host.is_listed and successor is not None and successor.id != host.record.id:
                 self._remove(host, "its machine is another host now", successor.id)
@@ -52,11 +54,13 @@
         """
         self._told = {
             host_id: self._told.get(
-                host_id, frozenset(host.id for host in find_lives(self._jobs, host_id))
+                host_id, frozenset(host.id for host in find_incarnations(self._jobs, host_id))
             )
             for host_id in ended
         }
-        for host in [host for host_id in self._told for host in find_lives(self._jobs, host_id)]:
+        for host in [
+            host for host_id in self._told for host in find_incarnations(self._jobs, host_id)
+        ]:
             is_silent = host.contact is not HostContact.ANSWERING
             is_told = host.id in self._told[host.record.id]
             if is_silent and is_told and not host.is_awaited(get_loop_s()):
@@ -75,7 +79,8 @@
         """Tell whether a host's entry is there; of the life that is followed, whatever it tells."""
         record = own.get(host.record.id)
         return record is not None and (
-            self._is_followed(host) or record.born_ms in (None, host.record.born_ms)
+            self._is_followed(host)
+            or record.host_started_at_ms in (None, host.record.host_started_at_ms)
         )
 
     def _is_followed(self, host: Host) -> bool:
@@ -85,14 +90,14 @@
     def _follow(self, record: UpstreamHost) -> None:
         follower = self._followers.get(record.id)
         if follower is not None:
-            follower.lives.note_listed(record)
+            follower.lives.record_listing(record)
             return
         number = next(self._numbers)
-        follower = HostFollower(self._runtime, record, self._recorder, self._orders, number)
+        follower = HostMonitor(self._runtime, record, self._progress_recorder, self._orders, number)
         self._followers[record.id] = follower
         self._tasks[record.id] = self._runtime.spawn(self._run(record.id, follower))
 
-    async def _run(self, host_id: str, follower: HostFollower) -> None:
+    async def _run(self, host_id: str, follower: HostMonitor) -> None:
         await follower.run()
         self._followers.pop(host_id, None)
         self._tasks.pop(host_id, None)
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -7,32 +7,32 @@
 from robinthread._internal.durable.journal import Journal
 from robinthread._internal.durable.settled_record import make_settled_record
 from robinthread._internal.durable.store import Partition
-from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
-from robinthread._internal.fleet.share_dealing import get_kept_share
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
+from robinthread._internal.fleet.share_allocation import get_reserved_share
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.job import Job
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.progress import JobProgress
 from robinthread._internal.jobs.scheduling import place_waiting
-from robinthread._internal.jobs.suspects import note_outlived
+from robinthread._internal.jobs.suspects import clear_surviving_suspects
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
-from robinthread._internal.node.advice_taker import AdviceTaker
+from robinthread._internal.node.advice_fetcher import AdviceFetcher
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.order_sender import OrderSender
 from robinthread._internal.node.pool_hosts import PoolHosts
 from robinthread._internal.node.pool_opening import PoolOpening
 from robinthread._internal.node.pool_reporting import (
     count_pending,
+    log_crash_events,
     make_pool_report,
-    tell_crash_notes,
 )
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 from robinthread._internal.node.predecessors import Predecessors
 from robinthread._internal.node.progress_loader import load_progress
-from robinthread._internal.node.recorder import Recorder
+from robinthread._internal.node.progress_recorder import ProgressRecorder
 from robinthread._internal.node.retention import Retention
-from robinthread._internal.node.run_minder import RunMinder
+from robinthread._internal.node.run_monitor import RunMonitor
 from robinthread._internal.utils.waiting import wait_for_event
 
 PROGRESS_TOPIC: Final = "keyed.progress"
@@ -83,12 +83,12 @@
         )
         self._runtime = PoolRuntime(context, pool, token, self.jobs, self._journal)
         self._orders = OrderSender(self._runtime)
-        self._recorder = Recorder(self._runtime, self._journal, self._orders)
-        self._minder = RunMinder(self._runtime, self._orders)
-        self._advice_taker = AdviceTaker(self._runtime, context.advice)
+        self._progress_recorder = ProgressRecorder(self._runtime, self._journal, self._orders)
+        self._run_monitor = RunMonitor(self._runtime, self._orders)
+        self._advice_fetcher = AdviceFetcher(self._runtime, context.advice)
         self._retention = Retention(self._runtime, self._journal)
-        self._hosts = PoolHosts(self._runtime, self._recorder, self._orders)
-        self._demand = DemandMeter(
+        self._hosts = PoolHosts(self._runtime, self._progress_recorder, self._orders)
+        self._demand = DemandForecaster(
             context.settings.bounds.machine_move_s + HOST_START_S, context.policy.demand
         )
         self._progress_count = 0
@@ -116,8 +116,8 @@
         )
         if self._is_stopped:
             return
-        self._context.job_index.listen(self._take_job)
-        self._context.host_directory.listen(self._hosts.update)
+        self._context.job_index.subscribe(self._take_job)
+        self._context.host_directory.subscribe(self._hosts.update)
         self._hosts.update()
         self.is_open = True
         self.opening.end()
@@ -126,8 +126,8 @@
         self._progress.clear()
         self._runtime.spawn(self._retention.drop_orphans(orphans))
         self._runtime.spawn(self._retention.run())
-        self._runtime.spawn(self._advice_taker.run())
-        self._runtime.spawn(self._recorder.run())
+        self._runtime.spawn(self._advice_fetcher.run())
+        self._runtime.spawn(self._progress_recorder.run())
         self._runtime.spawn(self._schedule())
         self._runtime.wake()
         self._events.write(
@@ -137,7 +137,7 @@
             job_count=len(self.jobs.jobs),
             host_count=len(self.jobs.hosts),
             progress_count=self._progress_count,
-            **self.opening.list_times(),
+            **self.opening.make_timing_fields(),
         )
 
     async def stop(self, is_planned: bool = False) -> None:
@@ -149,10 +149,10 @@
         if self._is_stopped:
             return
         if self.is_open:
-            self._context.job_index.unlisten(self._take_job)
-            self._context.host_directory.unlisten(self._hosts.update)
+            self._context.job_index.unsubscribe(self._take_job)
+            self._context.host_directory.unsubscribe(self._hosts.update)
             if is_planned and not self.fenced.is_set():
-                await self._recorder.flush(FLUSH_WAIT_S)
+                await self._progress_recorder.flush(FLUSH_WAIT_S)
         self.is_open = False
         self._is_stopped = True
         await self._runtime.cancel_all()
@@ -176,19 +176,19 @@
         """Count, by queue, the jobs of which nothing has begun."""
         return count_pending(self.jobs)
 
-    def report(self, question: FleetQuestion) -> PoolReport:
+    def report(self, question: FleetReportRequest) -> PoolReport:
         """Tell the steward how the pool stands, and empty what it asks for."""
         now_s = get_loop_s()
         for host in self.jobs.hosts.values():
             is_vacating = host.record.machine in question.vacate
             host.vacating_until_s = now_s + VACATE_S if is_vacating else 0.0
         if question.expects_hosts:
-            self._context.expect_hosts()
+            self._context.poll_hosts_faster()
         self._hosts.end_lost(question.ended)
         self._take_limits()
-        share_state = self.jobs.workspaces.take_order(question.shares)
+        share_state = self.jobs.workspaces.apply_order(question.shares)
         self._runtime.wake()
-        demand = self._demand.read(self.jobs, now_s, self._context.get_wall_ms())
+        demand = self._demand.forecast(self.jobs, now_s, self._context.get_wall_ms())
         return make_pool_report(self.jobs, demand, now_s, share_state)
 
     def _take_limits(self) -> None:
@@ -196,16 +196,16 @@
         holder = self._context.config_holder
         if holder.config is None:
             return
-        self.jobs.workspaces.set_limits(holder.config, holder.limit_fell_in)
+        self.jobs.workspaces.set_limits(holder.config, holder.limit_lowered_in)
         if get_loop_s() - self._runtime.opened_at_s >= UNTOLD_S:
             kept = self._context.policy.workspaces.kept_share
-            self.jobs.workspaces.untold_share = get_kept_share(kept, holder.config)
+            self.jobs.workspaces.default_share = get_reserved_share(kept, holder.config)
 
     async def _load_progress(self) -> None:
         """Shut out older owners, then read what they have recorded, and of which jobs."""
         await self.opening.time("journal", self._journal.open())
         # From here on no older owner is confirmed any more.
-        self._predecessors.note_shut_out(get_loop_s(), self.jobs.foreign_leases)
+        self._predecessors.mark_fenced(get_loop_s(), self.jobs.foreign_leases)
         self._runtime.spawn(self._settle_predecessors())
         reading = load_progress(self._context.store, self._partition, self.pool, self._events)
         loaded, _ = await asyncio.gather(
@@ -222,7 +222,7 @@
         if self._predecessors.is_empty:
             return
         # Until the pool is open it is not known here what runs on which host.
-        await self._predecessors.watch(
+        await self._predecessors.poll_until_stopped(
             lambda: not self.is_open or self.jobs.has_silent_runs(), self._events
         )
         await asyncio.sleep(max(0.0, self.jobs.foreign_leases.over_at_s - get_loop_s()))
@@ -239,7 +239,7 @@
         if indexed.is_cancelled and not job.status.is_final:
             self._events.write("job_cancelled", job=job.id, pool=self.pool)
             self.jobs.cancel(job, self._context.get_wall_ms())
-        self.jobs.open_due(job, self._context.get_wall_ms())
+        self.jobs.queue_due_tasks(job, self._context.get_wall_ms())
         self._runtime.wake()
 
     def _add_job(self, indexed: IndexedJob) -> Job:
@@ -250,7 +250,7 @@
         ranks = self._context.policy.workspaces.ranks_beyond_share
         job.is_beyond_share = ranks and indexed.is_beyond_share
         if progress is None:
-            self._demand.note_job(job, self.jobs.run_times, get_loop_s())
+            self._demand.record_job(job, self.jobs.run_times, get_loop_s())
         if job.status.is_final:
             for task in list(job.iter_running()):
                 for run in list(task.runs):
@@ -281,14 +281,14 @@
             now_s = get_loop_s()
             if now_s >= next_tick_s:
                 next_tick_s = now_s + TICK_S
-                self._minder.look(now_s)
+                self._run_monitor.check(now_s)
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
-            self.jobs.are_rooms_known = self._runtime.are_rooms_known()
+            self.jobs.are_capacities_known = self._runtime.are_capacities_known()
             self._take_limits()
-            note_outlived(self.jobs, now_s)
+            clear_surviving_suspects(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
-            tell_crash_notes(self._events, self.pool, self.jobs.crash_book.take_notes())
+            log_crash_events(self._events, self.pool, self.jobs.crash_tracker.drain_events())
             stops, self.jobs.to_stop = self.jobs.to_stop, []
             for run in stops:
                 self._runtime.spawn(self._orders.send_stop(run))
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 from typing import Final
 
-from robinthread._internal.fleet.pool_report import HostStanding, LackReport, PoolReport
-from robinthread._internal.jobs.crash_book import CrashNote
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport, ShortageReport
+from robinthread._internal.jobs.crash_tracker import CrashEvent
 from robinthread._internal.jobs.demand import Demand
-from robinthread._internal.jobs.doubts import list_doubted
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run
+from robinthread._internal.jobs.unresponsive_hosts import list_unresponsive
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.models.workspace_shares import ShareState
@@ -25,27 +25,29 @@
     pool: PoolJobs, demand: Demand, now_s: float, share_state: ShareState | None = None
 ) -> PoolReport:
     """Tell how a pool stands, and which of its listed hosts can be used."""
-    doubted = list_doubted(pool, now_s)
-    needed = demand.on_hosts.host_ids
+    doubted = list_unresponsive(pool, now_s)
+    needed = demand.host_requirements.host_ids
     return PoolReport(
         is_owner=True,
-        fetch_room=demand.fetch.astuple(),
-        keep_room=demand.keep.astuple(),
+        fetch_resources=demand.fetch.astuple(),
+        keep_resources=demand.keep.astuple(),
         hosts=tuple(
             _make_standing(host, host.id not in doubted, host.id in needed, now_s)
             for host in pool.hosts.values()
             if host.is_listed
         ),
         hosts_min=demand.hosts_min,
-        lasting_room=demand.lasting.astuple(),
-        apart_count=demand.on_hosts.apart_count,
-        lacks=tuple(
-            LackReport(missing.count, missing.room.astuple(), missing.label, missing.is_lasting)
-            for missing in demand.on_hosts.missing
+        lasting_resources=demand.lasting.astuple(),
+        separate_host_count=demand.host_requirements.separate_host_count,
+        shortages=tuple(
+            ShortageReport(
+                missing.count, missing.resources.astuple(), missing.label, missing.is_lasting
+            )
+            for missing in demand.host_requirements.missing
         ),
-        urgent_room=demand.urgent.astuple(),
+        urgent_resources=demand.urgent.astuple(),
         share_state=share_state,
-        workspaces=pool.workspaces.list_standings(_sum_waiting(pool)),
+        workspaces=pool.workspaces.list_usage(_sum_waiting(pool)),
     )
 
 
@@ -58,12 +60,12 @@
     )
 
 
-def tell_ended(
+def log_host_ended(
     events: EventLog, pool: str, host: Host, reason: str, now_s: float, successor: str = ""
 ) -> None:
     """Tell of a host that has ended, and which runs began there last; one without with others."""
     if host.runs:
-        broke_at_s = now_s if host.broken_at_s is None else host.broken_at_s
+        broke_at_s = now_s if host.connection_broken_at_s is None else host.connection_broken_at_s
         newest = heapq.nlargest(
             NEWEST_TOLD_MAX,
             (run for run in host.runs.values() if run.sent_at_s is not None),
@@ -77,27 +79,29 @@
             reason=reason,
             successor=successor,
             run_count=len(host.runs),
-            broke_ago_s=None if host.broken_at_s is None else round(now_s - broke_at_s, 3),
+            broke_ago_s=None
+            if host.connection_broken_at_s is None
+            else round(now_s - broke_at_s, 3),
             newest=[_name_run(run, broke_at_s) for run in newest],
         )
     else:
         events.gather("host_ended", {"pool": pool, "reason": reason}, listed={"hosts": host.id})
 
 
-def tell_crash_notes(events: EventLog, pool: str, notes: Iterable[CrashNote]) -> None:
+def log_crash_events(events: EventLog, pool: str, notes: Iterable[CrashEvent]) -> None:
     """Tell what crashes of hosts said of tasks."""
     for note in notes:
         events.write(
             note.kind.value,
             job=note.task.job_id,
-            task=note.task.place,
+            task=note.task.position,
             pool=pool,
             run=note.run,
             hosts=note.host_ids,
             crashes=[
                 f"{crash.host_id}/{crash.machine}/{crash.run} {crash.age_ms} ms"
-                f"{' close' * crash.is_close}{' sure' * crash.is_sure}"
-                f"{' explained' * crash.is_explained}"
+                f"{' close' * crash.is_near_start}{' sure' * crash.is_confirmed}"
+                f"{' explained' * crash.has_other_cause}"
                 for crash in note.crashes
             ],
         )
@@ -106,23 +110,23 @@
 def _name_run(run: Run, broke_at_s: float) -> str:
     """Name a run, with how long before its host broke its start was sent."""
     ago_ms = (broke_at_s - (run.sent_at_s or 0.0)) * 1000
-    return f"{run.task.job_id}/{run.task.place}/{run.number} {ago_ms:.1f} ms"
+    return f"{run.task.job_id}/{run.task.position}/{run.number} {ago_ms:.1f} ms"
 
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
     """Return what the waiting tasks would take of those workspaces that are to be told of."""
-    told = pool.workspaces.list_told()
+    told = pool.workspaces.list_reported()
     sums = dict.fromkeys(told, NO_RESOURCES)
     if sums:
         for task in pool.waiting.values():
             workspace = pool.jobs[task.key.job_id].spec.workspace
             if workspace in sums:
-                sums[workspace] += task.step.claim
+                sums[workspace] += task.step.charged_resources
     return sums
 
 
-def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStanding:
-    return HostStanding(
+def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
+    return HostStatus(
         machine=host.record.machine,
         host_id=host.record.id,
         is_usable=is_trusted
@@ -133,5 +137,5 @@
         lasting_count=host.lasting_count,
         is_needed=is_needed,
         is_awaited=is_trusted and host.is_awaited(now_s),
-        born_ms=host.record.born_ms,
+        host_started_at_ms=host.record.host_started_at_ms,
     )
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -27,7 +27,7 @@
 from robinthread._internal.platform.callers import make_callers_application
 from robinthread._internal.platform.hosts import PlatformHosts
 from robinthread._internal.platform.machines import PlatformMachines
-from robinthread._internal.platform.operators import PLATFORM_RECORDS
+from robinthread._internal.platform.platform_records import PLATFORM_RECORDS
 from robinthread._internal.platform.store import PlatformStore
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.telemetry.event_log import EventLog, LineWriter
@@ -87,20 +87,22 @@
         secrets.token_hex(4),
         peer_address,
         capacity_millicores,
-        began_at_ms=int(time.time() * 1000),
+        started_at_ms=int(time.time() * 1000),
     )
     events.write(
         "started",
-        life=me.life,
+        life=me.incarnation,
         peer_address=peer_address,
         hall=settings.hall,
         capacity_millicores=capacity_millicores,
     )
     assembled = assemble_node(holder, make_environment(settings, events, policy), me)
     metrics.observe("loop_lag_seconds", "of", lambda: {"event loop": assembled.lag.lag_s})
-    metrics.observe("pool_state", "pool", assembled.standing.read_states)
-    metrics.observe("lasting_away", "pool", assembled.standing.count_lasting_away)
-    metrics.observe("workspace_part", "pool_and_workspace", assembled.standing.read_workspace_parts)
+    metrics.observe("pool_state", "pool", assembled.status_reporter.read_states)
+    metrics.observe("lasting_away", "pool", assembled.status_reporter.count_lasting_not_running)
+    metrics.observe(
+        "workspace_part", "pool_and_workspace", assembled.status_reporter.read_workspace_parts
+    )
     requests = OpenRequests()
     callers = _serve(assembled, settings, peer_address, events, requests)
     if metrics_port is not None:
@@ -138,10 +140,10 @@
     requests: OpenRequests,
 ) -> HTTPServer:
     """Listen for the balancer, for other nodes and for callers; return the last."""
-    listen(make_ready_application(assembled.readiness.look), settings.ready_address)
-    listen(make_peer_application(assembled.answers), peer_address)
+    listen(make_ready_application(assembled.readiness.check), settings.ready_address)
+    listen(make_peer_application(assembled.request_handler), peer_address)
     application = make_callers_application(
-        assembled.gate, assembled.config_holder, events, requests
+        assembled.job_service, assembled.config_holder, events, requests
     )
     return listen(application, settings.caller_address)
 
--- a/src/robinthread/_internal/node/run_minder.py
+++ b/src/robinthread/_internal/node/run_monitor.py
@@ -12,7 +12,7 @@
 from robinthread._internal.node.wait_reporter import WaitReporter
 
 
-class RunMinder:
+class RunMonitor:
     """Looks at a pool's jobs and runs again and again, and tells what it does."""
 
     def __init__(self, runtime: PoolRuntime, orders: OrderSender) -> None:
@@ -21,7 +21,7 @@
         self._orders = orders
         self._wait_reporter = WaitReporter(runtime)
 
-    def look(self, now_s: float) -> None:
+    def check(self, now_s: float) -> None:
         """Open what is due; stop, move, copy and pace what asks for it."""
         self._wait_reporter.report(now_s)
         self._open_due()
@@ -34,7 +34,7 @@
         now_ms = self._runtime.context.get_wall_ms()
         for job in list(self._pool.jobs.values()):
             if not job.status.is_final and job.next_occurrence < job.occurrence_count:
-                self._pool.open_due(job, now_ms)
+                self._pool.queue_due_tasks(job, now_ms)
 
     def _stop_stalled(self, now_s: float) -> None:
         for run in stop_stalled(self._pool, now_s):
@@ -69,7 +69,7 @@
         self._runtime.events.write(
             event,
             job=run.task.job_id,
-            task=run.task.place,
+            task=run.task.position,
             run=run.number,
             host=run.host_id,
             **fields,
--- a/src/robinthread/_internal/node/share_keeper.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -5,25 +5,25 @@
 from typing import Final
 
 from robinthread._internal.fleet.pool_report import PoolReport
-from robinthread._internal.fleet.share_dealing import (
-    PoolUse,
-    deal_shares,
+from robinthread._internal.fleet.share_allocation import (
+    PoolUsage,
+    allocate_shares,
     find_next_shares,
-    get_kept_share,
+    get_reserved_share,
 )
 from robinthread._internal.models.fleet_config import FleetConfig
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.workspace_shares import (
     ShareOrder,
     ShareTable,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
 from robinthread._internal.telemetry.event_log import EventLog
 
 # A new steward that has not heard all pools waits so long before it gives those that it heard
 # the part that is never lent: most owners of lost pools are there by then, and a task of a
 # workspace that is under half of its limit may wait 3 s at most.
-HEARD_WITHIN_S: Final = 1.0
+FIRST_REPORTS_WAIT_S: Final = 1.0
 # Shares that differ by less are the same.
 USUAL_WITHIN: Final = 1e-6
 # A workspace that takes no more of its even share in each pool needs no shares of its own.
@@ -40,7 +40,7 @@
     confirmed: ShareTable
     was_told: bool
     pending: ShareTable | None = None
-    standings: Mapping[str, WorkspaceStanding] = field(default_factory=dict)
+    standings: Mapping[str, WorkspaceUsage] = field(default_factory=dict)
 
     @property
     def order(self) -> ShareTable | None:
@@ -67,7 +67,7 @@
         return is_bound and workspace in self.confirmed.shares and workspace in self.standings
 
 
-class ShareKeeper:
+class ShareAllocator:
     """Deals out the limits of workspaces over the pools, under the steward's token.
 
     A pool is heard once it has answered under this token: it then heeds no earlier steward,
@@ -94,9 +94,9 @@
         known = self._pools.get(pool)
         return ShareOrder(self._token, self._number, None if known is None else known.order)
 
-    def note_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
+    def record_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
         """Take in what pools answered to their last orders."""
-        untold = ShareTable(0, get_kept_share(self._kept_share, config))
+        untold = ShareTable(0, get_reserved_share(self._kept_share, config))
         for pool, report in reports.items():
             state = report.share_state
             if state is None or state.token != self._token:
@@ -115,11 +115,11 @@
         self._pools = {pool: known for pool, known in self._pools.items() if pool in pools}
         are_all_heard = len(self._pools) == len(pools)
         self._note_fallen(config, fell_in, are_all_heard)
-        kept = get_kept_share(self._kept_share, config)
+        kept = get_reserved_share(self._kept_share, config)
         if are_all_heard:
             defaults = self._find_defaults()
             named = self._deal_all(config, kept, defaults)
-        elif now_s - self._began_at_s >= HEARD_WITHIN_S:
+        elif now_s - self._began_at_s >= FIRST_REPORTS_WAIT_S:
             defaults = {pool: max(kept, known.default_bound) for pool, known in self._pools.items()}
             unheard_count = len(pools) - len(self._pools)
             named = {
@@ -166,7 +166,8 @@
     def _find_defaults(self) -> dict[str, float]:
         """Return what each pool is told of the workspaces that have no share of their own."""
         uses = {
-            pool: PoolUse(0.0, 0.0, 0.0, known.default_bound) for pool, known in self._pools.items()
+            pool: PoolUsage(0.0, 0.0, 0.0, known.default_bound)
+            for pool, known in self._pools.items()
         }
         return find_next_shares(uses, dict.fromkeys(uses, 1 / len(uses)), 1.0)
 
@@ -179,7 +180,7 @@
         if version is None:
             uses = {
                 pool: _make_use(
-                    known.standings.get(workspace, WorkspaceStanding(workspace, (0, 0, 0))),
+                    known.standings.get(workspace, WorkspaceUsage(workspace, (0, 0, 0))),
                     limit,
                     known.get_bound(workspace),
                 )
@@ -221,7 +222,7 @@
         told = {pool: known.get_bound(workspace) for pool, known in self._pools.items()}
         if uses:
             room = 1.0 - sum(share for pool, share in told.items() if pool not in uses)
-            told |= find_next_shares(uses, deal_shares(uses, room, kept), room)
+            told |= find_next_shares(uses, allocate_shares(uses, room, kept), room)
         return told
 
     def _is_usual(
@@ -262,13 +263,13 @@
         self._written = rounded
 
 
-def _make_use(standing: WorkspaceStanding, limit: Resources, bound: float) -> PoolUse:
+def _make_use(standing: WorkspaceUsage, limit: Resources, bound: float) -> PoolUsage:
     used, waiting, held_back = (
-        Resources(*room).get_part_of(limit)
+        Resources(*room).get_utilization(limit)
         for room in (standing.used, standing.waiting, standing.held_back)
     )
-    return PoolUse(used, waiting, held_back, bound)
+    return PoolUsage(used, waiting, held_back, bound)
 
 
-def _is_small(use: PoolUse) -> bool:
+def _is_small(use: PoolUsage) -> bool:
     return not use.held_back and use.used + use.waiting <= USUAL_PART * use.bound
--- a/src/robinthread/_internal/node/standing.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from robinthread._internal.jobs.host import Host
-from robinthread._internal.jobs.workspace_room import WorkspaceRoom
+from robinthread._internal.jobs.workspace_limiter import WorkspaceLimiter
 from robinthread._internal.node.loop_lag import LoopLag
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.pool_owner import PoolOwner
@@ -20,10 +20,10 @@
 SLOW_PERIOD_S: Final = 1.0
 # How often each pool is told.  Its line has some 400 bytes, so that a minute of a pool takes
 # a fifth of what collectors keep of a process at least (54 KB).
-STANDING_PERIOD_S: Final = 2.0
+STATUS_PERIOD_S: Final = 2.0
 
 
-class StandingReporter:
+class StatusReporter:
     """Tells how the pools stand that are owned here, open or not."""
 
     def __init__(
@@ -39,17 +39,17 @@
         """Tell until cancelled."""
         while True:
             await asyncio.sleep(LOOK_PERIOD_S)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Write what is due now."""
         self._events.tell_gathered()
-        self._readiness.look()
-        is_due = get_loop_s() - self._told_at_s >= STANDING_PERIOD_S
+        self._readiness.check()
+        is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
         if is_due:
             self._told_at_s = get_loop_s()
         for owner in self._owned.owners.values():
-            if not owner.is_open and owner.opening.is_due(SLOW_PERIOD_S):
+            if not owner.is_open and owner.opening.is_report_due(SLOW_PERIOD_S):
                 self._tell_slow(owner)
             if is_due:
                 self._tell_standing(owner)
@@ -58,7 +58,7 @@
         """Return 1 for each pool that is open and 0 for each that was only taken."""
         return {pool: float(owner.is_open) for pool, owner in self._owned.owners.items()}
 
-    def count_lasting_away(self) -> dict[str, float]:
+    def count_lasting_not_running(self) -> dict[str, float]:
         """Count, by pool, the lasting tasks that run nowhere."""
         return {
             pool: sum(task.step.is_lasting for task in owner.jobs.waiting.values())
@@ -70,7 +70,7 @@
         return {
             f"{pool}/{workspace}": part
             for pool, owner in self._owned.owners.items()
-            for workspace, part in owner.jobs.workspaces.list_parts().items()
+            for workspace, part in owner.jobs.workspaces.get_used_fractions().items()
         }
 
     def _tell_slow(self, owner: PoolOwner) -> None:
@@ -79,7 +79,7 @@
             pool=owner.pool,
             token=owner.token,
             missing=owner.opening.missing,
-            **owner.opening.list_times(),
+            **owner.opening.make_timing_fields(),
         )
 
     def _tell_standing(self, owner: PoolOwner) -> None:
@@ -89,7 +89,7 @@
             pool=owner.pool,
             token=owner.token,
             phase="open" if owner.is_open else "+".join(owner.opening.missing),
-            **owner.opening.tell_end(),
+            **owner.opening.make_end_fields(),
             loop_lag_s=round(self._lag.lag_s, 3),
             job_count=len(owner.jobs.jobs),
             waiting=len(waiting),
@@ -100,12 +100,12 @@
         )
 
 
-def _tell_workspaces(room: WorkspaceRoom) -> dict[str, Any]:
+def _tell_workspaces(room: WorkspaceLimiter) -> dict[str, Any]:
     """Tell of the workspaces that are near their share here, and of those held back by it."""
-    parts = room.list_parts()
+    parts = room.get_used_fractions()
     told = {
         name: [round(parts.get(name, 0.0), 3), round(room.get_share(name), 3)]
-        for name in room.list_told()
+        for name in room.list_reported()
     }
     return {"workspaces": told, "held_back": sorted(room.held_back)} if told else {}
 
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -12,22 +12,22 @@
 from robinthread._internal.durable.wave_records import WAVES_PARTITION
 from robinthread._internal.fleet.fleet_view import FleetPlan, FleetView
 from robinthread._internal.fleet.machine_errors import MachineError
-from robinthread._internal.fleet.newcomers import UNHEARD_MAX_S
+from robinthread._internal.fleet.new_machines import FIRST_REPORT_MAX_S
 from robinthread._internal.fleet.planner import FleetPlanner
-from robinthread._internal.fleet.pool_report import FleetQuestion, PoolReport
+from robinthread._internal.fleet.pool_report import FleetReportRequest, PoolReport
 from robinthread._internal.fleet.sizing import PoolSize
 from robinthread._internal.models.fleet_config import FleetConfig
 from robinthread._internal.node.context import NodeContext
 from robinthread._internal.node.environment import NodeEnvironment
-from robinthread._internal.node.fleet_views import FleetViews
+from robinthread._internal.node.fleet_view_builder import FleetViewBuilder
 from robinthread._internal.node.machine_orders import MachineOrders
 from robinthread._internal.node.node_settings import NodeBounds
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.share_keeper import ShareKeeper
-from robinthread._internal.node.upkeep_lines import UpkeepLines
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.share_allocator import ShareAllocator
+from robinthread._internal.node.upkeep_reporter import UpkeepReporter
+from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.gathered_lines import NAMES_MAX
 
 # How often the pools are asked how they stand, and the fleet is planned.
@@ -78,15 +78,15 @@
             context.store, ORDERS_PARTITION, writer, token, context.events
         )
         self._planner = FleetPlanner(context.policy.fleet)
-        self._shares = ShareKeeper(
+        self._shares = ShareAllocator(
             token, context.policy.workspaces.kept_share, get_loop_s(), context.events
         )
         self._listed_at_s = -LIST_PERIOD_S
         self._sizes: dict[str, PoolSize] = {}
         self._vacate: dict[str, frozenset[str]] = {}
-        self._lines = UpkeepLines(context.events)
+        self._lines = UpkeepReporter(context.events)
         self.fenced = asyncio.Event()
-        self._waves = WaveKeeper(
+        self._waves = WaveTracker(
             self._wave_journal,
             self._status_journal,
             self._records,
@@ -98,14 +98,14 @@
             self._orders_journal,
             self._waves,
             self._events,
-            f"{me.node}/{me.life}",
+            f"{me.node}/{me.incarnation}",
             token,
             context.settings.bounds.steward_turn_ms / 1000,
             _get_settle_s(context.settings.bounds),
             wait_s,
             self._note_fenced,
         )
-        self._views = FleetViews(context, self._orders, self._waves)
+        self._views = FleetViewBuilder(context, self._orders, self._waves)
 
     async def run(self) -> None:
         """Give orders until cancelled or fenced."""
@@ -137,7 +137,7 @@
         self._events.write(
             "steward_began",
             token=self.token,
-            ordered_before=sorted(self._orders.ordered_before)[:NAMES_MAX],
+            ordered_before=sorted(self._orders.previously_ordered)[:NAMES_MAX],
             unsettled=sorted(self._orders.unsettled.get_waves())[:NAMES_MAX],
             waves={wave.number: self._waves.count_begun(wave.number) for wave in waves},
         )
@@ -157,9 +157,9 @@
         if not is_listed:
             return
         if self._views.machines:
-            await self._waves.show(self._views.list_waves(), self._views.machines)
-        view = self._views.make(reports)
-        self._lines.note_counted(view.waves, self._views.machines)
+            await self._waves.publish_status(self._views.list_waves(), self._views.machines)
+        view = self._views.build(reports)
+        self._lines.report_down(view.waves, self._views.machines)
         plan = self._planner.plan(view, get_loop_s())
         for pool, machines in plan.vacate.items():
             if machines != self._vacate.get(pool, frozenset()):
@@ -171,7 +171,7 @@
                 )
         self._vacate = plan.vacate
         self._note_sizes(view, plan)
-        self._lines.note_ordered(view, plan.orders, get_loop_s() - self._listed_at_s)
+        self._lines.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
         await self._orders.give(plan.orders)
         self._orders.drop_settled()
 
@@ -191,10 +191,10 @@
                     awaited=sum(host.is_awaited for host in pool.hosts),
                     arriving=len(pool.arriving),
                     vacating=len(plan.vacate[pool.name]),
-                    lacking=size.lack_count,
+                    lacking=size.shortage_count,
                     needed=sum(host.is_needed for host in pool.hosts),
-                    fetch_room=pool.report.fetch_room,
-                    keep_room=pool.report.keep_room,
+                    fetch_room=pool.report.fetch_resources,
+                    keep_room=pool.report.keep_resources,
                 )
 
     async def _list_machines(self) -> bool:
@@ -208,7 +208,7 @@
             self._events.write("machines_unread", error=f"{type(error).__name__}: {error}")
             return False
         self._listed_at_s = asked_at_s
-        self._views.note_listed(listed, asked_at_s)
+        self._views.record_listing(listed, asked_at_s)
         return True
 
     async def _ask_pools(self) -> dict[str, PoolReport]:
@@ -221,13 +221,13 @@
         reports = {
             pool: report for pool, report in zip(pools, answers, strict=True) if report.is_owner
         }
-        self._shares.note_reports(config, reports)
-        self._shares.decide(config, holder.limit_fell_in, get_loop_s())
+        self._shares.record_reports(config, reports)
+        self._shares.decide(config, holder.limit_lowered_in, get_loop_s())
         return reports
 
     async def _ask_pool(self, pool: str, config: FleetConfig) -> PoolReport:
         owner = self._table.get(pool)
-        question = FleetQuestion(
+        question = FleetReportRequest(
             pool,
             tuple(sorted(self._vacate.get(pool, ()))),
             self._expects_hosts(pool),
@@ -237,9 +237,9 @@
         if owner is None:
             return PoolReport(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.answer_fleet(question)
+            return self._owned.handle_fleet_report(question)
         try:
-            return await self._peers.ask(owner.owner.address, question, PoolReport)
+            return await self._peers.send_request(owner.owner.address, question, PoolReport)
         except PeerUnreachableError:
             return PoolReport(is_owner=False)
 
@@ -265,4 +265,4 @@
     Two stewards take turns no faster, and until then the machine may be on its way.
     """
     away_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
-    return max(bounds.steward_turn_ms / 1000, away_s + UNHEARD_MAX_S)
+    return max(bounds.steward_turn_ms / 1000, away_s + FIRST_REPORT_MAX_S)
--- a/src/robinthread/_internal/node/upkeep_lines.py
+++ b/src/robinthread/_internal/node/upkeep_reporter.py
@@ -12,7 +12,7 @@
 MACHINES_NAMED_MAX: Final = 64
 
 
-class UpkeepLines:
+class UpkeepReporter:
     """Tells, wave by wave, which machines the steward takes for down and which it takes next.
 
     With these lines alone an engineer can replay the count behind any upkeep.
@@ -23,7 +23,7 @@
         self._down_since_s: dict[int, dict[str, float]] = {}
         self._over_bound: set[int] = set()
 
-    def note_counted(self, waves: Iterable[WaveView], known: Mapping[str, Machine]) -> None:
+    def report_down(self, waves: Iterable[WaveView], known: Mapping[str, Machine]) -> None:
         """Tell which machines count as down no longer, and where too many do."""
         now_s = get_loop_s()
         for wave in waves:
@@ -34,7 +34,7 @@
             since_s |= {name: since_s.get(name, now_s) for name in counted}
             self._note_bound(wave)
 
-    def note_ordered(
+    def report_orders(
         self,
         view: FleetView,
         orders: Iterable[MoveOrder | UpkeepOrder],
@@ -52,7 +52,7 @@
                     machines=_name(names),
                     in_reserve=sum(name in reserve for name in names),
                     down=_name(wave.down),
-                    doubtful=_name(wave.doubtful),
+                    doubtful=_name(wave.unconfirmed),
                     unsettled=_name(wave.unsettled),
                     at_once_max=wave.at_once_max,
                     pending_count=len(wave.pending),
@@ -73,12 +73,12 @@
 
     def _note_bound(self, wave: WaveView) -> None:
         """Tell of a wave that has too many down for sure; what is doubtful may be back."""
-        is_over = len(wave.down - wave.doubtful) > wave.at_once_max
+        is_over = len(wave.down - wave.unconfirmed) > wave.at_once_max
         if is_over and wave.number not in self._over_bound:
             self._events.write(
                 "wave_over_bound",
                 wave=wave.number,
-                down=_name(wave.down - wave.doubtful),
+                down=_name(wave.down - wave.unconfirmed),
                 at_once_max=wave.at_once_max,
             )
         (self._over_bound.add if is_over else self._over_bound.discard)(wave.number)
--- a/src/robinthread/_internal/platform/operators.py
+++ b/src/robinthread/_internal/platform/platform_records.py
@@ -13,7 +13,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.models.workspace_policy import WorkspacePolicy, digest_keys
 from robinthread._internal.node.environment import PlatformRecords
-from robinthread._internal.platform.births import Birth, get_birth_ms
+from robinthread._internal.platform.host_start_time import HostStartTime, get_host_started_at_ms
 
 WAVE_PREFIX: Final = "wave/"
 # A host and a port.
@@ -98,7 +98,7 @@
     capacity: WireCapacity = msgspec.field(default_factory=WireCapacity)
     labels: list[str] = []
     remaining_ms: Size = 0
-    born: Birth = msgspec.UNSET
+    born: HostStartTime = msgspec.UNSET
 
 
 class _WireWave(msgspec.Struct):
@@ -129,12 +129,12 @@
         pool=wire.service,
         address=wire.address,
         hall=wire.zone,
-        rack=get_rack(wire.labels),
-        room=wire.capacity.decode(),
+        rack=parse_rack(wire.labels),
+        capacity=wire.capacity.decode(),
         labels=frozenset(wire.labels),
         is_draining=wire.state == "draining",
         leaves_in_ms=wire.remaining_ms,
-        born_ms=get_birth_ms(wire.born),
+        host_started_at_ms=get_host_started_at_ms(wire.born),
     )
 
 
@@ -150,7 +150,7 @@
     return KeyedRecord(f"{WAVE_PREFIX}{wave}", value)
 
 
-def get_rack(labels: list[str]) -> str:
+def parse_rack(labels: list[str]) -> str:
     """Return the rack: labels are the kind, then the rack."""
     return labels[1] if len(labels) > 1 else ""
 
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -39,7 +39,7 @@
     """
 
     work_s: float | None
-    room: Resources = NO_RESOURCES
+    resources: Resources = NO_RESOURCES
     end: RunEnd = RunEnd.DONE
     gang_size: int = 0
     crashes_after_s: float | None = None
@@ -56,7 +56,7 @@
 
 
 class JobHostStandin:
-    """One life of a host; its reports tell ``born_ms`` where that is set."""
+    """One life of a host; its reports tell ``host_started_at_ms`` where that is set."""
 
     def __init__(
         self,
@@ -67,10 +67,10 @@
         takes_ticket: Callable[[StartOrder], bool] = lambda order: True,
         checks_room: Callable[[], bool] = lambda: True,
         take_down: Callable[[str], None] = lambda host_id: None,
-        born_ms: int | None = None,
+        host_started_at_ms: int | None = None,
     ) -> None:
         self.record = record
-        self._born_ms = born_ms
+        self._host_started_at_ms = host_started_at_ms
         self._take_down = take_down
         self._gangs = gangs
         self._takes_ticket = takes_ticket
@@ -116,8 +116,10 @@
         if not self._takes_ticket(order):
             raise TicketRejectedError("ticket")
         plan = self._plan_task(order.task)
-        taken = sum((present.plan.room for present in self._present.values()), start=plan.room)
-        if not taken.fits_in(self.record.room) and self._checks_room():
+        taken = sum(
+            (present.plan.resources for present in self._present.values()), start=plan.resources
+        )
+        if not taken.fits_in(self.record.capacity) and self._checks_room():
             raise NoRoomError("room")
         if not any(taken.fits_in(room) for room in self._list_known_rooms()):
             self._ledger.overfull.append(
@@ -162,7 +164,7 @@
                 if not present.is_stopping
             ),
             tuple(end for end in self._ended if end.number > listed_above),
-            self._born_ms,
+            self._host_started_at_ms,
         )
 
     async def wait_for_end(self, wait_s: float) -> None:
@@ -173,13 +175,16 @@
     def resize(self, record: UpstreamHost) -> None:
         """Have another room from now on, as ``record`` says."""
         now_s = asyncio.get_running_loop().time()
-        self._earlier_rooms.append((now_s, self.record.room))
+        self._earlier_rooms.append((now_s, self.record.capacity))
         self.record = record
 
     def _list_known_rooms(self) -> list[Resources]:
         """Return the rooms that whoever orders here may believe in: the last ones, and now's."""
         since_s = asyncio.get_running_loop().time() - ROOM_KNOWN_AFTER_S
-        return [self.record.room, *(room for at_s, room in self._earlier_rooms if at_s > since_s)]
+        return [
+            self.record.capacity,
+            *(room for at_s, room in self._earlier_rooms if at_s > since_s),
+        ]
 
     def crash(self) -> None:
         """End this life with all that runs."""
@@ -201,7 +206,7 @@
             self.record.id,
             loop.time(),
             is_stray=is_stray,
-            room=plan.room,
+            resources=plan.resources,
         )
         self._ledger.add(ledger_run)
         present = _Present(order, plan, ledger_run, loop.time())
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_nodes_left_out.py
@@ -8,10 +8,10 @@
 from robinthread._internal.durable.errors import StoreNoAnswerError
 from robinthread._internal.durable.ownership import OWNERS_PARTITION
 from robinthread._internal.durable.store import NewestPage, Partition
-from robinthread._internal.node.election import FLEET
-from robinthread._internal.node.job_gate import GateOutcome
-from robinthread._internal.node.peer_calls import ASK_TIMEOUT_S, PeerUnreachableError
-from robinthread._internal.node.peer_messages import RelayQuestion
+from robinthread._internal.node.election import FLEET_POOL
+from robinthread._internal.node.job_service import JobRequestOutcome
+from robinthread._internal.node.peer_calls import REQUEST_TIMEOUT_S, PeerUnreachableError
+from robinthread._internal.node.peer_messages import RelayRequest
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from robinthread._internal.standins.store_standin import StoreClient
@@ -31,18 +31,18 @@
 
 def silence_relays(platform: PlatformStandin, node: str) -> None:
     """Have what a node relays go out on connections that have gone silent."""
-    peers = platform.nodes[node].assembled.gate._peers
-    ask = peers.ask
+    peers = platform.nodes[node].assembled.job_service._peers
+    send_request = peers.send_request
 
     async def lose(
-        address: str, question: Any, answer_type: type, timeout_s: float = ASK_TIMEOUT_S
+        address: str, request: Any, response_type: type, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Any:
-        if isinstance(question, RelayQuestion):
+        if isinstance(request, RelayRequest):
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError("silent")
-        return await ask(address, question, answer_type, timeout_s)
+        return await send_request(address, request, response_type, timeout_s)
 
-    peers.ask = lose  # type: ignore[method-assign]
+    peers.send_request = lose  # type: ignore[method-assign]
 
 
 def lose_first_reads_of_owners(client: StoreClient) -> None:
@@ -69,7 +69,7 @@
             await asyncio.sleep(1.5)
             silence_relays(platform, name)
             began_at_s = asyncio.get_running_loop().time()
-            self.assertEqual(GateOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
+            self.assertEqual(JobRequestOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
             self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAYED_WITHIN_S)
 
         run_virtual(work())
@@ -85,10 +85,10 @@
             lose_first_reads_of_owners(client)
             for _look in range(60):
                 await asyncio.sleep(0.1)
-                if late.readiness.look():
+                if late.readiness.check():
                     told = await get_status(platform, "late", make_job(1).job_id)
                     self.assertIsNotNone(told)
-            self.assertTrue(late.readiness.look())
+            self.assertTrue(late.readiness.check())
 
         run_virtual(work())
 
@@ -108,7 +108,7 @@
             (new,) = (name for name in platform.nodes if is_steward(platform, name))
             self.assertNotEqual(last, new)
             node = platform.nodes[new].assembled.node
-            self.assertEqual(member, node._table.previous[FLEET].owner)
+            self.assertEqual(member, node._table.previous[FLEET_POOL].owner)
             wait_s = node._get_wait_s()
             self.assertEqual(BOUNDS.steward_turn_ms / 1000, wait_s)
 
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_relief.py
@@ -12,9 +12,9 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from tests.lib.job_platforms import (
+    HOST_CAPACITY,
     POOL,
     QUEUE,
-    ROOM,
     find_breaks,
     get_owner,
     hand_in,
@@ -37,7 +37,7 @@
     policies = (*map(PoolPolicy, POOLS), PoolPolicy(RESERVE, is_reserve=True))
     platform.configure(1, (QUEUE,), policies)
     for number in range(4):
-        platform.machines.add(POOL, f"r{number % 2}", ROOM)
+        platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
     return platform
 
 
@@ -53,7 +53,7 @@
         await asyncio.sleep(0.01)
 
 
-class ReliefTest(TestCase):
+class PoolRebalancingTest(TestCase):
     def test_pools_spread_over_nodes_that_come_later(self) -> None:
         async def work() -> None:
             platform = make_platform()
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -13,7 +13,7 @@
     MAPS,
     POOLS,
     SHOP,
-    TASK_ROOM,
+    TASK_RESOURCES,
     Feeder,
     UseSample,
     configure,
@@ -127,7 +127,7 @@
             await Feeder(platform).feed(MAPS, "press", FLOOD_PER_S, 4)
             name = get_owner(platform, "press")
             assert name is not None
-            parts = platform.nodes[name].assembled.standing.read_workspace_parts()
+            parts = platform.nodes[name].assembled.status_reporter.read_workspace_parts()
             # Beside the part that the two other pools keep it has the whole limit, in whole tasks.
             self.assertGreater(parts[f"press/{MAPS}"], 0.7)
             lines = [json.loads(line) for line in platform.events]
@@ -142,7 +142,7 @@
 
     def test_limit_of_one_task_lets_pools_begin_one_after_the_other(self) -> None:
         async def work() -> None:
-            platform = await start_limited(limit=TASK_ROOM)
+            platform = await start_limited(limit=TASK_RESOURCES)
             feeder = Feeder(platform)
             specs = [await feeder.hand_in(MAPS, pool) for pool in POOLS]
             for spec in specs:
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -11,12 +11,12 @@
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
-from robinthread._internal.node.job_gate import GateOutcome
+from robinthread._internal.node.job_service import JobRequestOutcome
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
 from robinthread._internal.standins.run_ledger import LedgerRun
 from tests.lib.drawn_days import Span
-from tests.lib.job_platforms import ROOM, get_owner, make_job, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, get_owner, make_job, wait_until
 
 # One node in three is large, with a link of 200 Mbit/s; the others have half a core and
 # 10 Mbit/s, as in the deployments that were hit.
@@ -115,9 +115,9 @@
     policies = [PoolPolicy(pool) for pool in site.pools]
     platform.configure(1, queues, (*policies, PoolPolicy(RESERVE, is_reserve=True)))
     for pool, number in itertools.product(site.pools, range(size.hosts_a_pool)):
-        platform.machines.add(pool, f"r{number % 4}", ROOM)
+        platform.machines.add(pool, f"r{number % 4}", HOST_CAPACITY)
     for number in range(size.reserve):
-        platform.machines.add(RESERVE, f"r{number % 4}", ROOM)
+        platform.machines.add(RESERVE, f"r{number % 4}", HOST_CAPACITY)
     site.names = tuple(f"node{number}" for number in range(size.nodes))
     for name in site.names:
         start_node(site, name)
@@ -139,9 +139,9 @@
     )
     pool = site.pools[number]
     spec = make_job(number, step, queue=f"queue-{pool}", pool=pool)
-    gate = site.platform.nodes[site.names[number]].assembled.gate
-    outcome = await gate.accept(spec, asyncio.get_running_loop().time() + 3)
-    assert outcome is GateOutcome.DONE
+    job_service = site.platform.nodes[site.names[number]].assembled.job_service
+    outcome = await job_service.accept(spec, asyncio.get_running_loop().time() + 3)
+    assert outcome is JobRequestOutcome.DONE
 
 
 def start_node(site: Site, name: str) -> None:
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -22,7 +22,7 @@
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.platform.hosts import HOST_HEADER
 from robinthread._internal.platform.machines import HOLDER_HEADER, TOKEN_HEADER
-from robinthread._internal.platform.operators import PLATFORM_RECORDS, WAVE_PREFIX
+from robinthread._internal.platform.platform_records import PLATFORM_RECORDS, WAVE_PREFIX
 from robinthread._internal.platform.task_names import format_task, parse_task
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.platform_standin import RESERVE, PlatformStandin
@@ -50,7 +50,7 @@
         {"name": RESERVE, "admission_check": True, "headroom": True},
     ],
 }
-ROOM = Resources(16_000, 32_000)
+HOST_CAPACITY = Resources(16_000, 32_000)
 # Work of the tasks, by their index; a job of lasting tasks has its own.
 WORK_S = (0.3, 0.8, 1.5)
 LASTING_JOB = "1" * 16
@@ -92,7 +92,7 @@
         )
         for number in range(machines + reserve):
             pool = POOL if number < machines else RESERVE
-            self.machines.add(pool, f"r{number % 2}", ROOM)
+            self.machines.add(pool, f"r{number % 2}", HOST_CAPACITY)
         operators = PLATFORM_RECORDS.operators_partition
         self.store.put(operators, PLATFORM_RECORDS.config_key, msgspec.json.encode(CONFIG))
 
@@ -139,10 +139,10 @@
             "cold_remaining_ms": 0,
             "sequence": 1,
             "machine": record.machine,
-            "capacity": _encode_room(record.room),
+            "capacity": _encode_capacity(record.capacity),
             "labels": ["large", record.rack],
             "remaining_ms": record.leaves_in_ms or 0,
-            **_encode_birth(record.born_ms),
+            **_encode_start_time(record.host_started_at_ms),
         }
         self.store.put(PLATFORM_RECORDS.hosts_partition, record.id, msgspec.json.encode(value))
 
@@ -174,8 +174,8 @@
         return {"world": self, "machine": machine}
 
 
-def _encode_room(room: Resources) -> dict[str, int]:
-    return {"cpu": room.cpu_millicores, "mem_mb": room.memory_mb, "gpu": room.gpu_count}
+def _encode_capacity(capacity: Resources) -> dict[str, int]:
+    return {"cpu": capacity.cpu_millicores, "mem_mb": capacity.memory_mb, "gpu": capacity.gpu_count}
 
 
 class _HostHandler(RequestHandler):
@@ -225,12 +225,12 @@
         return _encode_report(report)
 
 
-def _encode_birth(born_ms: int | None) -> dict[str, Any]:
-    return {} if born_ms is None else {"born": born_ms}
+def _encode_start_time(host_started_at_ms: int | None) -> dict[str, Any]:
+    return {} if host_started_at_ms is None else {"born": host_started_at_ms}
 
 
 def _encode_report(report: HostReport) -> dict[str, Any]:
-    return _encode_birth(report.born_ms) | {
+    return _encode_start_time(report.host_started_at_ms) | {
         "clock_ms": report.clock_ms,
         "running": [
             [format_task(run.task), run.run, "", run.progress_percent, run.recent_load]
@@ -256,7 +256,7 @@
                 "state": machine.state.value,
                 "zone": "hall",
                 "labels": ["large", machine.rack],
-                "capacity": _encode_room(machine.room),
+                "capacity": _encode_capacity(machine.capacity),
                 "id": machine.host_id or None,
             }
             for machine in self._machines.list_machines()
--- a/tests/lib/turns.py
+++ b/tests/lib/turns.py
@@ -10,12 +10,12 @@
 
 from robinthread._internal.fleet.fleet_view import FleetView, MoveOrder, PoolView
 from robinthread._internal.fleet.planner import FleetPlanner
-from robinthread._internal.fleet.pool_report import HostStanding, PoolReport
+from robinthread._internal.fleet.pool_report import HostStatus, PoolReport
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
 
-ROOM: Final = Resources(16_000, 32_000, 0)
+HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 RESERVE: Final = "reserve"
 STEP_S: Final = 0.1
 TURN_S: Final = 5.0
@@ -67,16 +67,16 @@
         urgent = _as_room(rate + fresh / DRAIN_S)
         wanted = _as_room(rate + (fresh + LATE_SHARE * late) / DRAIN_S)
         hosts = tuple(self._stand(host, now_s) for host in sorted(self.hosts))
-        return PoolReport(True, wanted, wanted, hosts, urgent_room=urgent)
+        return PoolReport(True, wanted, wanted, hosts, urgent_resources=urgent)
 
-    def _stand(self, host: str, now_s: float) -> HostStanding:
+    def _stand(self, host: str, now_s: float) -> HostStatus:
         since_s = self.vacating_since_s.get(host)
         is_empty = since_s is not None and now_s - since_s >= EMPTIES_S
-        return HostStanding(host, host, True, since_s is not None, int(not is_empty), 0)
+        return HostStatus(host, host, True, since_s is not None, int(not is_empty), 0)
 
 
 def _as_room(hosts: float) -> tuple[int, int, int]:
-    return round(hosts * ROOM.cpu_millicores), 0, 0
+    return round(hosts * HOST_CAPACITY.cpu_millicores), 0, 0
 
 
 @dataclass(frozen=True)
@@ -169,4 +169,4 @@
 
 
 def _machine(name: str, pool: str) -> Machine:
-    return Machine(name, pool, MachineState.UP, "hall", "r", "a", ROOM, name)
+    return Machine(name, pool, MachineState.UP, "hall", "r", "a", HOST_CAPACITY, name)
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -12,9 +12,14 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 LASTING = StepSpec(
-    6, cpu_millicores=1000, is_lasting=True, per_host_max=2, away_max=1, has_away_limit=True
+    6,
+    cpu_millicores=1000,
+    is_lasting=True,
+    per_host_max=2,
+    not_running_max=1,
+    has_not_running_limit=True,
 )
 
 
@@ -22,7 +27,9 @@
     """Make a pool whose job's tasks run, by turns, on the first ``used_hosts`` hosts."""
     pool = PoolJobs()
     for number in range(hosts):
-        record = UpstreamHost(f"h{number}", f"m{number}", "", "", "", "r", ROOM, frozenset())
+        record = UpstreamHost(
+            f"h{number}", f"m{number}", "", "", "", "r", HOST_CAPACITY, frozenset()
+        )
         pool.add_host(record).contact = HostContact.ANSWERING
     spec = JobSpec("0" * 16, "queue", "pool", "", (step,))
     job = pool.add_job(spec, QueuePolicy("queue", "", "", "pool"), 0, 0.0)
@@ -36,9 +43,9 @@
 def drain(host: Host, leaves_in_ms: int, now_s: float) -> None:
     record = host.record
     host.record = UpstreamHost(
-        record.id, record.machine, "", "", "", "r", ROOM, frozenset(), True, leaves_in_ms
+        record.id, record.machine, "", "", "", "r", HOST_CAPACITY, frozenset(), True, leaves_in_ms
     )
-    host.note_draining(2.0, now_s)
+    host.record_draining(2.0, now_s)
 
 
 class LastingTest(TestCase):
@@ -65,7 +72,9 @@
 class LastingOnDrainingHostTest(TestCase):
     """One task of a step may be away; an order that ends it on a sound host counts by its end."""
 
-    STEP = StepSpec(2, cpu_millicores=1000, is_lasting=True, away_max=1, has_away_limit=True)
+    STEP = StepSpec(
+        2, cpu_millicores=1000, is_lasting=True, not_running_max=1, has_not_running_limit=True
+    )
 
     def test_sound_host_keeps_its_task_while_another_leaves_a_draining_one(self) -> None:
         for draining, vacating in (("h0", "h1"), ("h1", "h0")):
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -4,13 +4,17 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.crash_book import CrashNoteKind
+from robinthread._internal.jobs.crash_tracker import CrashEventKind
 from robinthread._internal.jobs.host import HostContact
 from robinthread._internal.jobs.host_errors import HostRefusedError, HostSilentError
-from robinthread._internal.jobs.host_loss import note_crashed, note_lapsed, withdraw_lapsed
+from robinthread._internal.jobs.host_loss import (
+    record_host_crash,
+    record_host_lapse,
+    withdraw_lapsed,
+)
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
-from robinthread._internal.jobs.suspects import note_outlived, place_suspects
+from robinthread._internal.jobs.suspects import clear_surviving_suspects, place_suspects
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.job_status import JobStatus
@@ -18,7 +22,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-ROOM = Resources(16_000, 32_000, 0)
+HOST_CAPACITY = Resources(16_000, 32_000, 0)
 POLICY = QueuePolicy("queue", "", "", "pool")
 NOW_S = 100.0
 STEP = StepSpec(1, cpu_millicores=1000)
@@ -32,7 +36,9 @@
         for number in range(hosts):
             name = f"h{number}"
             rack_name = rack or f"r{number}"
-            record = UpstreamHost(name, f"m{number}", "", "", "", rack_name, ROOM, frozenset())
+            record = UpstreamHost(
+                name, f"m{number}", "", "", "", rack_name, HOST_CAPACITY, frozenset()
+            )
             host = self.pool.add_host(record)
             host.contact = HostContact.ANSWERING
             host.reported_at_s = NOW_S
@@ -41,7 +47,7 @@
         """Add a job whose task waits."""
         spec = JobSpec(f"{number:016x}", "queue", "pool", "", (step,))
         job = self.pool.add_job(spec, POLICY, number, NOW_S)
-        self.pool.open_due(job, 0)
+        self.pool.queue_due_tasks(job, 0)
         return job.get_tasks(0, 0)[0]
 
     def start(self, task: Task, host: str, at_s: float, is_there: bool = True) -> Run:
@@ -62,12 +68,12 @@
         host = self.pool.hosts[host_id]
         host.contact = HostContact.SILENT
         error = HostSilentError("timed out") if is_silent else HostRefusedError("refused")
-        host.note_failed(error, at_s)
-        note_crashed(self.pool, host, at_s + 0.1, 0)
+        host.record_failure(error, at_s)
+        record_host_crash(self.pool, host, at_s + 0.1, 0)
 
     def list_suspects(self) -> set[str]:
         """Return the last digits of the ids of the jobs whose tasks are suspect."""
-        return {key.job_id[-1] for key in self.pool.crash_book.suspects}
+        return {key.job_id[-1] for key in self.pool.crash_tracker.suspects}
 
 
 class HostLossTest(TestCase):
@@ -116,7 +122,7 @@
         for number in (0, 1):
             hosts.start(hosts.add_task(number), f"h{number}", NOW_S)
             hosts.pool.hosts[f"h{number}"].contact = HostContact.SILENT
-            hosts.pool.hosts[f"h{number}"].note_failed(HostRefusedError("refused"), NOW_S + 0.01)
+            hosts.pool.hosts[f"h{number}"].record_failure(HostRefusedError("refused"), NOW_S + 0.01)
         hosts.crash("h0", NOW_S + 0.01)
         hosts.crash("h1", NOW_S + 0.01)
         self.assertEqual(set(), hosts.list_suspects())
@@ -125,33 +131,33 @@
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
         host.record = replace(host.record, is_draining=True, leaves_in_ms=2000)
-        host.note_draining(2.0, NOW_S)
-        host.note_failed(HostRefusedError("refused"), NOW_S + 0.3)
-        self.assertFalse(host.was_to_end())
-        host.note_answered()
-        host.note_failed(HostRefusedError("refused"), NOW_S + 1.9)
-        self.assertTrue(host.was_to_end())
+        host.record_draining(2.0, NOW_S)
+        host.record_failure(HostRefusedError("refused"), NOW_S + 0.3)
+        self.assertFalse(host.was_expected_to_end())
+        host.record_response()
+        host.record_failure(HostRefusedError("refused"), NOW_S + 1.9)
+        self.assertTrue(host.was_expected_to_end())
 
     def test_host_that_left_without_a_word_was_to_end(self) -> None:
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
-        self.assertFalse(host.was_to_end())
-        host.note_listed(False)
-        self.assertTrue(host.was_to_end())
-        host.note_listed(True)
-        self.assertFalse(host.was_to_end())
+        self.assertFalse(host.was_expected_to_end())
+        host.record_listing(False)
+        self.assertTrue(host.was_expected_to_end())
+        host.record_listing(True)
+        self.assertFalse(host.was_expected_to_end())
         crashed = hosts.pool.hosts["h1"]
-        crashed.note_failed(HostRefusedError("refused"), NOW_S)
-        crashed.note_listed(False)
-        self.assertFalse(crashed.was_to_end())
+        crashed.record_failure(HostRefusedError("refused"), NOW_S)
+        crashed.record_listing(False)
+        self.assertFalse(crashed.was_expected_to_end())
 
     def test_lapsed_lease_makes_suspects_only_until_the_host_answers(self) -> None:
         hosts = PoolOfHosts()
         task, host = hosts.add_task(1), hosts.pool.hosts["h0"]
         hosts.start(task, "h0", NOW_S)
         host.contact = HostContact.SILENT
-        host.note_failed(HostRefusedError("refused"), NOW_S + 0.01)
-        note_lapsed(hosts.pool, host, NOW_S + 4.2, 0)
+        host.record_failure(HostRefusedError("refused"), NOW_S + 0.01)
+        record_host_lapse(hosts.pool, host, NOW_S + 4.2, 0)
         self.assertEqual({"1"}, hosts.list_suspects())
         withdraw_lapsed(hosts.pool, host)
         self.assertEqual((), task.crashes)
@@ -170,13 +176,13 @@
         hosts = PoolOfHosts(hosts=2)
         task = self.suspect(hosts)
         self.assertEqual(1, place_suspects(hosts.pool, NOW_S + 1, 0))
-        self.assertEqual(frozenset({"h1"}), hosts.pool.crash_book.trials.reserved)
+        self.assertEqual(frozenset({"h1"}), hosts.pool.crash_tracker.trials.reserved)
         hosts.send(task.runs[0], NOW_S + 1)
-        note_outlived(hosts.pool, NOW_S + 1.1)
+        clear_surviving_suspects(hosts.pool, NOW_S + 1.1)
         self.assertEqual({"1"}, hosts.list_suspects())
-        note_outlived(hosts.pool, NOW_S + 1.2)
+        clear_surviving_suspects(hosts.pool, NOW_S + 1.2)
         self.assertEqual(set(), hosts.list_suspects())
-        self.assertEqual(frozenset(), hosts.pool.crash_book.trials.reserved)
+        self.assertEqual(frozenset(), hosts.pool.crash_tracker.trials.reserved)
 
     def test_suspect_waits_for_a_host_where_nothing_has_just_begun(self) -> None:
         hosts = PoolOfHosts(hosts=2)
@@ -192,7 +198,7 @@
             hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
         self.assertEqual(2, place_suspects(hosts.pool, NOW_S + 1, 0))
-        self.assertEqual(2, len(hosts.pool.crash_book.trials.reserved))
+        self.assertEqual(2, len(hosts.pool.crash_tracker.trials.reserved))
 
     def test_second_crash_of_a_trial_gives_the_job_up_and_tells_why(self) -> None:
         hosts = PoolOfHosts()
@@ -203,9 +209,9 @@
             run = hosts.send(task.runs[0], at_s)
             hosts.crash(run.host_id, at_s + 0.01)
         self.assertIs(JobStatus.FAILED, hosts.pool.jobs[task.key.job_id].status)
-        notes = [note.kind for note in hosts.pool.crash_book.take_notes()]
-        self.assertEqual(1, notes.count(CrashNoteKind.GIVEN_UP))
-        self.assertEqual({}, hosts.pool.crash_book.suspects)
+        notes = [note.kind for note in hosts.pool.crash_tracker.drain_events()]
+        self.assertEqual(1, notes.count(CrashEventKind.GIVEN_UP))
+        self.assertEqual({}, hosts.pool.crash_tracker.suspects)
 
     def test_other_tasks_of_a_job_wait_while_one_is_to_blame(self) -> None:
         hosts = PoolOfHosts()
@@ -213,11 +219,11 @@
         other = hosts.pool.jobs[task.key.job_id].get_tasks(0, 0)[1]
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
-        self.assertFalse(hosts.pool.is_held(other))
+        self.assertFalse(hosts.pool.is_withheld(other))
         place_suspects(hosts.pool, NOW_S + 10, 0)
         run = hosts.send(task.runs[0], NOW_S + 10)
         hosts.crash(run.host_id, NOW_S + 10.01)
-        self.assertTrue(hosts.pool.is_held(other))
+        self.assertTrue(hosts.pool.is_withheld(other))
 
     def test_suspect_that_may_have_copies_gets_none(self) -> None:
         hosts = PoolOfHosts()
@@ -225,7 +231,7 @@
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.01)
         place_suspects(hosts.pool, NOW_S + 1, 0)
-        hosts.pool.ask_for_copy(task)
+        hosts.pool.request_copy(task)
         self.assertNotIn(task.key, hosts.pool.waiting)
 
     def test_task_that_was_lost_with_a_silent_host_may_have_a_copy(self) -> None:
@@ -235,5 +241,5 @@
         hosts.start(task, "h0", NOW_S)
         hosts.crash("h0", NOW_S + 0.4, is_silent=True)
         hosts.start(task, "h1", NOW_S + 1)
-        hosts.pool.ask_for_copy(task)
+        hosts.pool.request_copy(task)
         self.assertIn(task.key, hosts.pool.waiting)
--- a/tests/unit/test_machine_orders.py
+++ b/tests/unit/test_machine_orders.py
@@ -15,8 +15,11 @@
 from robinthread._internal.fleet.fleet_view import MoveOrder, UpkeepOrder
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.machine_orders import MachineOrders
-from robinthread._internal.node.unsettled_upkeep import AUTHOR_FROZEN_MAX_S, ORDER_LATE_MAX_S
-from robinthread._internal.node.wave_keeper import WaveKeeper
+from robinthread._internal.node.unsettled_upkeep import (
+    ORDER_DELAY_MAX_S,
+    PREVIOUS_STEWARD_FROZEN_MAX_S,
+)
+from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import (
     RECORDS,
@@ -24,7 +27,7 @@
     PlatformStandin,
 )
 from robinthread._internal.telemetry.event_log import EventLog
-from tests.lib.job_platforms import POOL, ROOM, plan_second, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, POOL, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
 TURN_S = BOUNDS.steward_turn_ms / 1000
@@ -38,7 +41,7 @@
     return MachineOrders(
         platform.machines.connect("n"),
         journal,
-        WaveKeeper(journal, journal, RECORDS, events, BOUNDS.machine_upkeep_s),
+        WaveTracker(journal, journal, RECORDS, events, BOUNDS.machine_upkeep_s),
         events,
         f"n/{token}",
         token,
@@ -67,7 +70,7 @@
         self.platform = PlatformStandin(plan_second)
 
     def _add_machines(self, count: int) -> list[str]:
-        return [self.platform.machines.add(RESERVE, "r", ROOM) for _ in range(count)]
+        return [self.platform.machines.add(RESERVE, "r", HOST_CAPACITY) for _ in range(count)]
 
     def test_steward_that_need_not_wait_records_what_it_is_about_to_order(self) -> None:
         async def work() -> None:
@@ -87,7 +90,7 @@
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((MoveOrder(first, POOL),))
             await asyncio.sleep(TURN_S + 0.5)
-            orders.note_listed(asyncio.get_running_loop().time())
+            orders.record_listing(asyncio.get_running_loop().time())
             # The first one may still be on its way: it settles only SETTLE_S after its order.
             await orders.give((MoveOrder(second, POOL),))
             self.assertEqual((first, second), read_machines(self.platform))
@@ -101,7 +104,7 @@
             for wait_s, held in ((TURN_S, {machine}), (0.0, set())):
                 following = make_orders(self.platform, 2, wait_s)
                 following.load(read_records(self.platform))
-                self.assertEqual(held, following.list_held())
+                self.assertEqual(held, following.list_blocked())
 
         run_virtual(work())
 
@@ -111,7 +114,7 @@
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((MoveOrder(first, POOL),))
             await asyncio.sleep(SETTLE_S)
-            orders.note_listed(asyncio.get_running_loop().time())
+            orders.record_listing(asyncio.get_running_loop().time())
             await orders.give((MoveOrder(second, POOL),))
             self.assertEqual((second,), read_machines(self.platform))
 
@@ -129,7 +132,7 @@
             self.platform.machines.faults.silent.clear()
             await wait_until(lambda: first in orders.moved)
             await asyncio.sleep(TURN_S / 2)
-            orders.note_listed(asyncio.get_running_loop().time())
+            orders.record_listing(asyncio.get_running_loop().time())
             await orders.give((MoveOrder(second, POOL),))
             self.assertEqual((first, second), read_machines(self.platform))
 
@@ -140,9 +143,9 @@
             (machine,) = self._add_machines(1)
             await make_orders(self.platform, 1, wait_s=0.0).give((MoveOrder(machine, POOL),))
             following = make_orders(self.platform, 2, wait_s=0.0)
-            self.assertEqual(frozenset(), following.ordered_before)
+            self.assertEqual(frozenset(), following.previously_ordered)
             following.load(read_records(self.platform))
-            self.assertEqual({machine}, following.ordered_before)
+            self.assertEqual({machine}, following.previously_ordered)
 
         run_virtual(work())
 
@@ -154,10 +157,10 @@
             following = make_orders(self.platform, 2, TURN_S)
             following.load(read_records(self.platform))
             known = {
-                name: Machine(name, pool, MachineState.UP, "hall", "r", "", ROOM, "")
+                name: Machine(name, pool, MachineState.UP, "hall", "r", "", HOST_CAPACITY, "")
                 for name, pool in ((come, POOL), (late, RESERVE))
             }
-            self.assertEqual({come, late}, following.list_held())
+            self.assertEqual({come, late}, following.list_blocked())
             self.assertEqual({late}, following.list_leaving(known))
             known[come] = replace(known[come], state=MachineState.MOVING)
             self.assertEqual({come, late}, following.list_leaving(known))
@@ -170,7 +173,7 @@
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((MoveOrder(first, POOL),))
             await wait_until(lambda: first in orders.moved)
-            orders.note_listed(asyncio.get_running_loop().time() + 1)
+            orders.record_listing(asyncio.get_running_loop().time() + 1)
             await asyncio.sleep(SETTLE_S - 1)
             orders.drop_settled()
             await asyncio.sleep(0.5)
@@ -180,7 +183,7 @@
             await orders.give((MoveOrder(second, POOL),))
             self.assertEqual((second,), read_machines(self.platform))
             await asyncio.sleep(SETTLE_S)
-            orders.note_listed(asyncio.get_running_loop().time())
+            orders.record_listing(asyncio.get_running_loop().time())
             orders.drop_settled()
             await asyncio.sleep(1)
             self.assertEqual((), read_machines(self.platform))
@@ -226,11 +229,11 @@
         self.platform = PlatformStandin(plan_second)
 
     async def _replace(self, begun: bool, wait_s: float = TURN_S) -> tuple[MachineOrders, str]:
-        machine = self.platform.machines.add(RESERVE, "r", ROOM)
+        machine = self.platform.machines.add(RESERVE, "r", HOST_CAPACITY)
         await make_orders(self.platform, 1, wait_s=0.0).give((UpkeepOrder(machine, 1),))
         following = make_orders(self.platform, 2, wait_s)
         if begun:
-            await following._waves.note_begun(1, machine)
+            await following._waves.record_start(1, machine)
         following.load(read_records(self.platform))
         return following, machine
 
@@ -249,15 +252,15 @@
         async def work() -> None:
             orders, machine = await self._replace(begun=False)
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
-            listed = Machine(machine, RESERVE, MachineState.UP, "", "", "", ROOM, "")
-            orders.unsettled.note_listed({machine: listed})
+            listed = Machine(machine, RESERVE, MachineState.UP, "", "", "", HOST_CAPACITY, "")
+            orders.unsettled.record_listing({machine: listed})
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
-            orders.unsettled.note_listed({machine: replace(listed, state=MachineState.UPKEEP)})
+            orders.unsettled.record_listing({machine: replace(listed, state=MachineState.UPKEEP)})
             self.assertEqual({}, orders.unsettled.get_waves())
-            for wait_s, left_s in ((0.0, 0.0), (TURN_S, AUTHOR_FROZEN_MAX_S)):
+            for wait_s, left_s in ((0.0, 0.0), (TURN_S, PREVIOUS_STEWARD_FROZEN_MAX_S)):
                 self.platform = PlatformStandin(plan_second)
                 orders, machine = await self._replace(begun=False, wait_s=wait_s)
-                await asyncio.sleep(ORDER_LATE_MAX_S - 1)
+                await asyncio.sleep(ORDER_DELAY_MAX_S - 1)
                 self.assertEqual({machine: 1}, orders.unsettled.get_waves())
                 await asyncio.sleep(left_s + 2)
                 self.assertEqual({}, orders.unsettled.get_waves())
@@ -276,7 +279,7 @@
         """The place was free 1.3 s after the order was sent, which was done 4 s after."""
 
         async def work() -> None:
-            (machine,) = (self.platform.machines.add(RESERVE, "r", ROOM),)
+            (machine,) = (self.platform.machines.add(RESERVE, "r", HOST_CAPACITY),)
             orders = make_orders(self.platform, 1, wait_s=0.0)
             faults = self.platform.machines.faults
             faults.lost_share, faults.late_s = 1.0, (4.0, 4.0)
@@ -296,12 +299,12 @@
         """A store that is slow for 3 s had the first upkeep recorded after the second was sent."""
 
         async def work() -> None:
-            machine = self.platform.machines.add(RESERVE, "r", ROOM)
+            machine = self.platform.machines.add(RESERVE, "r", HOST_CAPACITY)
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((UpkeepOrder(machine, 1),))
             self.platform.store.faults.silent.add("*")
             await asyncio.sleep(2.5)
-            orders.note_listed(asyncio.get_running_loop().time())
+            orders.record_listing(asyncio.get_running_loop().time())
             self.platform.machines.faults.silent.add("*")
             second = UpkeepOrder(machine, 2)
             orders.under_way[machine] = second
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.jobs.demand import DemandMeter
+from robinthread._internal.jobs.demand import DemandForecaster
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.host_errors import (
     HostNoAnswerError,
@@ -18,7 +18,7 @@
 from robinthread._internal.models.resources import NO_RESOURCES
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.node.pool_reporting import make_pool_report, tell_ended
+from robinthread._internal.node.pool_reporting import log_host_ended, make_pool_report
 from robinthread._internal.settings.policy_settings import DemandPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 
@@ -36,7 +36,7 @@
         self.events = EventLog("n", lambda line: self.lines.append(json.loads(line)))
 
     def tell(self, host: Host) -> None:
-        tell_ended(self.events, "press", host, "its machine is another host now", 5.0, "h9")
+        log_host_ended(self.events, "press", host, "its machine is another host now", 5.0, "h9")
 
     def test_host_with_runs_has_a_line_of_its_own(self) -> None:
         for name in ("h1", "h2"):
@@ -53,20 +53,20 @@
             run = Run(TaskKey("0" * 16, 0, 0, number), 1, "h1", "")
             run.sent_at_s = sent_at_s
             host.add_run(run, NO_RESOURCES)
-        host.note_failed(HostNoAnswerError("reset by peer"), 5.0)
-        host.note_failed(HostRefusedError("refused"), 5.2)
+        host.record_failure(HostNoAnswerError("reset by peer"), 5.0)
+        host.record_failure(HostRefusedError("refused"), 5.2)
         self.tell(host)
         names = [f"{'0' * 16}/0.0.1/1 10.0 ms", f"{'0' * 16}/0.0.0/1 2000.0 ms"]
         self.assertEqual((names, 0.0), (self.lines[0]["newest"], self.lines[0]["broke_ago_s"]))
 
     def test_silence_is_no_break_and_an_answer_ends_one(self) -> None:
         host = make_host("h1")
-        host.note_failed(HostSilentError("timed out"), 5.0)
-        self.assertIsNone(host.broken_at_s)
-        host.note_failed(HostNoAnswerError("reset by peer"), 6.0)
-        self.assertEqual(6.0, host.broken_at_s)
-        host.note_answered()
-        self.assertIsNone(host.broken_at_s)
+        host.record_failure(HostSilentError("timed out"), 5.0)
+        self.assertIsNone(host.connection_broken_at_s)
+        host.record_failure(HostNoAnswerError("reset by peer"), 6.0)
+        self.assertEqual(6.0, host.connection_broken_at_s)
+        host.record_response()
+        self.assertIsNone(host.connection_broken_at_s)
 
     def test_hosts_without_runs_are_told_together(self) -> None:
         for number in range(30):
@@ -86,14 +86,14 @@
         for contact in (HostContact.ANSWERING, HostContact.SILENT):
             host.contact = contact
             self.assertFalse(host.is_awaited(0.0))
-        host.contact, host.is_listed = HostContact.UNHEARD, False
+        host.contact, host.is_listed = HostContact.NOT_CONTACTED, False
         self.assertFalse(host.is_awaited(0.0))
 
     def test_report_tells_of_it(self) -> None:
         pool = PoolJobs()
         record = UpstreamHost("h1", "m1", "", "", "", "", NO_RESOURCES, frozenset())
         pool.add_host(record).awaited_until_s = 3.0
-        demand = DemandMeter(1.8, DemandPolicy()).read(pool, 0.0, 0)
+        demand = DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
         for now_s, expected in ((0.0, True), (3.0, False)):
             (standing,) = make_pool_report(pool, demand, now_s).hosts
             self.assertEqual((False, expected), (standing.is_usable, standing.is_awaited))
--- a/tests/unit/test_share_keeper.py
+++ b/tests/unit/test_share_allocator.py
@@ -11,9 +11,9 @@
     ShareOrder,
     ShareState,
     ShareTable,
-    WorkspaceStanding,
+    WorkspaceUsage,
 )
-from robinthread._internal.node.share_keeper import HEARD_WITHIN_S, ShareKeeper
+from robinthread._internal.node.share_allocator import FIRST_REPORTS_WAIT_S, ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
 POOLS = ("a", "b")
@@ -30,7 +30,9 @@
     """Owners that take orders and answer; ``used`` is what the workspace takes there."""
 
     def __init__(self, token: int = 1, began_at_s: float = 0.0) -> None:
-        self.keeper = ShareKeeper(token, KEPT_SHARE, began_at_s, EventLog("n", lambda line: None))
+        self.allocator = ShareAllocator(
+            token, KEPT_SHARE, began_at_s, EventLog("n", lambda line: None)
+        )
         self.states = {pool: ShareState() for pool in POOLS}
         self.used = dict.fromkeys(POOLS, 0)
         self.held_back = dict.fromkeys(POOLS, 0)
@@ -43,17 +45,17 @@
         now_s: float = 0.0,
     ) -> dict[str, ShareTable | None]:
         """Have the keeper ask the pools once and decide; return what they go by."""
-        orders = {pool: self.keeper.make_order(pool, config) for pool in POOLS}
+        orders = {pool: self.allocator.make_order(pool, config) for pool in POOLS}
         reports = {pool: self._answer(pool, orders[pool]) for pool in answering}
-        self.keeper.note_reports(config, reports)
-        self.keeper.decide(config, fell_in or {}, now_s)
+        self.allocator.record_reports(config, reports)
+        self.allocator.decide(config, fell_in or {}, now_s)
         return {pool: state.table for pool, state in self.states.items()}
 
     def _answer(self, pool: str, order: ShareOrder | None) -> PoolReport:
         if order is not None:
             table = self.states[pool].table if order.table is None else order.table
             self.states[pool] = ShareState(order.token, order.number, table)
-        standing = WorkspaceStanding(
+        standing = WorkspaceUsage(
             "maps",
             (self.used[pool], 0, 0),
             (self.held_back[pool], 0, 0),
@@ -72,7 +74,7 @@
         return 0.0 if table is None else table.get("maps")
 
 
-class ShareKeeperTest(TestCase):
+class ShareAllocatorTest(TestCase):
     def test_pools_have_even_shares_once_both_were_heard(self) -> None:
         pools = _Pools()
         pools.settle(make_config(1, 1000))
@@ -99,10 +101,10 @@
         pools.settle(config)
         later = _Pools(token=2, began_at_s=10.0)
         later.states = {"a": ShareState(), "b": pools.states["b"]}
-        for now_s in (10.1, 10.2, 10.0 + HEARD_WITHIN_S / 2):
+        for now_s in (10.1, 10.2, 10.0 + FIRST_REPORTS_WAIT_S / 2):
             later.step(config, answering=("a",), now_s=now_s)
             self.assertEqual(0.0, later.get_share("a"))
-        for now_s in (10.0 + HEARD_WITHIN_S, 12.0, 13.0):
+        for now_s in (10.0 + FIRST_REPORTS_WAIT_S, 12.0, 13.0):
             later.step(config, answering=("a",), now_s=now_s)
         self.assertAlmostEqual(KEPT_SHARE / len(POOLS), later.get_share("a"))
         later.settle(config)
@@ -113,9 +115,9 @@
         pools.step(config)
         pools.states["b"] = ShareState(2, 1, ShareTable(1, 0.9))
         report = PoolReport(True, share_state=pools.states["b"])
-        pools.keeper.note_reports(config, {"b": report})
-        pools.keeper.decide(config, {}, 0.0)
-        order = pools.keeper.make_order("b", config)
+        pools.allocator.record_reports(config, {"b": report})
+        pools.allocator.decide(config, {}, 0.0)
+        order = pools.allocator.make_order("b", config)
         assert order is not None
         self.assertEqual(1, order.token)
 
@@ -140,7 +142,9 @@
         later.used, later.states = pools.used, {"a": pools.states["a"], "b": ShareState()}
         shares = set()
         for step in range(20):
-            later.step(fallen, fell_in, answering=("b",), now_s=10.0 + step * HEARD_WITHIN_S / 4)
+            later.step(
+                fallen, fell_in, answering=("b",), now_s=10.0 + step * FIRST_REPORTS_WAIT_S / 4
+            )
             shares.add(later.get_share("b"))
         self.assertEqual({0.0}, shares)
         later.settle(fallen, fell_in)
