--- a/src/robinthread/_internal/jobs/advice_calls.py
+++ b/src/robinthread/_internal/jobs/advice_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the service that says which hosts may run a step."""
+"""Interface of the advice service, which decides on which hosts a step may run."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -8,11 +8,14 @@
 
 
 class AdviceError(Exception):
-    """No usable answer came; asking again does no harm."""
+    """The call returned no usable advice; it is safe to repeat."""
 
 
 class AdviceCalls(Protocol):
-    """The service answers one call of a node at a time; each ends in a bounded time."""
+    """Calls to the advice service.
+
+    The service processes one call per node at a time.  Each call ends within a bounded time.
+    """
 
     async def advise(self, step: StepKey, host_ids: Sequence[str], timeout_s: float) -> HostAdvice:
-        """Ask which of some hosts may run a step; raise ``AdviceError``."""
+        """Return which of the given hosts may run a step; raise ``AdviceError`` on failure."""
--- a/src/robinthread/_internal/jobs/crash_attribution.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -1,4 +1,4 @@
-"""What follows for a task, and for others, from the crashes that count for it."""
+"""Attribution of host crashes to tasks: marks suspects and fails the jobs of culprits."""
 
 from collections.abc import Sequence
 
@@ -14,15 +14,15 @@
 
 
 def set_crashes(pool: PoolJobs, task: Task, crashes: Sequence[Crash]) -> None:
-    """Have crashes of hosts count for a task, or for the gang that it is first of."""
+    """Set the host crashes that count against a task, or against the gang it is first in."""
     pool.record_crashes(pool.jobs[task.key.job_id], task, crashes)
     if task.runs and pool.crash_tracker.is_suspect(task):
-        # It gets no copy while it is suspect.
+        # A task that is suspect gets no copy.
         pool.waiting.pop(task.key, None)
 
 
 def add_crash(pool: PoolJobs, task: Task, crash: Crash, now_ms: int) -> None:
-    """Have a crash count for a task; give it up where it is to blame for sure."""
+    """Count a crash against a task; fail the task's job if that makes it a culprit."""
     job = pool.jobs.get(task.key.job_id)
     if job is None or job.status.is_final or task.is_done:
         return
@@ -37,7 +37,10 @@
 
 
 def _give_up(pool: PoolJobs, task: Task, now_ms: int) -> None:
-    """Fail the job of a task that crashes its hosts; what it crashed blames no other."""
+    """Fail the job of a task that crashes its hosts.
+
+    The crashes that it caused are attributed to it in the records of other tasks.
+    """
     caused = list_caused_crashes(task.crashes)
     host_ids = {crash.host_id for crash in caused}
     pool.crash_tracker.add_event(CrashEventKind.GIVEN_UP, task, host_ids)
--- a/src/robinthread/_internal/jobs/crash_tracker.py
+++ b/src/robinthread/_internal/jobs/crash_tracker.py
@@ -1,4 +1,4 @@
-"""Under which tasks of a pool hosts have crashed."""
+"""Tracks host crashes and the tasks of a pool that may have caused them."""
 
 import enum
 from collections import Counter, deque
@@ -12,12 +12,13 @@
 from robinthread._internal.jobs.trials import Trial, Trials
 from robinthread._internal.models.task_key import TaskKey
 
-# So many lost hosts are remembered, the latest.
+# Number of the most recent host crashes that are retained.
 LOSSES_RETAINED_MAX: Final = 64
-# The connections to the hosts of a rack that is lost break within so long of each other.
+# When a rack is lost, the connections to its hosts break within this time of each other.
 RACK_LOST_WITHIN_S: Final = 0.05
-# From so many crashes within so long on, a machine may be what crashes.  Its next host is tried
-# after a pause, twice as long each time.
+# A machine whose hosts crashed ``BAD_MACHINE_CRASHES`` times within ``BAD_MACHINE_WITHIN_S`` may
+# be faulty itself.  Its next host gets no work for ``BAD_MACHINE_PAUSE_S``; each further crash
+# doubles the pause, up to ``BAD_MACHINE_PAUSE_MAX_S``.
 BAD_MACHINE_CRASHES: Final = 2
 BAD_MACHINE_WITHIN_S: Final = 120.0
 BAD_MACHINE_PAUSE_S: Final = 2.0
@@ -26,9 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LostHost:
-    """A host that crashed, and when it did by the event loop's clock, in seconds.
+    """A host that crashed; ``at_s`` is when, in seconds of the event loop's clock.
 
-    One that did not run anything may have been ordered away: it says nothing of its machine.
+    A host without runs may have been removed by an order, so it does not count against its
+    machine.
     """
 
     id: str
@@ -39,7 +41,7 @@
 
 
 class CrashEventKind(enum.Enum):
-    """What was found of a task: the values are the events by which that is told."""
+    """Findings about a task; each value is the name of the log event."""
 
     SUSPECTED = "task_suspected"
     TRIAL_STARTED = "suspect_started"
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashEvent:
-    """What was found of a task, with the crashes that counted then and the hosts it is about."""
+    """A finding about a task, with the crashes counted at that time and the hosts concerned."""
 
     kind: CrashEventKind
     task: TaskKey
@@ -59,9 +61,9 @@
 
 
 class CrashTracker:
-    """The tasks under which hosts have crashed; the members of a gang count as its first.
+    """Tracks the tasks under which hosts crashed; a gang is tracked by its first member.
 
-    ``suspects`` are those to be started apart from others.
+    ``suspects`` are the tasks that must be started in isolation.
     """
 
     def __init__(self) -> None:
@@ -73,11 +75,11 @@
         self._losses: deque[LostHost] = deque(maxlen=LOSSES_RETAINED_MAX)
 
     def is_suspect(self, task: Task) -> bool:
-        """Tell whether a task is to be started apart from others."""
+        """Return whether a task must be started in isolation."""
         return bool(self.suspects) and task.crash_task_key in self.suspects
 
     def set_crashes(self, task: Task, crashes: Sequence[Crash]) -> None:
-        """Note the crashes that count for a task."""
+        """Set the crashes that count against a task and update whether it is suspect."""
         task.crashes = tuple(crashes)
         self._crashed.pop(task.key, None)
         self.suspects.pop(task.key, None)
@@ -89,15 +91,15 @@
             self.trials.drop(task.key)
 
     def forget(self, task: Task) -> None:
-        """Forget a task that is not to be started any more."""
+        """Stop tracking a task that will not be started again."""
         self._crashed.pop(task.key, None)
         self.suspects.pop(task.key, None)
         self.trials.drop(task.key)
 
     def resume_trials(self, job: Job) -> None:
-        """Keep other work from the hosts on which an earlier owner started a suspect alone.
+        """Reserve the hosts on which an earlier owner started suspects of a job alone.
 
-        What began beside it would hide whose fault a crash is.
+        With other runs on such a host, a crash could not be attributed to the suspect.
         """
         for task in job.iter_running():
             alone = [run for run in task.runs if run.is_alone]
@@ -110,19 +112,19 @@
                 )
 
     def add_event(self, kind: CrashEventKind, task: Task, host_ids: Collection[str]) -> None:
-        """Have something told of a task."""
+        """Queue an event about a task for the log."""
         ids = tuple(sorted(host_ids))
         self._notes.append(CrashEvent(kind, task.key, task.last_run, task.crashes, ids))
 
     def drain_events(self) -> list[CrashEvent]:
-        """Return what has been found since this was last asked."""
+        """Return the queued events and clear the queue."""
         notes, self._notes = self._notes, []
         return notes
 
     def record_cause_found(self, host_ids: Collection[str]) -> list[Task]:
-        """Note that the cause of crashes was found; return the other tasks that they count for.
+        """Drop crashes whose cause was found; return the other tasks against which they count.
 
-        A task that is being tried tells by itself.
+        Tasks on trial are excluded: the trial itself shows whether they crash hosts.
         """
         self._losses = deque(
             (lost for lost in self._losses if lost.id not in host_ids), LOSSES_RETAINED_MAX
@@ -135,37 +137,38 @@
         ]
 
     def record_host_lapse(self, host_id: str, found: Sequence[tuple[Task, Crash]]) -> None:
-        """Remember what counts for which tasks once a host whose lease is over has crashed."""
+        """Retain the crashes to count if a host with a lapsed lease proves to have crashed."""
         self._lapsed[host_id] = found
 
     def is_host_outcome_open(self, task: Task) -> bool:
-        """Tell whether it is not known yet if a host crashed that a task's lease lapsed on."""
+        """Return whether a task's lease lapsed on a host that may or may not have crashed."""
         return any(task is other for found in self._lapsed.values() for other, _crash in found)
 
     def pop_lapsed(self, host_id: str) -> Sequence[tuple[Task, Crash]]:
-        """Return what was remembered of a host, and forget it."""
+        """Remove and return the retained crashes of a host; empty if there are none."""
         return self._lapsed.pop(host_id, ())
 
     def record_loss(self, lost: LostHost) -> None:
-        """Remember a host that crashed."""
+        """Record a host that crashed."""
         self._losses.append(lost)
 
     def was_rack_lost(self, rack: str, at_s: float) -> bool:
-        """Tell whether another host of a rack crashed at about a time."""
+        """Return whether a host of a rack crashed within ``RACK_LOST_WITHIN_S`` of a time."""
         return any(
             lost.rack == rack and abs(lost.at_s - at_s) <= RACK_LOST_WITHIN_S
             for lost in self._losses
         )
 
     def count_by_machine(self) -> Counter[str]:
-        """Count by machine the crashes of late whose cause is not known."""
+        """Count the retained crashes of unknown cause by machine."""
         return Counter(lost.machine for lost in self._losses if lost.had_runs)
 
     def get_machine_pause_s(self, machine: str, now_s: float) -> float:
-        """Return how long a machine's next host gets no work: one that crashes by itself.
+        """Return for how many seconds a machine's next host gets no work; 0 if it seems sound.
 
-        It has crashed several times of late, and as often as all others together: where many
-        do, it is not the machine.
+        A machine seems faulty if its hosts crashed at least ``BAD_MACHINE_CRASHES`` times
+        recently and as often as those of all other machines together.  Crashes on many machines
+        have another cause.
         """
         recent = [
             lost
--- a/src/robinthread/_internal/jobs/crashes.py
+++ b/src/robinthread/_internal/jobs/crashes.py
@@ -1,17 +1,15 @@
-"""What crashes of hosts tell of the tasks that ran there.
-
-A host that crashes takes all its runs with it, and one of them at most is to blame.  Two things
-are kept apart: under which crashes a task *may* have been the cause, which bounds how it is
-started again, and of which it surely was, for nothing else there could be.  Only the latter give
-a task up.
-
-A run is close to its start for ``STARTUP_WINDOW_S``: a task that crashes its host does so
-at its start,
-and of the many runs that a host takes with it few have just begun.  A task with a crash close to
-its start is suspect, and goes on apart from others until it has outlived that time on another
-host.  Whatever the time, one under which hosts have crashed in ``ALONE_AFTER_RUNS`` runs
-goes on alone
-on its host, so that the next crash tells.
+"""Rules for attributing host crashes to the tasks that ran on the host.
+
+A host that crashes ends all its runs, and at most one of them is the culprit.  Two kinds of
+crashes are distinguished: those that a task *may* have caused, which restrict how it is started
+again, and confirmed ones, for which no other cause on the host is possible.  Only confirmed
+crashes can fail a task's job.
+
+A run is near its start for ``STARTUP_WINDOW_S``: a task that crashes its host does so at its
+start, and few of the runs that end with a host have just begun.  A task with a crash near its
+start is suspect.  It is started in isolation until it has run for longer than that on another
+host.  Independent of their timing, crashes in ``ALONE_AFTER_RUNS`` runs restrict a task to
+running alone on its host, so that the next crash is conclusive.
 """
 
 import itertools
@@ -19,42 +17,42 @@
 from dataclasses import dataclass, replace
 from typing import Final
 
-# Tasks that crash their hosts were seen to do so within 12 ms.  An owner whose loop is late by
-# 0.1 s learns late; a longer time would make suspects of sound tasks, of which a host that
-# crashes has some that began within any second.
+# Tasks that crash their hosts were observed to do so within 12 ms.  The rest allows for an owner
+# that learns of the crash late because its event loop lags by 0.1 s.  A longer window would make
+# sound tasks suspect: a host that crashes has some that began within any given second.
 STARTUP_WINDOW_S: Final = 0.15
-# A run that was there for so long had no part in its host's crash, and clears its task.
+# A run that was present for this long did not cause its host's crash; its task is cleared.
 EXONERATED_AFTER_S: Final = 5.0
-# From so many runs that ended with their hosts on, a task is started alone on its host only:
-# platforms allow two more starts after the third, and each crash alone is sure.
+# After this many runs that ended with a host crash, a task is started only alone on its host:
+# platforms allow two more starts after the third, and each crash of a task alone is confirmed.
 ALONE_AFTER_RUNS: Final = 3
-# So many sure crashes give a task up: one may be its host's own.
+# Number of confirmed crashes that fail a task's job: a single one may be the host's own fault.
 CONFIRMED_RUNS_MIN: Final = 2
-# They must be of different machines, for one may crash whatever it runs, unless so many runs
-# have ended with their hosts in all.
+# Confirmed crashes must be on different machines, since a faulty machine may crash whatever it
+# runs.  The rule is lifted once this many runs of the task have ended with a host crash.
 SAME_MACHINE_RUNS_MIN: Final = 4
-# The last run that platforms allow: by then one sure crash is enough where so many runs in all
-# ended alike.
+# The last run that platforms allow.  From this run on, one confirmed crash is enough if
+# ``SIMILAR_RUNS_MIN`` runs, including its own, ended at a similar age.
 LAST_ALLOWED_RUN: Final = 5
 SIMILAR_RUNS_MIN: Final = 3
-# Two crashes are one task's doing only where they come equally late, give or take this share or
-# so long, by which an owner may learn of one late: hosts that crash by themselves do so at any
-# time.
+# Two crashes are attributed to the same task only if the ages of its runs differ by at most this
+# share or by ``AGE_SPREAD_MS``, by which an owner may learn of a crash late.  Hosts that crash by
+# themselves do so at any age of a run.
 AGE_SPREAD_SHARE: Final = 0.1
 AGE_SPREAD_MS: Final = 50
-# Stands for an age that is not known, which is like any other.
+# Stands for an unknown age, which counts as similar to any other.
 UNKNOWN_AGE_MS: Final = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A host that crashed under a run of a task.
+    """A host crash during a run of a task.
 
-    ``age_ms`` is for how long the run had been there, negative where that is not known.
-    ``is_near_start``: that was less than ``STARTUP_WINDOW_S``.  ``is_confirmed``: it ran apart from
-    all else that
-    could be to blame.  ``has_other_cause``: something else was, as far as is known; the run counts
-    towards ``ALONE_AFTER_RUNS`` all the same, for two may be to blame.
+    ``age_ms`` is how long the run had been present; negative if unknown.  ``is_near_start``: that
+    was less than ``STARTUP_WINDOW_S``.  ``is_confirmed``: the run was isolated from everything
+    else that could have caused the crash.  ``has_other_cause``: as far as is known, something
+    else caused the crash; the run still counts towards ``ALONE_AFTER_RUNS``, since there may be
+    two culprits.
     """
 
     host_id: str
@@ -67,20 +65,21 @@
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
-    """Tell whether a task is to be started apart from others."""
+    """Return whether a task must be started in isolation."""
     is_open = any(crash.is_near_start and not crash.has_other_cause for crash in crashes)
     return is_open or must_run_alone(crashes)
 
 
 def must_run_alone(crashes: Sequence[Crash]) -> bool:
-    """Tell whether a task is to be started alone on its host only."""
+    """Return whether a task may be started only alone on its host."""
     return _count_runs(crashes) >= ALONE_AFTER_RUNS
 
 
 def is_culprit(crashes: Sequence[Crash], is_lasting: bool = False) -> bool:
-    """Tell whether a task is to be given up.
+    """Return whether a task is a culprit, so that its job must fail.
 
-    One that lasts is meant to be restarted however it ends: for it two must be sure.
+    A lasting task is meant to be restarted however it ends, so it always takes two confirmed
+    crashes.
     """
     sure = [crash for crash in crashes if crash.is_confirmed]
     if not is_lasting and _count_runs(crashes) >= LAST_ALLOWED_RUN:
@@ -97,15 +96,15 @@
 
 
 def attribute_all_elsewhere(crashes: Sequence[Crash]) -> list[Crash]:
-    """Return the crashes of a task that has outlived its start, apart from others.
+    """Return the crashes of a task, all attributed to another cause.
 
-    It does not crash its hosts at its start, so these crashes had another cause.
+    For a task that has run past its start in isolation: it does not crash its hosts at its start.
     """
     return [replace(crash, is_confirmed=False, has_other_cause=True) for crash in crashes]
 
 
 def list_caused_crashes(crashes: Sequence[Crash]) -> tuple[Crash, ...]:
-    """Return those crashes of a task that is to blame which were its doing, by all it shows."""
+    """Return the crashes that a culprit caused: confirmed ones and those at a similar age."""
     sure = [crash for crash in crashes if crash.is_confirmed]
     known = [crash for crash in sure if crash.age_ms != UNKNOWN_AGE_MS]
     return tuple(
@@ -117,12 +116,13 @@
 
 
 def attribute_to_culprit(crashes: Sequence[Crash], caused: Collection[Crash]) -> list[Crash]:
-    """Return the crashes of a task, of which some were ``caused`` by another one.
+    """Return what still counts of a task's crashes, of which a culprit ``caused`` some.
 
-    They count no more, unless the two began together on that host, for then either may have
-    been the cause: there the task is not suspect any more if no other host crashed under it.
-    One that is to blame for a crash itself gets no such credit, nor does one with several
-    crashes where the cause comes late after its start: any of several may come as late.
+    Crashes that the culprit caused are dropped, unless both tasks began together on that host,
+    since then either may be the cause.  If such a crash is the only one left, it is attributed to
+    another cause and the task is no longer suspect.  A task with a confirmed crash of its own
+    keeps all its crashes.  A task with several crashes keeps those that the culprit caused late
+    after its start: by chance, any of several crashes may come as late.
     """
     if any(crash.is_confirmed for crash in crashes):
         return list(crashes)
@@ -138,12 +138,12 @@
 
 
 def _count_runs(crashes: Sequence[Crash]) -> int:
-    """Count the runs: the members of a gang may take several hosts with them in one."""
+    """Count the runs with crashes; members of a gang may crash several hosts in one run."""
     return len({crash.run for crash in crashes})
 
 
 def _are_alike(one: Crash, other: Crash) -> bool:
-    """Tell whether two crashes came equally late after a run's start, as far as is known."""
+    """Return whether two crashes came at a similar age of the run; unknown ages match any."""
     if UNKNOWN_AGE_MS in (one.age_ms, other.age_ms):
         return True
     spread_ms = max(AGE_SPREAD_MS, AGE_SPREAD_SHARE * max(one.age_ms, other.age_ms))
--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -1,4 +1,4 @@
-"""A job host of a pool, as its owner sees it."""
+"""A job host of a pool, as the pool's owner sees it."""
 
 import enum
 from typing import Final
@@ -16,17 +16,17 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
 
-# That a host drains is heard so long after it said so at most: it may be gone as much sooner
-# than it seems to leave.
+# Longest delay with which an owner learns that a host has begun to drain.  The host may end this
+# much before ``Host.leaves_at_s``.
 LEAVES_EARLY_S: Final = 0.5
 
 
 class HostContact(enum.Enum):
-    """Whether a host answers.
+    """Whether a host responds.
 
-    NOT_CONTACTED: it has not yet answered under this owner's token, so older owners'
-    orders may still be carried out.  ANSWERING: it has, and does.  SILENT: it
-    did, and does not any more.
+    NOT_CONTACTED: it has not yet responded under this owner's token, so orders of
+    earlier owners may still be carried out.  ANSWERING: it responds.  SILENT: it
+    responded earlier and no longer does.
     """
 
     NOT_CONTACTED = "unheard"
@@ -35,25 +35,30 @@
 
 
 class Host:
-    """One life of a host: what runs there and how long its lease may reach.
-
-    Times are of the event loop's clock, in seconds.  Ends up to
-    ``processed_end`` have been taken in, those up to ``acknowledged_end`` are
-    recorded, and those up to ``forgotten_end`` the host has surely forgotten;
-    ``processed_batch`` is the batch of records that closes the gap.
-    ``free`` is the room that is left; ``lasting_count`` runs stay.  ``reported_at_s`` is
-    when its last report came, ``leaves_at_s`` the earliest time at which a draining host
-    may be gone.
-    ``unanswered_since_s`` is when the first order was sent since it last answered.
-    Until ``awaited_until_s`` a host that is NOT_CONTACTED is taken for one that will answer.
-    ``is_refusing`` tells whether it refused a connection for the order that failed last.
-    ``connection_broken_at_s`` is when a connection to it first broke since it last answered:
-    a host that
-    ends breaks them at once, one that is cut off says nothing.
-    ``is_unlisted_alive`` tells that its entry went while it answered.
-    By ``foreign_stops_over_at_s`` all that earlier owners told to stop has ended.
-    ``has_current_record`` tells that its record is of this life: another one's room may differ.
-    Until it ``is_settled``, orders meant for the life before may harm what is placed here.
+    """One incarnation of a host: its runs, its lease and the state of its reports.
+
+    Times are of the event loop's clock, in seconds.
+
+    Numbers of run ends: those up to ``processed_end`` have been processed, those up to
+    ``acknowledged_end`` are recorded in the store, and the host has certainly discarded
+    those up to ``forgotten_end``.  ``processed_batch`` is the batch of records after which
+    ``acknowledged_end`` may advance to ``processed_end``.
+
+    ``free`` is the free capacity, and ``lasting_count`` the number of runs of lasting tasks.
+
+    ``reported_at_s`` is when the last report arrived, and ``leaves_at_s`` the earliest time
+    at which a draining host may have ended.  ``unanswered_since_s`` is when the first order
+    since the last response was sent.  A host that is NOT_CONTACTED is expected to respond
+    until ``awaited_until_s``.  ``is_refusing``: the last failed order met a refused
+    connection.  ``connection_broken_at_s`` is when a connection first broke since the last
+    response: a host that ends breaks its connections at once, whereas one that is cut off
+    sends nothing.
+
+    ``is_unlisted_alive``: the host's entry was removed while the host still responded.
+    ``foreign_stops_over_at_s`` is when all runs that earlier owners ordered to stop have
+    ended.  ``has_current_record``: the record describes this incarnation; the capacity of
+    another one may differ.  ``is_settled`` is False while orders meant for the previous
+    incarnation may still affect runs placed here.
     """
 
     def __init__(self, record: UpstreamHost, lease: HostLease) -> None:
@@ -86,12 +91,12 @@
 
     @property
     def id(self) -> str:
-        """Return the id of this life of the host; its record has the host's own."""
+        """Return the id of this incarnation; ``record.id`` is the id of the host itself."""
         return self._id
 
     @property
     def record(self) -> UpstreamHost:
-        """Return what the host last said of itself."""
+        """Return the latest description of the host."""
         return self._record
 
     @record.setter
@@ -101,25 +106,28 @@
         self._note_used(self._used)
 
     def record_draining(self, default_s: float, now_s: float) -> None:
-        """Note when a host that has begun to drain may be gone, if it drains."""
+        """Set when a draining host may have ended, or clear that if it does not drain.
+
+        ``default_s`` applies if the host does not state how long it drains.
+        """
         if not self.record.is_draining:
             self.leaves_at_s = None
         elif self.leaves_at_s is None:
             self.leaves_at_s = now_s + (self.record.leaves_in_ms / 1000 or default_s)
 
     def record_order_sent(self, now_s: float) -> None:
-        """Note that an order is sent, which should be answered at once."""
+        """Record that an order is sent; the host should respond at once."""
         if self.unanswered_since_s is None:
             self.unanswered_since_s = now_s
 
     def record_response(self) -> None:
-        """Note that the host has answered anything."""
+        """Record any response of the host."""
         self.unanswered_since_s = None
         self.is_refusing = False
         self.connection_broken_at_s = None
 
     def record_failure(self, error: HostError, now_s: float) -> None:
-        """Note how an order failed."""
+        """Record the failure of an order."""
         self.is_refusing = isinstance(error, HostRefusedError)
         is_broken = isinstance(error, (HostNoAnswerError, HostRefusedError))
         if (
@@ -130,13 +138,13 @@
             self.connection_broken_at_s = now_s
 
     def record_listing(self, is_listed: bool) -> None:
-        """Note whether the store lists the host; some leave without having said so."""
+        """Record whether the store lists the host; some end without draining first."""
         answers = self.contact is HostContact.ANSWERING and self.connection_broken_at_s is None
         self.is_unlisted_alive = not is_listed and (answers or self.is_unlisted_alive)
         self.is_listed = is_listed
 
     def get_lost_at_s(self) -> float:
-        """Return when a host that has ended did, or when it was last heard to live."""
+        """Return when a lost host broke a connection or, if it did not, when it last reported."""
         return (
             self.reported_at_s
             if self.connection_broken_at_s is None
@@ -144,17 +152,17 @@
         )
 
     def was_expected_to_end(self) -> bool:
-        """Tell whether a host that has ended was to: it drained, or had left without a word.
+        """Return whether the end of a host was planned: it drained, or was unlisted while alive.
 
-        One that drains may crash before its time is over.  One that the steward has emptied
-        runs nothing when it is ordered away.
+        A draining host that ends before its time has crashed.  A host that the steward has
+        vacated has no runs left when its removal is ordered.
         """
         if self.leaves_at_s is not None:
             return self.get_lost_at_s() > self.leaves_at_s - LEAVES_EARLY_S
         return self.record.is_draining or self.is_unlisted_alive
 
     def add_run(self, run: Run, room: Resources) -> None:
-        """Take room for a run."""
+        """Add a run and reserve its resources."""
         self.runs[run.key] = run
         self._note_used(self._used + room)
         if run.is_lasting:
@@ -162,7 +170,7 @@
             self.lasting_count += 1
 
     def remove_run(self, run: Run, room: Resources) -> None:
-        """Give a run's room back."""
+        """Remove a run and release its resources."""
         if self.runs.pop(run.key, None) is None:
             return
         self._note_used(self._used - room)
@@ -175,7 +183,7 @@
         self.free = self._record.capacity - used
 
     def is_overcommitted(self, room: Resources) -> bool:
-        """Tell whether the host lacks room of a kind that a run on it takes."""
+        """Return whether the host is short of a resource that a run on it takes."""
         pairs = (
             (self.free.cpu_millicores, room.cpu_millicores),
             (self.free.memory_mb, room.memory_mb),
@@ -185,28 +193,28 @@
 
     @property
     def capacity_beside_lasting(self) -> Resources:
-        """Return the room that is there for tasks that end."""
+        """Return the capacity that lasting tasks leave for tasks that end."""
         return self._record.capacity - self._used_by_lasting
 
     def accepts_work(self, now_s: float) -> bool:
-        """Tell whether new work may be placed here, if the host is well."""
+        """Return whether new work may be placed here; ``is_paused`` is checked separately."""
         return self.is_eligible() and not self.is_vacating(now_s)
 
     def is_eligible(self) -> bool:
-        """Tell whether the host would take work, were it not to be emptied."""
+        """Return whether the host could take work; whether it is vacating does not matter."""
         is_there = self.contact is HostContact.ANSWERING and self.is_listed
         is_known = self.has_current_record and self.is_settled
         return is_there and is_known and not self.record.is_draining
 
     def is_awaited(self, now_s: float) -> bool:
-        """Tell whether the host was not heard yet, and had no time to answer either."""
+        """Return whether the host has not responded yet and still has time to do so."""
         is_coming = self.contact is HostContact.NOT_CONTACTED and now_s < self.awaited_until_s
         return is_coming and self.is_listed and not self.record.is_draining
 
     def is_vacating(self, now_s: float) -> bool:
-        """Tell whether the host is to be emptied for the steward."""
+        """Return whether the host is being vacated for the steward."""
         return now_s < self.vacating_until_s
 
     def is_paused(self, now_s: float) -> bool:
-        """Tell whether the host does not seem well."""
+        """Return whether the host is paused because it seems unhealthy."""
         return now_s < self.health.paused_until_s
--- a/src/robinthread/_internal/jobs/host_calls.py
+++ b/src/robinthread/_internal/jobs/host_calls.py
@@ -1,4 +1,4 @@
-"""Calls to job hosts, as the engine uses them."""
+"""Interface for calls to job hosts."""
 
 from typing import Protocol
 
@@ -9,7 +9,7 @@
 
 
 class HostCalls(Protocol):
-    """Orders to one host.  Each raises ``HostError`` and ends in a bounded time."""
+    """Calls to a host.  Each raises ``HostError`` on failure and ends within a bounded time."""
 
     async def watch(
         self,
@@ -19,15 +19,19 @@
         lease_until_ms: int | None,
         wait_s: float,
     ) -> HostReport:
-        """Ask what runs, waiting for an end; acknowledge ends, extend the lease."""
+        """Return the host's report, waiting up to ``wait_s`` for a run to end.
+
+        Also acknowledge the ends up to ``acknowledged`` and extend the lease to
+        ``lease_until_ms`` of the host's clock, unless that is None.
+        """
 
     async def start(self, host: UpstreamHost, order: StartOrder) -> int:
-        """Start a run; return the host's clock in ms."""
+        """Start a run; return the time on the host's clock, in ms."""
 
     async def stop(self, host: UpstreamHost, task: TaskKey, run: int, token: int) -> None:
-        """Stop a run, or have its start rejected from now on."""
+        """Stop a run; the host rejects its start from now on if it has not arrived yet."""
 
     async def pace(
         self, host: UpstreamHost, task: TaskKey, run: int, percent: int, token: int
     ) -> None:
-        """Have a run work at a share of its speed."""
+        """Set the pace of a run, in percent of its full speed."""
--- a/src/robinthread/_internal/jobs/host_errors.py
+++ b/src/robinthread/_internal/jobs/host_errors.py
@@ -1,4 +1,4 @@
-"""How a call to a job host may fail."""
+"""Errors of calls to job hosts."""
 
 
 class HostError(Exception):
@@ -6,15 +6,15 @@
 
 
 class HostNoAnswerError(HostError):
-    """No answer came: the order may have been carried out, or may be later."""
+    """The host did not respond; it may have carried out the order or may do so later."""
 
 
 class HostSilentError(HostNoAnswerError):
-    """No answer came in time, on a connection that had not broken."""
+    """The call timed out on a connection that had not broken."""
 
 
 class HostUnreachableError(HostError):
-    """No connection could be made, so nothing was sent."""
+    """The connection could not be established, so nothing was sent."""
 
 
 class HostRefusedError(HostUnreachableError):
@@ -22,32 +22,32 @@
 
 
 class HostGoneError(HostError):
-    """Another life answers at the address: this one has ended."""
+    """Another incarnation responds at the address: this one has ended."""
 
 
 class HostFencedError(HostError):
-    """The host has seen a higher token: another node owns the pool."""
+    """The host has seen a higher fencing token: another node owns the pool."""
 
 
 class HostUnhealthyError(HostError):
-    """The host did nothing, for it is not well."""
+    """The host is unhealthy and did not carry out the order."""
 
 
 class StartRejectedError(HostError):
-    """The host will not start the run."""
+    """The host rejects the start of the run."""
 
 
 class RunTooOldError(StartRejectedError):
-    """A run with this number or a higher one has ended or been stopped there."""
+    """A run of the task with this number or a higher one has ended or was stopped there."""
 
 
 class StartTooLateError(StartRejectedError):
-    """The order reached the host after its lease's end."""
+    """The start order arrived after its lease had ended."""
 
 
 class NoRoomError(StartRejectedError):
-    """The task does not fit."""
+    """The host does not have enough free capacity for the task."""
 
 
 class TicketRejectedError(StartRejectedError):
-    """The ticket is missing, expired or of another life."""
+    """The ticket is missing, expired or was issued for another incarnation."""
--- a/src/robinthread/_internal/jobs/host_health.py
+++ b/src/robinthread/_internal/jobs/host_health.py
@@ -1,18 +1,18 @@
-"""Whether a host does its work, judged by how its runs end."""
+"""Health of a host, derived from the results of its runs."""
 
 from typing import Final
 
-# So many runs in a row must fail, of at least two jobs, before the host is blamed:
-# one job that can never be done fails everywhere.
+# A host is paused after this many consecutive failed runs of at least ``JOBS_MIN`` jobs: a
+# single job that can't succeed fails on every host.
 FAILURES_MIN: Final = 3
 JOBS_MIN: Final = 2
-# Pause of a host that fails all it starts; doubled with each further failure.
+# First pause of a host on which all runs fail; each further failure doubles it.
 PAUSE_MIN_S: Final = 1.0
 PAUSE_MAX_S: Final = 8.0
 
 
 class HostHealth:
-    """Recent ends on one host, and until when it gets no new work.
+    """Recent failures on one host, and until when it gets no new work.
 
     Times are of the event loop's clock, in seconds.
     """
@@ -23,12 +23,12 @@
         self._pause_s = PAUSE_MIN_S
 
     def record_success(self) -> None:
-        """Note a run that was done."""
+        """Record a successful run."""
         self._failed_jobs.clear()
         self._pause_s = PAUSE_MIN_S
 
     def record_failure(self, job_id: str, now_s: float) -> bool:
-        """Note a run that failed; return whether the host is paused now."""
+        """Record a failed run; return whether the host is paused now."""
         self._failed_jobs.append(job_id)
         if len(self._failed_jobs) < FAILURES_MIN or len(set(self._failed_jobs)) < JOBS_MIN:
             return False
@@ -37,5 +37,5 @@
         return True
 
     def pause(self, pause_s: float, now_s: float) -> None:
-        """Give the host no new work for a while."""
+        """Give the host no new work for at least ``pause_s``."""
         self.paused_until_s = max(self.paused_until_s, now_s + pause_s)
--- a/src/robinthread/_internal/jobs/host_lease.py
+++ b/src/robinthread/_internal/jobs/host_lease.py
@@ -1,20 +1,20 @@
-"""The lease under which a host runs its tasks."""
+"""Leases under which hosts run their tasks."""
 
 import math
 from typing import Final
 
-# Hosts' clocks may run this much slow.
+# Share by which a host's clock may run slow.
 CLOCK_SLOW_SHARE: Final = 0.02
-# Added to the time after which a lease has surely lapsed: rounding, and the time a
-# host takes to end what has lapsed.
+# Added to the time after which a lease has certainly lapsed, for rounding and for the
+# time a host takes to end the runs of a lapsed lease.
 LAPSE_MARGIN_S: Final = 0.1
 
 
 class ForeignLeases:
-    """What earlier owners of a pool granted to its hosts.
+    """Leases that earlier owners of a pool granted to its hosts.
 
-    ``over_at_s`` is when all of that has surely lapsed, by the event loop's clock.  It
-    falls when it becomes known that an earlier owner stopped sooner.
+    ``over_at_s`` is when all of them have certainly lapsed, in seconds of the event loop's
+    clock.  It decreases when an earlier owner turns out to have stopped sooner.
     """
 
     def __init__(self, over_at_s: float = 0.0) -> None:
@@ -22,7 +22,7 @@
 
 
 class HostLease:
-    """What was granted to one host, in the host's clock and in ours.
+    """The leases granted to one host, by the host's clock and by the owner's.
 
     Times in seconds are of the event loop's clock.
     """
@@ -37,33 +37,33 @@
 
     @property
     def over_at_s(self) -> float:
-        """Return when all that was ever granted has surely lapsed."""
+        """Return when all leases ever granted to the host have certainly lapsed."""
         foreign_over_at_s = min(self._foreign.over_at_s, self._foreign_over_max_s)
         return max(self._own_over_at_s, self._former_over_at_s, foreign_over_at_s)
 
     def record_fencing(self, length_ms: float, now_s: float) -> None:
-        """Note that the host now refuses earlier owners, who granted ``length_ms`` at most."""
+        """Record that the host now rejects earlier owners, who granted ``length_ms`` at most."""
         self._foreign_over_max_s = min(self._foreign_over_max_s, get_lapse_time_s(length_ms, now_s))
 
     def record_earlier_orders(self, until_s: float, longest_ms: float) -> None:
-        """Note that orders for the life before may be carried out until ``until_s``.
+        """Record that orders for the previous incarnation may be carried out until ``until_s``.
 
-        Their leases end by a clock that began anew since, so that they may be as long as the
-        host grants any.
+        The clock by which their leases end has restarted since, so they may last as long as
+        the longest lease that the host accepts, ``longest_ms``.
         """
         over_at_s = get_lapse_time_s(longest_ms, until_s)
         self._former_over_at_s = max(self._former_over_at_s, over_at_s)
 
     def record_clock(self, clock_ms: int, now_s: float) -> None:
-        """Note the host's clock as an answer that came just now tells it."""
+        """Record the host's clock from a response that has just arrived."""
         self._clock_ms = clock_ms
         self._clock_read_at_s = now_s
 
     def grant(self, length_ms: float, now_s: float) -> int | None:
-        """Return the end, on the host's clock, of a lease that begins now.
+        """Grant a lease that begins now; return its end in ms of the host's clock.
 
-        It never lies further ahead than ``length_ms``: the host's clock may
-        have moved on since it was read.  None where the clock is not known.
+        The end is at most ``length_ms`` ahead of the host's clock, which may have advanced
+        since it was read.  Return None if the clock is not known.
         """
         if self._clock_ms is None:
             return None
@@ -73,5 +73,5 @@
 
 
 def get_lapse_time_s(length_ms: float, now_s: float) -> float:
-    """Return when a lease that is granted now has surely lapsed."""
+    """Return when a lease granted at ``now_s`` has certainly lapsed, in seconds."""
     return now_s + length_ms / 1000 / (1 - CLOCK_SLOW_SHARE) + LAPSE_MARGIN_S
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -1,4 +1,4 @@
-"""What a host that has crashed took with it, and what that tells of its tasks."""
+"""Handling of lost hosts: ends their runs and finds the tasks that may be the cause."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, replace
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Lost:
-    """A run that a host took with it, and for how long it was there at least, if it was."""
+    """A run that ended with its host, and its least age; None if it may not have begun."""
 
     run: Run
     counted: Task
@@ -34,9 +34,9 @@
     carried: Sequence[Run] = (),
     successor: Host | None = None,
 ) -> None:
-    """Note that a host has crashed with all that ran there, and give up who is to blame.
+    """End all runs of a host that has crashed, and fail the jobs of culprits.
 
-    The ``carried`` runs may go on at its ``successor``.
+    The ``carried`` runs may continue on its ``successor``.
     """
     if not pool.policy.isolates_crashing_tasks:
         pool.remove_host(host.id, now_ms, carried, successor)
@@ -52,10 +52,10 @@
 
 
 def record_host_lapse(pool: PoolJobs, host: Host, now_s: float, now_ms: int) -> None:
-    """Note that nothing runs any more on a host that does not answer.
+    """End all runs of a silent host whose lease has lapsed.
 
-    Whether it crashed is not known.  Where a connection to it broke that is likely, so that its
-    tasks are suspect at once; they are to blame only once it is sure.
+    Whether it crashed is unknown.  A broken connection makes a crash likely, so its tasks become
+    suspect at once; their crashes are confirmed only when the crash is certain.
     """
     if not pool.policy.isolates_crashing_tasks:
         pool.end_host_runs(host, now_ms)
@@ -70,7 +70,7 @@
 
 
 def withdraw_lapsed(pool: PoolJobs, host: Host) -> None:
-    """Note that a host answers again: it has not crashed."""
+    """Remove the crashes counted for a lapsed host that responds again: it did not crash."""
     for task, crash in pool.crash_tracker.pop_lapsed(host.id):
         if task.key.job_id in pool.jobs and crash.host_id in {
             each.host_id for each in task.crashes
@@ -88,7 +88,7 @@
 
 
 def _find_crashes(pool: PoolJobs, host: Host, at_s: float) -> Sequence[tuple[Task, Crash]]:
-    """Return the tasks that may have been the cause, with what the crash tells of each."""
+    """Return the tasks that may have caused a host's crash, each with its crash."""
     lost_runs = list(_iter_lost(pool, host, at_s))
     is_rack_lost = _is_rack_lost(pool, host, at_s)
     return [
@@ -113,9 +113,10 @@
         )
     if lost.run.is_inherited and lost.run.is_alone:
         is_confirmed = _are_all_older(others, EXONERATED_AFTER_S)
-    # Of a rack's loss, no run is suspect; that a trial was hit by chance, one crash may say.
+    # The loss of a rack makes no run suspect, except on trial: a trial that it hits by chance is
+    # left with one confirmed crash.
     is_near_start = is_near_start and (is_confirmed or not is_rack_lost)
-    # What was there before this owner came may have been there for longer than it saw.
+    # An inherited run may have been present for longer than this owner has observed it.
     is_age_known = lost.age_s is not None and not lost.run.is_inherited
     age_ms = round((lost.age_s or 0.0) * 1000) if is_age_known else UNKNOWN_AGE_MS
     return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_near_start, is_confirmed)
@@ -133,9 +134,9 @@
 
 
 def _is_rack_lost(pool: PoolJobs, host: Host, at_s: float) -> bool:
-    """Tell whether the host went with its rack, as far as the pool's hosts tell.
+    """Return whether the host was lost with its whole rack, judged by the pool's other hosts.
 
-    A rack that goes takes all its hosts, so that nothing that ran on one of them is to blame.
+    The loss of a rack ends all its hosts, so no run on them is the cause.
     """
     rack = host.record.rack
     others = [
--- a/src/robinthread/_internal/jobs/host_restart.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -1,4 +1,4 @@
-"""What becomes of the runs of a host once another life answers under its id."""
+"""Handling of the runs of a host after another incarnation responds under its id."""
 
 import math
 from collections.abc import Collection
@@ -19,12 +19,12 @@
     now_s: float,
     now_ms: int,
 ) -> None:
-    """End a life of a host, of which ``host`` is another that answers.
+    """End an incarnation of a host after ``host``, another incarnation, has responded.
 
-    What ran there has ended with it.  A start that was meant for it may have been carried out by
-    the other life, or may be yet: that run is the other's from now on.  Where the other's report,
-    asked for at ``asked_at_s``, does not have it among those ``present``, it is stopped there, so
-    that its task waits until nothing of it can begin any more.
+    Runs that had begun have ended with the incarnation.  The other one may have carried out a
+    start meant for it, or may do so later; such a run is moved to ``host``.  If the run is not
+    ``present`` in the report that was requested at ``asked_at_s``, it is stopped there, and its
+    task waits until no start of that run can be carried out any more.
     """
     carried = [
         run for run in former.runs.values() if _may_be_carried_out(pool, run, present, asked_at_s)
@@ -41,17 +41,17 @@
 
 
 def adopt_runs(pool: PoolJobs, unnamed: Host, host: Host) -> None:
-    """Give a host the runs of a record that did not tell which life of it they were on."""
+    """Move the runs of a record that does not name an incarnation to ``host``."""
     pool.remove_host(unnamed.id, 0, list(unnamed.runs.values()), host)
 
 
 def find_incarnations(pool: PoolJobs, host_id: str) -> list[Host]:
-    """Return the lives of a host that are not known to have ended."""
+    """Return the incarnations of a host that are not known to have ended."""
     return [host for host in pool.hosts.values() if host.record.id == host_id]
 
 
 def _stop_again(pool: PoolJobs, run: Run) -> None:
-    """Have a run told to stop at another host than before, whatever it was told there."""
+    """Stop a run on its new host, whether or not it was being stopped on the previous one."""
     if run.phase is RunPhase.STOPPING:
         run.settled_at_s = math.inf
         pool.to_stop.append(run)
--- a/src/robinthread/_internal/jobs/job.py
+++ b/src/robinthread/_internal/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job of a pool, with the state of its tasks."""
+"""A job of a pool and the state of its tasks."""
 
 from collections.abc import Iterator
 
@@ -13,10 +13,11 @@
 class Job:
     """A job and its tasks.
 
-    ``status`` is what has been decided.  ``recorded_status`` is what the store
-    holds, and all that may be shown: a status that is not kept could be taken
-    back by the pool's next owner.  While one of its tasks is ``culprits`` for sure for a crash
-    of a host, the others are not begun.  One that ``is_beyond_share`` comes after all others.
+    ``status`` is the status decided by this owner.  ``recorded_status`` is the status in the
+    store and the only one that may be shown: the pool's next owner could revert a status that
+    is not recorded.  ``culprits`` are the tasks with a confirmed crash of a host; while there
+    are any, no other task of the job is started.  A job that ``is_beyond_share`` comes after
+    all others.
     """
 
     def __init__(self, spec: JobSpec, policy: QueuePolicy, offset: int) -> None:
@@ -41,24 +42,24 @@
 
     @property
     def shown_status(self) -> JobStatus:
-        """Return what a caller may be told."""
+        """Return the status that callers may see."""
         if self.recorded_status.is_final:
             return self.recorded_status
         return JobStatus.RUNNING if self.has_begun else JobStatus.QUEUED
 
     @property
     def occurrence_count(self) -> int:
-        """Return how often the job's steps run."""
+        """Return how many times the job's steps run."""
         return max(1, self.spec.occurrence_count)
 
     def get_due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence is due, in Unix time; zero for at once."""
+        """Return when an occurrence is due, in ms of Unix time; 0 means at once."""
         if not self.spec.is_timed:
             return 0
         return self.spec.first_due_ms + occurrence * self.spec.interval_ms
 
     def get_tasks(self, occurrence: int, step: int) -> list[Task]:
-        """Return the tasks of a step, made at first use; the list is not to be changed."""
+        """Return the tasks of a step, created on first use; don't modify the list."""
         tasks = self._step_tasks.get((occurrence, step))
         if tasks is None:
             count = self.spec.steps[step].task_count
@@ -67,18 +68,18 @@
         return tasks
 
     def get_task(self, key: TaskKey) -> Task:
-        """Return a task, made at first use."""
+        """Return a task, created on first use."""
         task = self.tasks.get(key)
         if task is None:
             task = self.tasks[key] = Task(key, self.spec.steps[key.step])
         return task
 
     def get_crash_task(self, task: Task) -> Task:
-        """Return the task whose crashes count for a task; see ``Task.crash_task_key``."""
+        """Return the task that holds a task's crashes; see ``Task.crash_task_key``."""
         return self.get_task(task.crash_task_key) if task.step.is_gang else task
 
     def has_task(self, key: TaskKey) -> bool:
-        """Tell whether the job has such a task."""
+        """Return whether the key names a task of this job."""
         return (
             key.job_id == self.id
             and 0 <= key.occurrence < self.occurrence_count
@@ -87,11 +88,11 @@
         )
 
     def count_open(self, occurrence: int, step: int) -> int:
-        """Return how many tasks of a step are not done."""
+        """Return the number of tasks of a step that are not done."""
         return self._open_counts.get((occurrence, step), self.spec.steps[step].task_count)
 
     def set_done(self, task: Task) -> None:
-        """Note that a task is done."""
+        """Mark a task as done."""
         if task.is_done:
             return
         task.is_done = True
@@ -99,12 +100,12 @@
         self._open_counts[place] = self.count_open(*place) - 1
 
     def is_step_open(self, occurrence: int, step: int) -> bool:
-        """Tell whether all steps that a step waits for are done."""
+        """Return whether all steps that a step depends on are done."""
         after = self.spec.steps[step].after_steps
         return all(self.count_open(occurrence, earlier) == 0 for earlier in after)
 
     def is_all_done(self) -> bool:
-        """Tell whether every task of every occurrence is done."""
+        """Return whether every task of every occurrence is done."""
         places = (
             (occurrence, step)
             for occurrence in range(self.occurrence_count)
@@ -121,13 +122,13 @@
         )
 
     def get_members(self, task: Task) -> list[Task]:
-        """Return the members of a task's gang, or the task alone."""
+        """Return the members of a task's gang, or only the task if it has none."""
         if task.step.is_gang:
             return self.get_tasks(task.key.occurrence, task.key.step)
         return [task]
 
     def count_failure(self, task: Task, run: Run) -> int:
-        """Count a failure of a task, or of its gang; return how many there were."""
+        """Count a failure of a task or of its gang; return the number of failures so far."""
         task.failed_host_ids.add(run.host_id)
         counted = self.get_members(task)[0]
         if not task.step.is_gang or run.number > counted.last_failed_run:
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -1,4 +1,4 @@
-"""When a job should be done, and what is left of it."""
+"""Deadlines of jobs and estimates of their remaining time."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 from robinthread._internal.jobs.resource_vector import ResourceVector, as_vector
 from robinthread._internal.jobs.run_times import RunTimes
 
-# Least time that a step counts as taking that should have ended by now.
+# Least remaining time that is assumed for a step that should have ended by now.
 OVERDUE_S: Final = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class StepForecast:
-    """When the tasks of a step that are not done should run, and the room they take."""
+    """When the open tasks of a step are expected to run, and the resources they take."""
 
     begins_in_s: float
     ends_in_s: float
@@ -22,16 +22,16 @@
 
 
 def get_slack_s(job: Job, occurrence: int, times: RunTimes, now_ms: int) -> float:
-    """Return how long an occurrence may still wait and be on time; negative if late."""
+    """Return how many seconds an occurrence may still wait and be on time; negative if late."""
     began_ms = job.get_due_ms(occurrence) or job.spec.accepted_at_ms
     left_s = get_allowed_duration_s(job, times) - (now_ms - began_ms) / 1000
     return left_s - get_remaining_s(job, occurrence, times)
 
 
 def get_allowed_duration_s(job: Job, times: RunTimes) -> float:
-    """Return how long a job may take and be on time.
+    """Return how many seconds a job may take and be on time.
 
-    That is ``stretch`` times its longest chain of steps, and its queue's target more.
+    This is ``stretch`` times its critical path plus the latency target of its queue.
     """
     return (
         job.policy.stretch * get_critical_path_s(job, times) + job.policy.latency_target_ms / 1000
@@ -39,18 +39,18 @@
 
 
 def get_critical_path_s(job: Job, times: RunTimes) -> float:
-    """Return the longest chain of the job's steps."""
+    """Return the duration of the longest chain of the job's steps, in seconds."""
     return max(_get_ends_s(job, times, lambda number: True), default=0.0)
 
 
 def get_remaining_s(job: Job, occurrence: int, times: RunTimes) -> float:
-    """Return the longest chain of the steps that are not done."""
+    """Return the duration of the longest chain of steps that are not done, in seconds."""
     ends_s = _get_ends_s(job, times, lambda number: job.count_open(occurrence, number) > 0)
     return max(ends_s, default=0.0)
 
 
 def estimate_work(job: Job, times: RunTimes) -> ResourceVector:
-    """Return the work of a job that has not begun."""
+    """Return the estimated work of a job that has not begun."""
     steps = job.spec.steps
     parts = (
         as_vector(step.resources).scale(step.task_count * times.estimate_s(job.spec.queue, step))
@@ -62,7 +62,7 @@
 def iter_forecasts(
     job: Job, occurrence: int, times: RunTimes, now_s: float
 ) -> Iterator[StepForecast]:
-    """Iterate over the steps that are not done, as if there were room for all at once."""
+    """Iterate over forecasts of the open steps, assuming capacity for all of them at once."""
     ends_s: list[float] = []
     for number, step in enumerate(job.spec.steps):
         open_count = job.count_open(occurrence, number)
@@ -79,7 +79,7 @@
 
 
 def _get_longest_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
-    """Return for how long a step's tasks have run, if all that are open do."""
+    """Return for how many seconds all open tasks of a step have run; 0 if any does not run."""
     open_tasks = [task for task in job.get_tasks(occurrence, step) if not task.is_done]
     began_s = [
         run.present_since_s
@@ -93,7 +93,7 @@
 
 
 def _get_ends_s(job: Job, times: RunTimes, is_counted: Callable[[int], bool]) -> list[float]:
-    """Return when each step ends, where only the counted ones take time."""
+    """Return when each step ends, in seconds; steps that are not counted take no time."""
     ends_s: list[float] = []
     for number, step in enumerate(job.spec.steps):
         begins_s = max((ends_s[earlier] for earlier in step.after_steps), default=0.0)
--- a/src/robinthread/_internal/jobs/pacing.py
+++ b/src/robinthread/_internal/jobs/pacing.py
@@ -1,4 +1,4 @@
-"""How fast tasks that take what others leave may work beside tasks that serve."""
+"""Pacing of tasks that use leftover capacity beside tasks that serve requests."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,31 +8,32 @@
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.models.job_spec import StepSpec
 
-# Shares of a serving task's target at which its neighbours slow down, and below which
-# they speed up again.  Tails are rough figures of the last half second.
+# Tail latency as a share of a serving task's target: above the first, leftover tasks on its host
+# slow down, and below the second they speed up again.  Tail latencies are rough figures of the
+# last half second.
 PRESSURE_HIGH: Final = 0.85
 PRESSURE_LOW: Final = 0.6
-# How often a task's pace changes: an order takes effect after 0.1 s, and the tail shows
-# it half a second later.  From full speed to a stop takes four steps, half of the
-# shortest time that harm is borne.
+# Least time between two pace changes of a task: an order takes effect after 0.1 s, and the tail
+# latency shows it half a second later.  It takes four steps from full speed to a stop, which is
+# half of the shortest time for which harm is tolerated.
 PACE_PERIOD_S: Final = 0.5
 SPEED_UP_PERCENT: Final = 10
 FULL_PERCENT: Final = 100
-# A slower pace than this does no good to the task and is set to zero.
+# A pace below this is of no use to the task and is set to zero.
 SLOWEST_PERCENT: Final = 10
 SLOW_DOWN_SHARE: Final = 0.4
 
 
 @dataclass(frozen=True)
 class PaceChange:
-    """A run and the share of its speed at which it is to work."""
+    """A run and its new pace, in percent of full speed."""
 
     run: Run
     percent: int
 
 
 def choose_paces(pool: PoolJobs, now_s: float) -> list[PaceChange]:
-    """Return the changes of pace that the tails of serving tasks ask for."""
+    """Return the pace changes that the tail latencies of serving tasks require."""
     return [
         PaceChange(run, percent)
         for host in pool.hosts.values()
@@ -45,7 +46,7 @@
 
 
 def get_pressure(pool: PoolJobs, host: Host) -> float:
-    """Return the highest tail of a host's serving tasks as a share of its target."""
+    """Return the highest ratio of tail latency to target among a host's serving tasks."""
     shares = (
         run.recent_load / target_ms
         for run in host.runs.values()
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of one pool and what happens to them."""
+"""State of the jobs, tasks and hosts of one pool, and its transitions."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -29,13 +29,13 @@
 
 
 class PoolJobs:
-    """Jobs, hosts and the tasks that wait for a host.
+    """Jobs and hosts of a pool, and the tasks that wait for a host.
 
-    ``unrecorded`` are the jobs whose progress the store does not hold yet, and
-    ``to_stop`` the runs that must be told to stop.  ``reserved_host_ids`` are those that get no
-    other work until a waiting task fits there.  Times in seconds are of the
-    event loop's clock.  ``foreign_leases`` are those that earlier owners granted.  While
-    ``are_capacities_known`` is False no host gets any work.
+    ``unrecorded`` are the jobs whose latest progress is not in the store yet, and ``to_stop``
+    the runs whose stop must still be ordered.  ``reserved_host_ids`` names, for some waiting
+    tasks, the host that gets no other work until the task fits there.  ``foreign_leases``
+    are the leases that earlier owners granted.  While ``are_capacities_known`` is False no host
+    gets any work.  Times in seconds are of the event loop's clock.
     """
 
     def __init__(self, policy: PlacementPolicy = DEFAULT_PLACEMENT) -> None:
@@ -62,10 +62,10 @@
         now_s: float,
         progress: JobProgress | None = None,
     ) -> Job:
-        """Take a job in, with the progress that an earlier owner recorded.
+        """Add a job and return it, with the progress that an earlier owner recorded.
 
-        Its runs may be present, or never arrive: their hosts have yet to tell,
-        under a token that older orders do not get past.
+        Whether its recorded runs are present, or will ever arrive, is known only when their hosts
+        have reported under this owner's fencing token, which shuts out older orders.
         """
         job = Job(spec, policy, offset)
         self.jobs[job.id] = job
@@ -77,7 +77,7 @@
         for task in job.iter_running():
             for run in task.runs:
                 run.phase = RunPhase.SENDING
-                # It may have begun long ago: its end says nothing of how long it took.
+                # It may have begun long ago, so its end gives no run time.
                 run.is_resumed = run.is_inherited = True
                 run.settled_at_s = now_s
                 self._get_host(run.host_id).add_run(run, task.step.resources)
@@ -86,7 +86,7 @@
         return job
 
     def queue_due_tasks(self, job: Job, now_ms: int) -> None:
-        """Let the tasks wait for hosts whose time and turn have come."""
+        """Queue the tasks of occurrences that are due and whose steps can start."""
         while (
             job.next_occurrence < job.occurrence_count
             and job.get_due_ms(job.next_occurrence) <= now_ms
@@ -95,13 +95,13 @@
             job.next_occurrence += 1
 
     def add_host(self, record: UpstreamHost) -> Host:
-        """Take a host in, or what it newly says of itself."""
+        """Add a host, or update its record; return the host."""
         host = self._get_host(record.incarnation_id)
         host.record = record
         return host
 
     def place(self, task: Task, host: Host, number: int | None = None) -> Run:
-        """Give a waiting task a host; the run may be sent once it is recorded."""
+        """Place a waiting task on a host; its start may be sent once the run is recorded."""
         self.waiting.pop(task.key, None)
         run = task.add_run(host.id, number)
         host.add_run(run, task.resources)
@@ -111,7 +111,7 @@
         return run
 
     def fits_workspace_limit(self, task: Task) -> bool:
-        """Tell whether its workspace's share has room for a waiting task, and all its gang."""
+        """Return whether a waiting task and its whole gang fit within the workspace's limit."""
         job = self.jobs[task.key.job_id]
         workspace, claim = job.spec.workspace, task.step.charged_resources
         if not workspace:
@@ -124,9 +124,9 @@
         return False
 
     def request_copy(self, task: Task) -> None:
-        """Let a task that has one run, and may have more, wait for another host.
+        """Queue a task with a single run for a copy on another host, if its step allows copies.
 
-        A job that has ended wants none: its runs are there only until they have stopped.
+        A job that has ended gets none: its runs exist only until they have stopped.
         """
         job = self.jobs[task.key.job_id]
         is_wanted = not job.status.is_final and not task.is_done
@@ -135,25 +135,25 @@
             self.waiting[task.key] = task
 
     def may_restart(self, task: Task) -> bool:
-        """Tell whether a task that runs could begin elsewhere once it has been stopped here.
+        """Return whether a running task could start on another host after it is stopped.
 
-        A workspace whose limit has fallen keeps what it runs, and begins nothing.
+        A workspace whose limit was lowered keeps its runs but starts no new ones.
         """
         return self.workspaces.has_capacity(self.jobs[task.key.job_id].spec.workspace, NO_RESOURCES)
 
     def has_silent_runs(self) -> bool:
-        """Tell whether there are runs on hosts that do not answer."""
+        """Return whether there are runs on hosts that do not respond."""
         return any(
             host.runs and host.contact is not HostContact.ANSWERING for host in self.hosts.values()
         )
 
     def drain_unrecorded(self) -> list[Job]:
-        """Return the jobs to record now."""
+        """Return the jobs whose progress must be recorded and clear the list."""
         jobs, self.unrecorded = list(self.unrecorded.values()), {}
         return jobs
 
     def confirm_start(self, run: Run, now_s: float) -> None:
-        """Note that a host has taken a run, or lists it."""
+        """Mark a run as present after its host accepted or reported it."""
         if run.phase is RunPhase.SENDING:
             run.phase = RunPhase.PRESENT
             run.settled_at_s = min(run.settled_at_s, now_s)
@@ -164,7 +164,7 @@
     def end_run(
         self, run: Run, end: RunEnd, checkpoint: str, now_ms: int, now_s: float | None = None
     ) -> None:
-        """Note that a run has ended, and what follows for its task and job."""
+        """End a run and update its task and job: done, queued again or failed."""
         job = self.jobs[run.task.job_id]
         task = job.get_task(run.task)
         if not self._take_run(task, run):
@@ -190,9 +190,9 @@
     def record_late_completion(
         self, key: TaskKey, number: int, checkpoint: str, now_ms: int
     ) -> bool:
-        """Note that a run was done that had counted as lapsed; return whether that was news.
+        """Record that a run counted as lapsed was done; return whether that changes its task.
 
-        Its task need not run again, and what was started in its place is stopped.
+        The task does not run again, and runs started in its place are stopped.
         """
         job = self.jobs.get(key.job_id)
         if job is None or job.status.is_final or not job.has_task(key):
@@ -207,7 +207,7 @@
         return True
 
     def forget_run(self, run: Run) -> None:
-        """Take back a run that never began and never will."""
+        """Remove a run that never began and never will, and queue its task again."""
         job = self.jobs[run.task.job_id]
         task = job.get_task(run.task)
         if self._take_run(task, run):
@@ -219,9 +219,9 @@
     def remove_host(
         self, host_id: str, now_ms: int, carried: Sequence[Run] = (), successor: Host | None = None
     ) -> None:
-        """Forget a host that has surely ended, with all that ran there.
+        """Remove a host that has certainly ended and end its runs.
 
-        The ``carried`` runs are its ``successor``'s from now on.
+        The ``carried`` runs are moved to its ``successor``, if there is one.
         """
         host = self.hosts.get(host_id)
         if host is None:
@@ -234,12 +234,12 @@
         del self.hosts[host_id]
 
     def end_host_runs(self, host: Host, now_ms: int) -> None:
-        """Note that nothing runs on a host any more."""
+        """End all runs of a host as lapsed."""
         for run in list(host.runs.values()):
             self.end_run(run, RunEnd.LAPSED, "", now_ms)
 
     def record_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
-        """Note which crashes of hosts count for a task, or for the gang that it is first of."""
+        """Set the host crashes that count against a task, or against the gang it is first in."""
         self.crash_tracker.set_crashes(task, crashes)
         job.culprits.discard(task.key)
         if any(crash.is_confirmed for crash in crashes):
@@ -247,18 +247,18 @@
         self._mark(job)
 
     def is_withheld(self, task: Task) -> bool:
-        """Tell whether a task is not started among others: it is suspect, or its job's is."""
+        """Return whether regular placement skips a task: it is suspect or its job has culprits."""
         if not self.crash_tracker.suspects:
             return False
         return bool(self.jobs[task.key.job_id].culprits) or self.crash_tracker.is_suspect(task)
 
     def get_crash_task(self, run: Run) -> Task:
-        """Return the task whose crashes count for a run."""
+        """Return the task that holds the crashes of a run's task."""
         job = self.jobs[run.task.job_id]
         return job.get_crash_task(job.get_task(run.task))
 
     def fail(self, job: Job, now_ms: int) -> None:
-        """End a job that can't be done."""
+        """Fail a job unless it has ended."""
         self._finish(job, JobStatus.FAILED, now_ms)
 
     def cancel(self, job: Job, now_ms: int) -> None:
@@ -266,22 +266,23 @@
         self._finish(job, JobStatus.CANCELLED, now_ms)
 
     def stop(self, run: Run) -> None:
-        """Have a run told to stop."""
+        """Queue the stop of a run, or remove the run if its start was not sent."""
         if run.phase is RunPhase.RECORDING:
             self.forget_run(run)
         elif run.phase in (RunPhase.SENDING, RunPhase.PRESENT):
-            # While it stops it may be in neither list of its host; its end will be.  That goes
-            # too for a start under way, which the host may have taken from an earlier owner.
+            # While it stops, the host may list it neither as running nor as ended; the end is
+            # listed later.  The same holds for a start that is being sent: the host may have
+            # accepted it from an earlier owner.
             run.settled_at_s = math.inf
             run.phase = RunPhase.STOPPING
             self.to_stop.append(run)
 
     def drop_job(self, job: Job) -> None:
-        """Forget a job that ended long ago."""
+        """Remove a job that ended long ago."""
         self.jobs.pop(job.id, None)
 
     def _take_run(self, task: Task, run: Run) -> bool:
-        """Take a run off its task and host; return whether it was there."""
+        """Remove a run from its task and host; return False if it was over already."""
         if run.phase is RunPhase.OVER:
             return False
         run.phase = RunPhase.OVER
@@ -328,13 +329,13 @@
             self.waiting[task.key] = task
 
     def _stop_members(self, job: Job, task: Task) -> None:
-        """Stop the members that are left of a gang; all begin anew together."""
+        """Stop the remaining members of a gang; all members start again together."""
         for member in job.get_members(task):
             for run in list(member.runs):
                 self.stop(run)
 
     def _complete(self, job: Job, task: Task, now_ms: int) -> None:
-        """Note that a task is done: its copies are not needed, and a gang is done whole."""
+        """Mark a task or its whole gang as done, stop its copies and queue dependent steps."""
         for done in job.get_members(task):
             job.set_done(done)
             self.waiting.pop(done.key, None)
@@ -353,7 +354,7 @@
             self._finish(job, JobStatus.SUCCEEDED, now_ms)
 
     def _learn(self, job: Job, task: Task, run: Run, now_s: float | None) -> None:
-        """Learn how long a task takes from a run that began at its beginning."""
+        """Add the run time of a run that was not resumed to the estimates."""
         if now_s is not None and run.present_since_s is not None and not run.is_resumed:
             task.took_s = now_s - run.present_since_s
             self.run_times.add(job.spec.queue, task.step, task.took_s)
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -1,4 +1,4 @@
-"""The record of a job's progress, as the store keeps it."""
+"""Encoding of a job's progress in the store."""
 
 import itertools
 import math
@@ -19,10 +19,10 @@
 
 
 class RunProgress(msgspec.Struct, frozen=True, array_like=True):
-    """A run that may be going on; ``host`` counts in the record's hosts.
+    """A run that may still be going on; ``host`` is an index into the record's hosts.
 
-    The next owner must know of one that ``is_alone`` there: should its host have crashed, that
-    was its doing.
+    ``is_alone`` is recorded for the next owner: if the host has crashed, a run that was alone on
+    it is the cause.
     """
 
     number: int
@@ -31,7 +31,7 @@
 
 
 class CrashProgress(msgspec.Struct, frozen=True, array_like=True):
-    """A host that crashed under a run of a task; see ``Crash``."""
+    """A host crash during a run of a task; see ``Crash``."""
 
     host_id: str
     machine: str
@@ -58,10 +58,11 @@
 
 
 class JobProgress(msgspec.Struct, frozen=True, array_like=True):
-    """All that must outlast a pool's owner.
+    """The progress of a job that the pool's next owner needs.
 
-    A job that has ended keeps no tasks; ``ended_at_ms`` is a Unix time.  ``hosts`` are ids, and
-    ``host_start_times_ms`` tells of each which life it was; an older process knows the ids alone.
+    An ended job has no tasks once its runs are over; ``ended_at_ms`` is a Unix time.  ``hosts``
+    are ids, and ``host_start_times_ms`` identifies the incarnation of each; processes of older
+    versions read only the ids.
     """
 
     job_id: str
@@ -73,7 +74,7 @@
     host_start_times_ms: tuple[int | None, ...] = ()
 
     def list_incarnations(self) -> tuple[str, ...]:
-        """Return the ids of the hosts' lives."""
+        """Return the ids of the hosts' incarnations."""
         pairs = itertools.zip_longest(self.hosts, self.host_start_times_ms)
         return tuple(
             make_incarnation_id(host_id, host_started_at_ms)
@@ -82,7 +83,7 @@
 
 
 def encode_progress(job: Job) -> bytes:
-    """Write the progress of a job."""
+    """Encode the progress of a job."""
     hosts: dict[str, int] = {}
     tasks: tuple[TaskProgress, ...] = ()
     if not job.status.is_final or any(job.iter_running()):
@@ -105,20 +106,24 @@
 
 
 def decode_progress(value: bytes) -> JobProgress:
-    """Read the progress of a job; raise ``msgspec.MsgspecError``."""
+    """Decode the progress of a job; raise ``msgspec.MsgspecError`` if it is malformed."""
     progress = msgspec.msgpack.decode(value, type=JobProgress)
     if progress.status not in STATUS_VALUES:
-        raise msgspec.ValidationError(f"unknown status {progress.status!r}")
+        raise msgspec.ValidationError(f"unknown job status {progress.status!r}")
     if len(progress.host_start_times_ms) > len(progress.hosts):
-        raise msgspec.ValidationError("there are more births than hosts")
+        raise msgspec.ValidationError(
+            f"{len(progress.host_start_times_ms)} host start times for {len(progress.hosts)} hosts"
+        )
     named = (run.host for task in progress.tasks for run in task.runs)
     if any(not 0 <= host < len(progress.hosts) for host in named):
-        raise msgspec.ValidationError("a run names a host that is not listed")
+        raise msgspec.ValidationError(
+            f"a run has a host index outside the list of {len(progress.hosts)} hosts"
+        )
     return progress
 
 
 def restore_progress(job: Job, progress: JobProgress) -> None:
-    """Give a job the progress that the store holds."""
+    """Restore a job from its recorded progress."""
     job.status = job.recorded_status = JobStatus(progress.status)
     job.ended_at_ms = progress.ended_at_ms
     job.has_begun = any(row.last_run for row in progress.tasks)
@@ -151,7 +156,7 @@
 
 def _restore_task(job: Job, task: Task, row: TaskProgress, hosts: tuple[str, ...]) -> None:
     task.last_run = row.last_run
-    # When it last ran is not recorded.  To take the wait for long makes no bound longer.
+    # When it last ran is not recorded.  Assuming a long wait does not extend any bound.
     task.ran_until_s = -math.inf
     task.failure_count = row.failure_count
     task.last_failed_run = row.last_failed_run
--- a/src/robinthread/_internal/jobs/run.py
+++ b/src/robinthread/_internal/jobs/run.py
@@ -7,12 +7,12 @@
 
 
 class RunPhase(enum.Enum):
-    """How far a run is.
+    """State of a run.
 
-    RECORDING: the store does not know of it yet, so it must not be sent.
-    SENDING: the order is under way and may be carried out at any time.
+    RECORDING: it is not in the store yet, so its start must not be sent.
+    SENDING: its start is being sent and may be carried out at any time.
     PRESENT: the host has confirmed it.
-    STOPPING: it is to be stopped.
+    STOPPING: its stop is ordered or about to be.
     OVER: it has ended, or never began and never will.
     """
 
@@ -24,13 +24,14 @@
 
 
 class Run:
-    """One run of a task; its room on the host is taken until its end is known.
+    """One run of a task; it takes its resources on the host until its end is known.
 
-    Times are of the event loop's clock, in seconds.  A report that was asked
-    for after ``settled_at_s`` tells all of the run: if it is in none of the
-    report's lists it is not there and never will be.  ``sent_at_s`` is when its start was
-    first sent; None where that never reached its host, or was an earlier owner's, of whom a run
-    ``is_inherited``.  One that ``is_alone`` was started where no other was and none came.
+    Times are of the event loop's clock, in seconds.  A report requested after
+    ``settled_at_s`` is conclusive for the run: if none of the report's lists contains the run,
+    it is not present and never will be.  ``sent_at_s`` is when its start was first sent; None
+    if the start never reached the host or was sent by an earlier owner, from whom the run then
+    ``is_inherited``.  A run that ``is_alone`` was started on a host without other runs, and none
+    were added.
     """
 
     __slots__ = (
@@ -76,16 +77,16 @@
 
     @property
     def key(self) -> tuple[TaskKey, int]:
-        """Return what identifies the run."""
+        """Return the key that identifies the run."""
         return self.task, self.number
 
     def get_age_s(self, at_s: float) -> float | None:
-        """Return for how long the run was on its host at least; None where it may not be yet."""
+        """Return for how many seconds at least the run was present; None if it may not be yet."""
         since_s = self.present_since_s
         return None if since_s is None else max(0.0, at_s - since_s)
 
     def record_progress(self, percent: int, now_s: float) -> None:
-        """Note how far the run has come."""
+        """Record the progress of the run and, if it changed, when that was."""
         if self.present_since_s is None or percent != self.progress_percent:
             self.progress_percent = percent
             self.progress_at_s = now_s
--- a/src/robinthread/_internal/jobs/run_times.py
+++ b/src/robinthread/_internal/jobs/run_times.py
@@ -1,4 +1,4 @@
-"""How long tasks take, learnt queue by queue from those that were done."""
+"""Estimates of the run time of tasks, learned by queue from completed tasks."""
 
 import math
 from dataclasses import dataclass
@@ -6,20 +6,20 @@
 
 from robinthread._internal.models.job_spec import StepSpec
 
-# Weight of a new sample: some twenty runs are remembered.
+# Weight of a new sample: the average covers about twenty runs.
 SAMPLE_WEIGHT: Final = 0.05
-# Samples without which a queue's own figures say little.
+# With fewer samples than this, a queue's own averages are not reliable.
 SAMPLES_MIN: Final = 5
-# Taken where a job says nothing and nothing has been learnt.
+# Run time of tasks whose job declares none, until samples of their queue exist.
 UNKNOWN_S: Final = 1.0
 SHORTEST_S: Final = 0.01
 
 
 @dataclass
 class _QueueTimes:
-    """Logarithms of run times: their mean, that of real over declared, both spreads.
+    """Mean and spread of log run times, and of the log ratio of actual to declared times.
 
-    ``mean_s`` and ``mean_ratio`` are what both means stand for.
+    ``mean_s`` and ``mean_ratio`` are the exponentials of both means.
     """
 
     sample_count: int = 0
@@ -31,7 +31,7 @@
     mean_ratio: float = 1.0
 
     def add(self, seconds: float, declared_s: float) -> None:
-        """Take one run in."""
+        """Add the run time of one run."""
         log = math.log(max(seconds, SHORTEST_S))
         log_ratio = log - math.log(max(declared_s, SHORTEST_S))
         self.sample_count += 1
@@ -49,19 +49,19 @@
 class RunTimes:
     """Estimates of how long a task takes.
 
-    What a job declares may be far off, by more in some queues than in others.
-    Each queue's own mean is taken instead where it has been the better guess.
+    Declared run times may be far off, in some queues more than in others.  A queue's mean run
+    time is used instead where it varies less than the ratio of actual to declared times.
     """
 
     def __init__(self) -> None:
         self._queues: dict[str, _QueueTimes] = {}
 
     def add(self, queue: str, step: StepSpec, seconds: float) -> None:
-        """Note how long a task took that was done."""
+        """Record the run time of a completed task."""
         self._queues.setdefault(queue, _QueueTimes()).add(seconds, _get_declared_s(step))
 
     def estimate_s(self, queue: str, step: StepSpec) -> float:
-        """Return how long a task of a step should take."""
+        """Return the expected run time of a task of a step, in seconds."""
         declared_s = _get_declared_s(step)
         times = self._queues.get(queue)
         if times is None or times.sample_count < SAMPLES_MIN:
--- a/src/robinthread/_internal/jobs/stalls.py
+++ b/src/robinthread/_internal/jobs/stalls.py
@@ -1,4 +1,4 @@
-"""Which runs make no progress."""
+"""Detects and stops runs that make no progress."""
 
 from typing import Final
 
@@ -7,15 +7,15 @@
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.run import Run, RunPhase
 
-# A run whose progress has stood still for so long hangs.  Reports come every
-# second at least, and the longest tasks seen take some 40 ms for a percent.
+# A run whose progress has not changed for this long hangs.  Hosts report at least once a second,
+# and the longest tasks observed take about 40 ms per percent.
 STALL_S: Final = 1.6
-# Pause of a host on which a run hangs.
+# How long a host on which a run hangs gets no new work.
 HANG_PAUSE_S: Final = 3.0
 
 
 def stop_stalled(pool: PoolJobs, now_s: float) -> list[Run]:
-    """Stop the runs that hang, and give their hosts a pause; return them."""
+    """Stop the runs that hang and pause their hosts; return these runs."""
     stalled = [
         run
         for host in pool.hosts.values()
--- a/src/robinthread/_internal/jobs/stragglers.py
+++ b/src/robinthread/_internal/jobs/stragglers.py
@@ -1,8 +1,8 @@
-"""Tasks on hosts that are slow or silent, and what to do about them.
+"""Detection of stragglers on slow or silent hosts; they are copied or moved.
 
-The tasks of a step are alike but for a share, and a few take several times as long
-as the others wherever they run.  So a host is slow only where most of its tasks lag
-behind those of their steps on other hosts.
+Run times of the tasks of a step differ by some share, and a few tasks take several times as long
+as the others on any host.  So a host counts as slow only if most of its tasks lag behind the
+other tasks of their steps.
 """
 
 import statistics
@@ -18,22 +18,22 @@
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.models.step_key import StepKey
 
-# A run lags that has less than this share of the usual progress a second.  Tasks of a
-# step differ by a third; a host that is slow is so by four times and more.
+# A run lags if its progress rate is below this share of the median for its step.  Tasks of a step
+# differ by a third, whereas a slow host is slower by a factor of four or more.
 LAG_SHARE: Final = 0.4
-# Progress is not judged before a run has been present for so long, or against fewer others.
+# Least presence of a run before its progress is compared, and of other tasks to compare with.
 JUDGED_AFTER_S: Final = 0.5
 PEERS_MIN: Final = 2
-# A host is not judged by fewer tasks.
+# Least number of compared runs on a host for a verdict on it.
 JUDGED_MIN: Final = 2
-# A run is stopped only where what is left takes so many times as long as all of it would
-# elsewhere.
+# A run is stopped only if its remaining work would take more than this many times as long as the
+# whole task usually takes elsewhere.
 WORTH_MOVING: Final = 1.5
 
 
 @dataclass(frozen=True)
 class Straggler:
-    """A run that lags, and how many seconds a task of its step usually takes."""
+    """A run that lags; ``usual_s`` is the median run time for its step."""
 
     run: Run
     usual_s: float
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class _Judgement:
-    """A run's progress as a share of what is usual for its step."""
+    """A run's progress rate as a share of the median for its step."""
 
     run: Run
     share: float
@@ -49,7 +49,7 @@
 
 
 def move_stragglers(pool: PoolJobs, now_s: float) -> list[Straggler]:
-    """Begin copies of tasks that lag or are out of sight, or move them; return those moved."""
+    """Request copies of tasks that lag or are on silent hosts, or move them; return those moved."""
     for task in _iter_unseen(pool):
         pool.request_copy(task)
     moved = []
@@ -67,7 +67,7 @@
 
 
 def find_stragglers(pool: PoolJobs) -> list[Straggler]:
-    """Return the runs on slow hosts that lag behind the others of their step."""
+    """Return the runs on slow hosts that lag behind other tasks of their steps."""
     by_host: dict[str, list[_Judgement]] = defaultdict(list)
     for judgement in _judge_runs(pool):
         by_host[judgement.run.host_id].append(judgement)
@@ -82,7 +82,7 @@
 
 
 def _judge_runs(pool: PoolJobs) -> Iterator[_Judgement]:
-    """Compare each run's progress with that of its step's other tasks."""
+    """Compare each run's progress rate with the median for its step."""
     by_step: dict[StepKey, list[Run]] = defaultdict(list)
     for host in pool.hosts.values():
         for run in _iter_judged(pool, host):
@@ -115,7 +115,7 @@
 
 
 def _get_rate(pool: PoolJobs, run: Run) -> float:
-    """Return the share of its work that a run had done a second, when its host last told."""
+    """Return a run's progress per second, as a share of its work, at its host's last report."""
     assert run.present_since_s is not None
     worked_s = pool.hosts[run.host_id].reported_at_s - run.present_since_s
     return run.progress_percent / 100 / worked_s
@@ -128,7 +128,7 @@
 
 
 def _iter_unseen(pool: PoolJobs) -> Iterator[Task]:
-    """Iterate over the tasks that may have copies and run on a host that is silent."""
+    """Iterate over the tasks on silent hosts whose steps allow copies."""
     for host in pool.hosts.values():
         if host.contact is HostContact.SILENT:
             for run in host.runs.values():
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -1,13 +1,12 @@
-"""Starting suspect tasks apart from others, so that the next crash tells which one it was.
-
-Answers a pool in which some tasks crash each host that starts them, among many that are sound
-and were lost with the same hosts.  Each suspect gets hosts that nothing else is started on until
-it has outlived its start, with as few others there as may be; sound ones are cleared within
-``STARTUP_WINDOW_S``, and what crashes its host is surely to blame.
-As many hosts are lost whether that
-takes long or not, but sound suspects are late, so half of the pool's hosts may be at stake at a
-time.  Those that are to blame already are hardly ever sound: for them it is a quarter, or all
-but one of those that have nothing to do while nothing else waits.
+"""Isolated starts of suspect tasks, so that the next crash identifies the culprit.
+
+This handles a pool in which some tasks crash each host that starts them, among many sound tasks
+that were lost with the same hosts.  Each suspect gets hosts with as few other runs as possible,
+on which nothing else is started until the suspect has run past its start.  Sound suspects are
+cleared within ``STARTUP_WINDOW_S``, and one that crashes its host has a confirmed crash.  The
+number of hosts lost does not depend on how fast that goes, but sound suspects are delayed, so
+half of the pool's hosts may be at risk at a time.  Suspects with a confirmed crash are hardly
+ever sound: for them it is a quarter, or all idle hosts but one while no other task waits.
 """
 
 from collections.abc import Iterator
@@ -38,16 +37,16 @@
 from robinthread._internal.jobs.trials import Trial
 from robinthread._internal.models.step_key import StepKey
 
-# Shares of the pool's usable hosts that suspects may cost at a time, and those of them that are
-# to blame for a crash; one suspect at a time may always be tried.
+# Shares of the pool's usable hosts that may be at risk at a time, from suspects in general and
+# from those with a confirmed crash; one suspect at a time may always be tried.
 AT_RISK_SHARE: Final = 0.5
 AT_RISK_SHARE_CULPRITS: Final = 0.25
 
 
 def place_suspects(pool: PoolJobs, now_s: float, now_ms: int) -> int:
-    """Start waiting suspects that may be started now; return how many tasks were placed.
+    """Start the waiting suspects that may be started now; return how many tasks were placed.
 
-    Those go first that were the cause of no crash for sure, for most of them are sound.
+    Suspects without a confirmed crash come first, since most of them are sound.
     """
     trials = pool.crash_tracker.trials
     trials.drop_unstarted()
@@ -79,7 +78,7 @@
 
 
 def clear_surviving_suspects(pool: PoolJobs, now_s: float) -> None:
-    """Clear the suspects that have outlived their start, apart from others."""
+    """Clear the suspects that have run past their start in isolation."""
     for trial in pool.crash_tracker.trials.list_all():
         task = pool.crash_tracker.suspects.get(trial.task)
         if task is not None and trial.run and _has_outlived(pool, task, trial, now_s):
@@ -89,9 +88,9 @@
 
 
 def is_ready(host: Host, is_alone: bool, now_s: float) -> bool:
-    """Tell whether a crash of the host would be the fault of nothing that is there now.
+    """Return whether a crash of the host could not be caused by any run that is there now.
 
-    Lasting tasks that have been there for long may stay.
+    Lasting tasks that have been present for ``EXONERATED_AFTER_S`` may stay.
     """
     ages_s = ((run, run.get_age_s(now_s)) for run in host.runs.values())
     if is_alone:
@@ -100,10 +99,10 @@
 
 
 def _may_go_on(pool: PoolJobs, task: Task) -> bool:
-    """Tell whether a suspect may be started now.
+    """Return whether a suspect may be started now.
 
-    Of a job that has tasks to blame, the first of these goes first.  One with few starts left
-    waits until it is known what became of its last host.
+    In a job with culprits, only the first of them is started.  A suspect with few starts left
+    waits until it is known whether its last host crashed.
     """
     culprits = pool.jobs[task.key.job_id].culprits
     if culprits and task.key != min(culprits):
@@ -116,7 +115,7 @@
 
 
 def _count_to_spare(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> int:
-    """Count the hosts that the pool can spare for a suspect, should they crash."""
+    """Count the hosts that the pool can afford to lose to a suspect."""
     trials = pool.crash_tracker.trials
     host_count = len(usable) + len(trials.reserved)
     at_stake = trials.count_at_risk(now_s)
@@ -129,7 +128,7 @@
 
 
 def _choose_trial(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> Trial | None:
-    """Choose the hosts for a suspect."""
+    """Return a trial with hosts for a suspect, or None if none fit."""
     is_alone = must_run_alone(task.crashes)
     if not task.step.is_gang:
         host = _choose_host(pool, task, usable, is_alone, now_s)
@@ -145,7 +144,7 @@
 def _choose_host(
     pool: PoolJobs, task: Task, usable: list[Host], is_alone: bool, now_s: float
 ) -> Host | None:
-    """Return the host for a suspect: of a machine that has not crashed, with the fewest runs."""
+    """Return the best host for a suspect or None: machine without crashes, then fewest runs."""
     job, counts = pool.jobs[task.key.job_id], pool.crash_tracker.count_by_machine()
     own = {crash.machine for crash in task.crashes}
     fitting = (
@@ -170,7 +169,7 @@
 
 
 def _begin(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> int:
-    """Start a suspect where its hosts are ready; return how many tasks were placed."""
+    """Start a suspect if its hosts are ready; return how many tasks were placed."""
     hosts = [pool.hosts[host_id] for host_id in sorted(trial.host_ids)]
     if not all(is_ready(host, trial.is_alone, now_s) for host in hosts):
         return 0
@@ -190,7 +189,7 @@
 
 
 def _has_outlived(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> bool:
-    """Tell whether all runs of a trial are there, on hosts that are well, for long enough."""
+    """Return whether all runs of a trial have been present long enough on responding hosts."""
     needed_s = EXONERATED_AFTER_S if trial.is_alone else STARTUP_WINDOW_S
     hosts = [pool.hosts[host_id] for host_id in trial.host_ids if host_id in pool.hosts]
     runs = list(_iter_runs(pool, task, trial))
@@ -209,7 +208,7 @@
 
 
 def _iter_runs(pool: PoolJobs, task: Task, trial: Trial) -> Iterator[Run]:
-    """Iterate over the runs of a trial that are on its hosts."""
+    """Iterate over the runs of a trial on its hosts."""
     return (
         run
         for host_id in trial.host_ids
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -10,16 +10,15 @@
 
 
 class Task:
-    """A task: whether it is done, how often it failed, and its runs now.
+    """A task: whether it is done, how often it failed, and its current runs.
 
-    There is one run at most, except where the step allows copies.  Run numbers
-    rise from 1 over all owners of the pool.  ``last_failed_run`` counts for the
-    first member of a gang, whose failures are the gang's.  ``took_s`` is how long
-    the run took that was done, where this owner saw it begin.  ``ran_until_s`` is when a
-    lasting task was last heard to run, in seconds of the event loop's clock: infinite for one
-    that never ran, and minus infinite for one that an earlier owner started.  ``crashes`` are
-    those of hosts that the task may have been the cause of; those of a gang are its first
-    member's.
+    There is at most one run, except where the step allows copies.  Run numbers increase from 1
+    across all owners of the pool.  The failures of a gang, with ``last_failed_run``, are counted
+    on its first member.  ``took_s`` is the run time of the completed run if this owner saw it
+    begin, else None.  ``ran_until_s`` is when a lasting task was last reported to run, in seconds
+    of the event loop's clock: infinite if it never ran, and minus infinite if an earlier owner
+    started it.  ``crashes`` are the host crashes that the task may have caused; those of a gang
+    are held by its first member.
     """
 
     __slots__ = (
@@ -55,20 +54,21 @@
 
     @property
     def crash_task_key(self) -> TaskKey:
-        """Return whose crashes count for the task: its own, or those of its gang's first."""
+        """Return the key of the task that holds its crashes: itself or its gang's first member."""
         return replace(self.key, index=0) if self.step.is_gang else self.key
 
     def add_run(self, host_id: str, number: int | None = None) -> Run:
-        """Begin the next run of the task on a host; a gang's members share its number."""
+        """Add and return the next run, on a host; ``number`` is shared by a gang's members."""
         self.last_run = self.last_run + 1 if number is None else number
         run = Run(self.key, self.last_run, host_id, self.checkpoint, self.step.is_lasting)
         self.runs.append(run)
         return run
 
     def record_last_run_time(self, run: Run, heard_at_s: float) -> None:
-        """Note until when a lasting task ran, by the last report of its host.
+        """Record until when a lasting task ran, by the last report of its host.
 
-        A run that no host confirmed may have been there or not: what came before it counts.
+        A run that no host confirmed may never have been present, so it does not move the time
+        forward.
         """
         if run.present_since_s is None:
             heard_at_s = min(heard_at_s, self.ran_until_s)
--- a/src/robinthread/_internal/jobs/tickets.py
+++ b/src/robinthread/_internal/jobs/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets to run steps on hosts, where a queue's policy asks for them."""
+"""Cache of tickets to run steps on hosts, for queues whose policy requires them."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -7,16 +7,16 @@
 from robinthread._internal.models.host_advice import HostAdvice
 from robinthread._internal.models.step_key import StepKey
 
-# A ticket is not used when it holds for less: the time from a task's placement until
-# its start has reached the host.
+# A ticket that expires sooner than this is not used: it must be valid until the start of a task
+# that is placed now has reached the host.
 USE_MARGIN_S: Final = 0.3
 
 
 class TicketCache:
-    """What was advised, by step and host.
+    """Advice by step and host.
 
-    A host that may not run a step never may; a ticket holds for a while.  Times are
-    of the event loop's clock, in seconds.
+    A refusal is permanent, whereas a ticket expires.  Times are of the event loop's clock, in
+    seconds.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
     def record_advice(
         self, step: StepKey, asked: Iterable[str], advice: HostAdvice, asked_at_s: float
     ) -> None:
-        """Note an answer about the hosts that were asked about."""
+        """Store advice about the hosts in ``asked``, requested at ``asked_at_s``."""
         until_s = asked_at_s + advice.valid_ms / 1000
         self._tickets[step] |= {
             host_id: (ticket, until_s) for host_id, ticket in advice.tickets.items()
@@ -34,12 +34,12 @@
         self._refused[step] |= set(asked) - advice.tickets.keys()
 
     def get(self, step: StepKey, host_id: str, now_s: float) -> str | None:
-        """Return a ticket that will still hold when it is used, if there is one."""
+        """Return a ticket that is still valid when it is used, or None."""
         ticket, until_s = self._tickets.get(step, {}).get(host_id, ("", 0.0))
         return ticket if until_s - now_s > USE_MARGIN_S else None
 
     def list_unknown(self, step: StepKey, host_ids: Iterable[str], now_s: float) -> list[str]:
-        """Return the hosts that may be allowed and have no ticket."""
+        """Return the hosts that have no valid ticket and were not refused."""
         refused = self._refused.get(step, set())
         return [
             host_id
@@ -48,11 +48,11 @@
         ]
 
     def drop(self, step: StepKey, host_id: str) -> None:
-        """Forget a ticket that its host has rejected."""
+        """Remove a ticket that its host has rejected."""
         self._tickets.get(step, {}).pop(host_id, None)
 
     def drop_job(self, job_id: str) -> None:
-        """Forget a job that has ended."""
+        """Remove the advice for a job that has ended."""
         for book in (self._tickets, self._refused):
             for step in [step for step in book if step.job_id == job_id]:
                 del book[step]
--- a/src/robinthread/_internal/jobs/trials.py
+++ b/src/robinthread/_internal/jobs/trials.py
@@ -1,21 +1,21 @@
-"""Where suspect tasks run apart from others, and what that may cost at a time."""
+"""Trials of suspect tasks on reserved hosts, and the number of hosts at risk."""
 
 from dataclasses import dataclass
 from typing import Final
 
 from robinthread._internal.models.task_key import TaskKey
 
-# A host that a suspect took with it counts as at stake for so long: platforms have its machine
-# back within some seconds.
+# A host that crashed in a trial counts as at risk for this long: platforms bring its machine back
+# within some seconds.
 HOST_RETURN_S: Final = 3.0
 
 
 @dataclass(slots=True)
 class Trial:
-    """Hosts on which a suspect is started, and which nothing else gets meanwhile.
+    """Hosts reserved for the isolated start of a suspect.
 
-    ``task`` is the one that its crashes are counted for.  ``run`` is 0 while its hosts are not
-    ready: what began there of late has to outlive its own start first, or to end.
+    ``task`` is the task that holds its crashes.  ``run`` is 0 until the hosts are ready: runs
+    that began there recently must first run past their own start, or end.
     """
 
     task: TaskKey
@@ -36,7 +36,7 @@
         self.reserved: frozenset[str] = frozenset()
 
     def get(self, task: TaskKey) -> Trial | None:
-        """Return the trial of a task."""
+        """Return the trial of a task, or None."""
         return self._trials.get(task)
 
     def list_all(self) -> list[Trial]:
@@ -54,22 +54,22 @@
             self._note_reserved()
 
     def drop_unstarted(self) -> None:
-        """Give back the hosts of trials that have not begun: others may suit better now."""
+        """Drop trials that have not begun: other hosts may suit better now."""
         waiting = [trial.task for trial in self._trials.values() if not trial.run]
         for task in waiting:
             self.drop(task)
 
     def is_trial_run(self, task: TaskKey, run: int) -> bool:
-        """Tell whether a run is its task's trial."""
+        """Return whether a run belongs to its task's trial."""
         trial = self._trials.get(task)
         return trial is not None and trial.run == run
 
     def record_loss(self, now_s: float) -> None:
-        """Note that a trial took a host with it."""
+        """Record that a host crashed in a trial."""
         self._lost_until_s.append(now_s + HOST_RETURN_S)
 
     def count_at_risk(self, now_s: float) -> int:
-        """Count the hosts that trials may take with them, and those that they took of late."""
+        """Count the hosts reserved for trials and those that crashed in trials recently."""
         self._lost_until_s = [until_s for until_s in self._lost_until_s if until_s > now_s]
         return len(self.reserved) + len(self._lost_until_s)
 
--- a/src/robinthread/_internal/jobs/unresponsive_hosts.py
+++ b/src/robinthread/_internal/jobs/unresponsive_hosts.py
@@ -1,4 +1,4 @@
-"""Which hosts are likely to be out of reach, before that is certain."""
+"""Detects hosts that are likely to be unreachable before that is certain."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -7,18 +7,19 @@
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 
-# An order is answered within some 10 ms, by a host five times slower within 50.
+# A host responds to an order within about 10 ms, and a host five times slower within 50 ms.
 UNRESPONSIVE_AFTER_S: Final = 0.15
-# So many hosts of a hall must be in doubt before all others there are.
+# Number of unresponsive hosts in a data hall from which on the whole hall is unresponsive.
 HALL_UNRESPONSIVE_MIN: Final = 2
 
 
 def list_unresponsive(pool: PoolJobs, now_s: float) -> frozenset[str]:
-    """Return the ids of the hosts that are to get no work until they answer again.
+    """Return the ids of the hosts that must get no work until they respond again.
 
-    A host is in doubt that leaves an order unanswered.  Where several of a data hall are,
-    and none of the hall has been heard since, the whole hall is: it has been cut off.
-    One that refuses connections tells nothing of its hall, from which its refusal came.
+    A host is unresponsive if it leaves an order unanswered for ``UNRESPONSIVE_AFTER_S``.  If
+    several hosts of a data hall are, and no host of the hall has reported since, the hall is
+    taken to be cut off and all its hosts are unresponsive.  Hosts that refuse connections don't
+    count towards their hall: the refusal itself arrived from there.
     """
     if not pool.policy.doubts_silent_hosts:
         return frozenset()
@@ -29,7 +30,7 @@
 
 
 def _list_doubted_in(hosts: list[Host], now_s: float) -> Iterable[Host]:
-    """Return the hosts in doubt of one hall."""
+    """Return the unresponsive hosts of one hall."""
     doubted = [host for host in hosts if _is_in_doubt(host, now_s)]
     silent = [host for host in doubted if not host.is_refusing]
     if len(silent) < HALL_UNRESPONSIVE_MIN:
