--- a/src/robinthread/_internal/jobs/crash_attribution.py
+++ b/src/robinthread/_internal/jobs/crash_attribution.py
@@ -33,10 +33,10 @@
     if pool.crash_tracker.is_suspect(task):
         pool.crash_tracker.add_event(CrashEventKind.SUSPECTED, task, (crash.host_id,))
     if is_culprit(task.crashes, task.step.is_lasting):
-        _give_up(pool, task, now_ms)
+        _fail_culprit(pool, task, now_ms)
 
 
-def _give_up(pool: PoolJobs, task: Task, now_ms: int) -> None:
+def _fail_culprit(pool: PoolJobs, task: Task, now_ms: int) -> None:
     """Fail the job of a task that crashes its hosts.
 
     The crashes that it caused are attributed to it in the records of other tasks.
--- a/src/robinthread/_internal/jobs/crash_tracker.py
+++ b/src/robinthread/_internal/jobs/crash_tracker.py
@@ -69,9 +69,9 @@
     def __init__(self) -> None:
         self.trials = Trials()
         self.suspects: dict[TaskKey, Task] = {}
-        self._notes: list[CrashEvent] = []
-        self._crashed: dict[TaskKey, Task] = {}
-        self._lapsed: dict[str, Sequence[tuple[Task, Crash]]] = {}
+        self._events: list[CrashEvent] = []
+        self._tasks_with_crashes: dict[TaskKey, Task] = {}
+        self._lapsed_crashes: dict[str, Sequence[tuple[Task, Crash]]] = {}
         self._losses: deque[LostHost] = deque(maxlen=LOSSES_RETAINED_MAX)
 
     def is_suspect(self, task: Task) -> bool:
@@ -81,10 +81,10 @@
     def set_crashes(self, task: Task, crashes: Sequence[Crash]) -> None:
         """Set the crashes that count against a task and update whether it is suspect."""
         task.crashes = tuple(crashes)
-        self._crashed.pop(task.key, None)
+        self._tasks_with_crashes.pop(task.key, None)
         self.suspects.pop(task.key, None)
         if crashes:
-            self._crashed[task.key] = task
+            self._tasks_with_crashes[task.key] = task
         if is_suspect(crashes):
             self.suspects[task.key] = task
         else:
@@ -92,7 +92,7 @@
 
     def forget(self, task: Task) -> None:
         """Stop tracking a task that will not be started again."""
-        self._crashed.pop(task.key, None)
+        self._tasks_with_crashes.pop(task.key, None)
         self.suspects.pop(task.key, None)
         self.trials.drop(task.key)
 
@@ -114,12 +114,12 @@
     def add_event(self, kind: CrashEventKind, task: Task, host_ids: Collection[str]) -> None:
         """Queue an event about a task for the log."""
         ids = tuple(sorted(host_ids))
-        self._notes.append(CrashEvent(kind, task.key, task.last_run, task.crashes, ids))
+        self._events.append(CrashEvent(kind, task.key, task.last_run, task.crashes, ids))
 
     def drain_events(self) -> list[CrashEvent]:
         """Return the queued events and clear the queue."""
-        notes, self._notes = self._notes, []
-        return notes
+        events, self._events = self._events, []
+        return events
 
     def record_cause_found(self, host_ids: Collection[str]) -> list[Task]:
         """Drop crashes whose cause was found; return the other tasks against which they count.
@@ -131,22 +131,24 @@
         )
         return [
             task
-            for task in self._crashed.values()
+            for task in self._tasks_with_crashes.values()
             if any(crash.host_id in host_ids for crash in task.crashes)
             and self.trials.get(task.key) is None
         ]
 
     def record_host_lapse(self, host_id: str, found: Sequence[tuple[Task, Crash]]) -> None:
         """Retain the crashes to count if a host with a lapsed lease proves to have crashed."""
-        self._lapsed[host_id] = found
+        self._lapsed_crashes[host_id] = found
 
     def is_host_outcome_open(self, task: Task) -> bool:
         """Return whether a task's lease lapsed on a host that may or may not have crashed."""
-        return any(task is other for found in self._lapsed.values() for other, _crash in found)
+        return any(
+            task is other for found in self._lapsed_crashes.values() for other, _crash in found
+        )
 
     def pop_lapsed(self, host_id: str) -> Sequence[tuple[Task, Crash]]:
         """Remove and return the retained crashes of a host; empty if there are none."""
-        return self._lapsed.pop(host_id, ())
+        return self._lapsed_crashes.pop(host_id, ())
 
     def record_loss(self, lost: LostHost) -> None:
         """Record a host that crashed."""
--- a/src/robinthread/_internal/jobs/crashes.py
+++ b/src/robinthread/_internal/jobs/crashes.py
@@ -81,17 +81,17 @@
     A lasting task is meant to be restarted however it ends, so it always takes two confirmed
     crashes.
     """
-    sure = [crash for crash in crashes if crash.is_confirmed]
+    confirmed = [crash for crash in crashes if crash.is_confirmed]
     if not is_lasting and _count_runs(crashes) >= LAST_ALLOWED_RUN:
-        alike = ([each for each in crashes if _may_be_alike(each, one)] for one in sure)
-        if any(_count_runs(each) >= SIMILAR_RUNS_MIN for each in alike):
+        similar = ([each for each in crashes if _may_be_similar(each, one)] for one in confirmed)
+        if any(_count_runs(each) >= SIMILAR_RUNS_MIN for each in similar):
             return True
     may_be_one_machine = _count_runs(crashes) >= SAME_MACHINE_RUNS_MIN
     return any(
         one.run != other.run
         and (one.machine != other.machine or may_be_one_machine)
-        and _are_alike(one, other)
-        for one, other in itertools.combinations(sure, CONFIRMED_RUNS_MIN)
+        and _are_similar(one, other)
+        for one, other in itertools.combinations(confirmed, CONFIRMED_RUNS_MIN)
     )
 
 
@@ -105,13 +105,13 @@
 
 def list_caused_crashes(crashes: Sequence[Crash]) -> tuple[Crash, ...]:
     """Return the crashes that a culprit caused: confirmed ones and those at a similar age."""
-    sure = [crash for crash in crashes if crash.is_confirmed]
-    known = [crash for crash in sure if crash.age_ms != UNKNOWN_AGE_MS]
+    confirmed = [crash for crash in crashes if crash.is_confirmed]
+    known = [crash for crash in confirmed if crash.age_ms != UNKNOWN_AGE_MS]
     return tuple(
         crash
         for crash in crashes
         if crash.is_confirmed
-        or (crash.age_ms != UNKNOWN_AGE_MS and any(_are_alike(crash, one) for one in known))
+        or (crash.age_ms != UNKNOWN_AGE_MS and any(_are_similar(crash, one) for one in known))
     )
 
 
@@ -127,14 +127,14 @@
     if any(crash.is_confirmed for crash in crashes):
         return list(crashes)
     causes = {crash.host_id: crash for crash in caused if crash.is_near_start or len(crashes) == 1}
-    left = [
+    remaining = [
         crash
         for crash in crashes
-        if crash.host_id not in causes or _are_alike(crash, causes[crash.host_id])
+        if crash.host_id not in causes or _are_similar(crash, causes[crash.host_id])
     ]
-    if len(left) > 1:
-        return left
-    return [replace(crash, has_other_cause=crash.host_id in causes) for crash in left]
+    if len(remaining) > 1:
+        return remaining
+    return [replace(crash, has_other_cause=crash.host_id in causes) for crash in remaining]
 
 
 def _count_runs(crashes: Sequence[Crash]) -> int:
@@ -142,7 +142,7 @@
     return len({crash.run for crash in crashes})
 
 
-def _are_alike(one: Crash, other: Crash) -> bool:
+def _are_similar(one: Crash, other: Crash) -> bool:
     """Return whether two crashes came at a similar age of the run; unknown ages match any."""
     if UNKNOWN_AGE_MS in (one.age_ms, other.age_ms):
         return True
@@ -150,5 +150,5 @@
     return abs(one.age_ms - other.age_ms) <= spread_ms
 
 
-def _may_be_alike(one: Crash, other: Crash) -> bool:
-    return (one.is_near_start and other.is_near_start) or _are_alike(one, other)
+def _may_be_similar(one: Crash, other: Crash) -> bool:
+    return (one.is_near_start and other.is_near_start) or _are_similar(one, other)
--- a/src/robinthread/_internal/jobs/host.py
+++ b/src/robinthread/_internal/jobs/host.py
@@ -103,7 +103,7 @@
     def record(self, record: UpstreamHost) -> None:
         self._record = record
         self._id = record.incarnation_id
-        self._note_used(self._used)
+        self._set_used(self._used)
 
     def record_draining(self, default_s: float, now_s: float) -> None:
         """Set when a draining host may have ended, or clear that if it does not drain.
@@ -161,33 +161,33 @@
             return self.get_lost_at_s() > self.leaves_at_s - LEAVES_EARLY_S
         return self.record.is_draining or self.is_unlisted_alive
 
-    def add_run(self, run: Run, room: Resources) -> None:
+    def add_run(self, run: Run, resources: Resources) -> None:
         """Add a run and reserve its resources."""
         self.runs[run.key] = run
-        self._note_used(self._used + room)
+        self._set_used(self._used + resources)
         if run.is_lasting:
-            self._used_by_lasting += room
+            self._used_by_lasting += resources
             self.lasting_count += 1
 
-    def remove_run(self, run: Run, room: Resources) -> None:
+    def remove_run(self, run: Run, resources: Resources) -> None:
         """Remove a run and release its resources."""
         if self.runs.pop(run.key, None) is None:
             return
-        self._note_used(self._used - room)
+        self._set_used(self._used - resources)
         if run.is_lasting:
-            self._used_by_lasting -= room
+            self._used_by_lasting -= resources
             self.lasting_count -= 1
 
-    def _note_used(self, used: Resources) -> None:
+    def _set_used(self, used: Resources) -> None:
         self._used = used
         self.free = self._record.capacity - used
 
-    def is_overcommitted(self, room: Resources) -> bool:
+    def is_overcommitted(self, resources: Resources) -> bool:
         """Return whether the host is short of a resource that a run on it takes."""
         pairs = (
-            (self.free.cpu_millicores, room.cpu_millicores),
-            (self.free.memory_mb, room.memory_mb),
-            (self.free.gpu_count, room.gpu_count),
+            (self.free.cpu_millicores, resources.cpu_millicores),
+            (self.free.memory_mb, resources.memory_mb),
+            (self.free.gpu_count, resources.gpu_count),
         )
         return any(free < 0 < takes for free, takes in pairs)
 
@@ -202,14 +202,14 @@
 
     def is_eligible(self) -> bool:
         """Return whether the host could take work; whether it is vacating does not matter."""
-        is_there = self.contact is HostContact.ANSWERING and self.is_listed
+        is_present = self.contact is HostContact.ANSWERING and self.is_listed
         is_known = self.has_current_record and self.is_settled
-        return is_there and is_known and not self.record.is_draining
+        return is_present and is_known and not self.record.is_draining
 
     def is_awaited(self, now_s: float) -> bool:
         """Return whether the host has not responded yet and still has time to do so."""
-        is_coming = self.contact is HostContact.NOT_CONTACTED and now_s < self.awaited_until_s
-        return is_coming and self.is_listed and not self.record.is_draining
+        may_respond = self.contact is HostContact.NOT_CONTACTED and now_s < self.awaited_until_s
+        return may_respond and self.is_listed and not self.record.is_draining
 
     def is_vacating(self, now_s: float) -> bool:
         """Return whether the host is being vacated for the steward."""
--- a/src/robinthread/_internal/jobs/host_lease.py
+++ b/src/robinthread/_internal/jobs/host_lease.py
@@ -31,7 +31,7 @@
         self._foreign = foreign or ForeignLeases()
         self._foreign_over_max_s = math.inf
         self._own_over_at_s = 0.0
-        self._former_over_at_s = 0.0
+        self._previous_over_at_s = 0.0
         self._clock_ms: int | None = None
         self._clock_read_at_s = 0.0
 
@@ -39,7 +39,7 @@
     def over_at_s(self) -> float:
         """Return when all leases ever granted to the host have certainly lapsed."""
         foreign_over_at_s = min(self._foreign.over_at_s, self._foreign_over_max_s)
-        return max(self._own_over_at_s, self._former_over_at_s, foreign_over_at_s)
+        return max(self._own_over_at_s, self._previous_over_at_s, foreign_over_at_s)
 
     def record_fencing(self, length_ms: float, now_s: float) -> None:
         """Record that the host now rejects earlier owners, who granted ``length_ms`` at most."""
@@ -52,7 +52,7 @@
         the longest lease that the host accepts, ``longest_ms``.
         """
         over_at_s = get_lapse_time_s(longest_ms, until_s)
-        self._former_over_at_s = max(self._former_over_at_s, over_at_s)
+        self._previous_over_at_s = max(self._previous_over_at_s, over_at_s)
 
     def record_clock(self, clock_ms: int, now_s: float) -> None:
         """Record the host's clock from a response that has just arrived."""
--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -18,11 +18,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Lost:
+class _LostRun:
     """A run that ended with its host, and its least age; None if it may not have begun."""
 
     run: Run
-    counted: Task
+    crash_task: Task
     age_s: float | None
 
 
@@ -31,22 +31,22 @@
     host: Host,
     now_s: float,
     now_ms: int,
-    carried: Sequence[Run] = (),
+    moved_runs: Sequence[Run] = (),
     successor: Host | None = None,
 ) -> None:
     """End all runs of a host that has crashed, and fail the jobs of culprits.
 
-    The ``carried`` runs may continue on its ``successor``.
+    The ``moved_runs`` runs may continue on its ``successor``.
     """
     if not pool.policy.isolates_crashing_tasks:
-        pool.remove_host(host.id, now_ms, carried, successor)
+        pool.remove_host(host.id, now_ms, moved_runs, successor)
         return
     at_s = host.get_lost_at_s()
     found = [*pool.crash_tracker.pop_lapsed(host.id), *_find_crashes(pool, host, at_s)]
     record, had_runs = host.record, bool(found or host.runs)
     pool.crash_tracker.record_loss(LostHost(host.id, record.machine, record.rack, at_s, had_runs))
     _end_trials(pool, found, now_s)
-    pool.remove_host(host.id, now_ms, carried, successor)
+    pool.remove_host(host.id, now_ms, moved_runs, successor)
     for task, crash in found:
         add_crash(pool, task, crash, now_ms)
 
@@ -89,23 +89,23 @@
 
 def _find_crashes(pool: PoolJobs, host: Host, at_s: float) -> Sequence[tuple[Task, Crash]]:
     """Return the tasks that may have caused a host's crash, each with its crash."""
-    lost_runs = list(_iter_lost(pool, host, at_s))
+    lost_runs = list(_iter_lost_runs(pool, host, at_s))
     is_rack_lost = _is_rack_lost(pool, host, at_s)
     return [
-        (lost.counted, _judge(pool, host, lost, lost_runs, is_rack_lost))
+        (lost.crash_task, _make_crash(pool, host, lost, lost_runs, is_rack_lost))
         for lost in lost_runs
         if lost.age_s is None or lost.age_s < EXONERATED_AFTER_S
     ]
 
 
-def _judge(
-    pool: PoolJobs, host: Host, lost: _Lost, lost_runs: Iterable[_Lost], is_rack_lost: bool
+def _make_crash(
+    pool: PoolJobs, host: Host, lost: _LostRun, lost_runs: Iterable[_LostRun], is_rack_lost: bool
 ) -> Crash:
-    others = [other for other in lost_runs if other.counted is not lost.counted]
+    others = [other for other in lost_runs if other.crash_task is not lost.crash_task]
     is_near_start = (
         host.connection_broken_at_s is not None and (lost.age_s or 0.0) < STARTUP_WINDOW_S
     )
-    trial = pool.crash_tracker.trials.get(lost.counted.key)
+    trial = pool.crash_tracker.trials.get(lost.crash_task.key)
     is_confirmed = False
     if trial is not None and trial.run == lost.run.number:
         is_confirmed = (is_near_start and _are_all_older(others, STARTUP_WINDOW_S)) or (
@@ -122,14 +122,14 @@
     return Crash(host.id, host.record.machine, lost.run.number, age_ms, is_near_start, is_confirmed)
 
 
-def _iter_lost(pool: PoolJobs, host: Host, at_s: float) -> Iterator[_Lost]:
+def _iter_lost_runs(pool: PoolJobs, host: Host, at_s: float) -> Iterator[_LostRun]:
     for run in host.runs.values():
         is_unsent = run.sent_at_s is None and not run.is_inherited
         if run.phase is not RunPhase.RECORDING and not is_unsent:
-            yield _Lost(run, pool.get_crash_task(run), run.get_age_s(at_s))
+            yield _LostRun(run, pool.get_crash_task(run), run.get_age_s(at_s))
 
 
-def _are_all_older(others: Iterable[_Lost], age_s: float) -> bool:
+def _are_all_older(others: Iterable[_LostRun], age_s: float) -> bool:
     return all(other.age_s is not None and other.age_s >= age_s for other in others)
 
 
--- a/src/robinthread/_internal/jobs/host_restart.py
+++ b/src/robinthread/_internal/jobs/host_restart.py
@@ -12,10 +12,10 @@
 
 def end_previous_incarnation(
     pool: PoolJobs,
-    former: Host,
+    previous: Host,
     host: Host,
     present: Collection[RunKey],
-    asked_at_s: float,
+    requested_at_s: float,
     now_s: float,
     now_ms: int,
 ) -> None:
@@ -23,26 +23,28 @@
 
     Runs that had begun have ended with the incarnation.  The other one may have carried out a
     start meant for it, or may do so later; such a run is moved to ``host``.  If the run is not
-    ``present`` in the report that was requested at ``asked_at_s``, it is stopped there, and its
+    ``present`` in the report that was requested at ``requested_at_s``, it is stopped there, and its
     task waits until no start of that run can be carried out any more.
     """
-    carried = [
-        run for run in former.runs.values() if _may_be_carried_out(pool, run, present, asked_at_s)
+    moved_runs = [
+        run
+        for run in previous.runs.values()
+        if _may_be_carried_out(pool, run, present, requested_at_s)
     ]
-    was_known = former.contact is not HostContact.NOT_CONTACTED or bool(former.runs)
-    if was_known and not former.was_expected_to_end():
-        record_host_crash(pool, former, now_s, now_ms, carried, host)
+    was_known = previous.contact is not HostContact.NOT_CONTACTED or bool(previous.runs)
+    if was_known and not previous.was_expected_to_end():
+        record_host_crash(pool, previous, now_s, now_ms, moved_runs, host)
     else:
-        pool.remove_host(former.id, now_ms, carried, host)
-    for run in carried:
+        pool.remove_host(previous.id, now_ms, moved_runs, host)
+    for run in moved_runs:
         if run.key not in present and run.phase is not RunPhase.OVER:
             _stop_again(pool, run)
-    former.contact = HostContact.SILENT
+    previous.contact = HostContact.SILENT
 
 
-def adopt_runs(pool: PoolJobs, unnamed: Host, host: Host) -> None:
+def adopt_runs(pool: PoolJobs, unidentified: Host, host: Host) -> None:
     """Move the runs of a record that does not name an incarnation to ``host``."""
-    pool.remove_host(unnamed.id, 0, list(unnamed.runs.values()), host)
+    pool.remove_host(unidentified.id, 0, list(unidentified.runs.values()), host)
 
 
 def find_incarnations(pool: PoolJobs, host_id: str) -> list[Host]:
@@ -60,10 +62,10 @@
 
 
 def _may_be_carried_out(
-    pool: PoolJobs, run: Run, present: Collection[RunKey], asked_at_s: float
+    pool: PoolJobs, run: Run, present: Collection[RunKey], requested_at_s: float
 ) -> bool:
     if run.phase is RunPhase.RECORDING:
         return False
     host_id = pool.hosts[run.host_id].record.id
     is_open = pool.unconfirmed_starts.is_open(host_id, run.key)
-    return run.key in present or is_open or run.settled_at_s >= asked_at_s
+    return run.key in present or is_open or run.settled_at_s >= requested_at_s
--- a/src/robinthread/_internal/jobs/job_timing.py
+++ b/src/robinthread/_internal/jobs/job_timing.py
@@ -72,13 +72,13 @@
             continue
         takes_s = times.estimate_s(job.spec.queue, step)
         if begins_s == 0.0:
-            ran_s = _get_longest_run_s(job, occurrence, number, now_s)
+            ran_s = _get_common_run_s(job, occurrence, number, now_s)
             takes_s = max(OVERDUE_S, takes_s - ran_s)
         ends_s.append(begins_s + takes_s)
         yield StepForecast(begins_s, ends_s[-1], as_vector(step.resources).scale(open_count))
 
 
-def _get_longest_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
+def _get_common_run_s(job: Job, occurrence: int, step: int, now_s: float) -> float:
     """Return for how many seconds all open tasks of a step have run; 0 if any does not run."""
     open_tasks = [task for task in job.get_tasks(occurrence, step) if not task.is_done]
     began_s = [
--- a/src/robinthread/_internal/jobs/pacing.py
+++ b/src/robinthread/_internal/jobs/pacing.py
@@ -38,7 +38,7 @@
         PaceChange(run, percent)
         for host in pool.hosts.values()
         if host.contact is HostContact.ANSWERING
-        for run in _list_fillers(pool, host)
+        for run in _list_leftover_runs(pool, host)
         if now_s - run.paced_at_s >= PACE_PERIOD_S
         and (percent := _choose_percent(run.pace_percent, get_pressure(pool, host)))
         != run.pace_percent
@@ -64,7 +64,7 @@
     return percent
 
 
-def _list_fillers(pool: PoolJobs, host: Host) -> list[Run]:
+def _list_leftover_runs(pool: PoolJobs, host: Host) -> list[Run]:
     return [
         run
         for run in host.runs.values()
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -91,7 +91,7 @@
             job.next_occurrence < job.occurrence_count
             and job.get_due_ms(job.next_occurrence) <= now_ms
         ):
-            self._open_steps(job, job.next_occurrence, range(len(job.spec.steps)))
+            self._queue_steps(job, job.next_occurrence, range(len(job.spec.steps)))
             job.next_occurrence += 1
 
     def add_host(self, record: UpstreamHost) -> Host:
@@ -107,7 +107,7 @@
         host.add_run(run, task.resources)
         job = self.jobs[task.key.job_id]
         self.workspaces.record_start(job.spec.workspace, task.step.charged_resources)
-        self._mark(job)
+        self._mark_unrecorded(job)
         return run
 
     def fits_workspace_limit(self, task: Task) -> bool:
@@ -129,9 +129,9 @@
         A job that has ended gets none: its runs exist only until they have stopped.
         """
         job = self.jobs[task.key.job_id]
-        is_wanted = not job.status.is_final and not task.is_done
+        is_task_open = not job.status.is_final and not task.is_done
         is_sound = not self.crash_tracker.is_suspect(task)
-        if is_wanted and is_sound and task.step.allows_copies and len(task.runs) == 1:
+        if is_task_open and is_sound and task.step.allows_copies and len(task.runs) == 1:
             self.waiting[task.key] = task
 
     def may_restart(self, task: Task) -> bool:
@@ -167,15 +167,15 @@
         """End a run and update its task and job: done, queued again or failed."""
         job = self.jobs[run.task.job_id]
         task = job.get_task(run.task)
-        if not self._take_run(task, run):
+        if not self._remove_run(task, run):
             return
         if run.is_lasting:
             task.record_last_run_time(run, self.hosts[run.host_id].reported_at_s)
         task.checkpoint = checkpoint or task.checkpoint
-        self._mark(job)
+        self._mark_unrecorded(job)
         is_done = end is RunEnd.DONE and not task.step.is_lasting
         if is_done:
-            self._learn(job, task, run, now_s)
+            self._record_run_time(job, task, run, now_s)
             self._complete(job, task, now_ms)
         elif end is RunEnd.FAILED and not task.step.is_lasting:
             if job.count_failure(task, run) >= job.policy.attempts_max:
@@ -202,7 +202,7 @@
         if not is_open or not 0 < number <= task.last_run:
             return False
         task.checkpoint = checkpoint or task.checkpoint
-        self._mark(job)
+        self._mark_unrecorded(job)
         self._complete(job, task, now_ms)
         return True
 
@@ -210,24 +210,28 @@
         """Remove a run that never began and never will, and queue its task again."""
         job = self.jobs[run.task.job_id]
         task = job.get_task(run.task)
-        if self._take_run(task, run):
-            self._mark(job)
+        if self._remove_run(task, run):
+            self._mark_unrecorded(job)
             self._requeue(job, task)
             if task.step.is_gang:
                 self._stop_members(job, task)
 
     def remove_host(
-        self, host_id: str, now_ms: int, carried: Sequence[Run] = (), successor: Host | None = None
+        self,
+        host_id: str,
+        now_ms: int,
+        moved_runs: Sequence[Run] = (),
+        successor: Host | None = None,
     ) -> None:
         """Remove a host that has certainly ended and end its runs.
 
-        The ``carried`` runs are moved to its ``successor``, if there is one.
+        The ``moved_runs`` runs are moved to its ``successor``, if there is one.
         """
         host = self.hosts.get(host_id)
         if host is None:
             return
         if successor is not None:
-            for run in carried:
+            for run in moved_runs:
                 self._move_run(run, host, successor)
         self.end_host_runs(host, now_ms)
         self.crash_tracker.pop_lapsed(host_id)
@@ -244,7 +248,7 @@
         job.culprits.discard(task.key)
         if any(crash.is_confirmed for crash in crashes):
             job.culprits.add(task.key)
-        self._mark(job)
+        self._mark_unrecorded(job)
 
     def is_withheld(self, task: Task) -> bool:
         """Return whether regular placement skips a task: it is suspect or its job has culprits."""
@@ -281,7 +285,7 @@
         """Remove a job that ended long ago."""
         self.jobs.pop(job.id, None)
 
-    def _take_run(self, task: Task, run: Run) -> bool:
+    def _remove_run(self, task: Task, run: Run) -> bool:
         """Remove a run from its task and host; return False if it was over already."""
         if run.phase is RunPhase.OVER:
             return False
@@ -299,12 +303,12 @@
         if run.phase is RunPhase.OVER:
             return
         job = self.jobs[run.task.job_id]
-        room = job.get_task(run.task).step.resources
-        host.remove_run(run, room)
+        resources = job.get_task(run.task).step.resources
+        host.remove_run(run, resources)
         run.host_id = successor.id
         run.present_since_s = None
-        successor.add_run(run, room)
-        self._mark(job)
+        successor.add_run(run, resources)
+        self._mark_unrecorded(job)
 
     def _get_host(self, host_id: str) -> Host:
         host = self.hosts.get(host_id)
@@ -313,10 +317,10 @@
             host = self.hosts[host_id] = Host(make_unknown_host(host_id), lease)
         return host
 
-    def _mark(self, job: Job) -> None:
+    def _mark_unrecorded(self, job: Job) -> None:
         self.unrecorded[job.id] = job
 
-    def _open_steps(self, job: Job, occurrence: int, steps: Iterable[int]) -> None:
+    def _queue_steps(self, job: Job, occurrence: int, steps: Iterable[int]) -> None:
         if job.status.is_final:
             return
         for step in steps:
@@ -349,11 +353,11 @@
         dependents = (
             number for number, spec in enumerate(job.spec.steps) if step in spec.after_steps
         )
-        self._open_steps(job, occurrence, dependents)
+        self._queue_steps(job, occurrence, dependents)
         if job.is_all_done():
             self._finish(job, JobStatus.SUCCEEDED, now_ms)
 
-    def _learn(self, job: Job, task: Task, run: Run, now_s: float | None) -> None:
+    def _record_run_time(self, job: Job, task: Task, run: Run, now_s: float | None) -> None:
         """Add the run time of a run that was not resumed to the estimates."""
         if now_s is not None and run.present_since_s is not None and not run.is_resumed:
             task.took_s = now_s - run.present_since_s
@@ -364,7 +368,7 @@
             return
         job.status = status
         job.ended_at_ms = now_ms
-        self._mark(job)
+        self._mark_unrecorded(job)
         self.tickets.drop_job(job.id)
         for task in job.tasks.values():
             self.waiting.pop(task.key, None)
--- a/src/robinthread/_internal/jobs/progress.py
+++ b/src/robinthread/_internal/jobs/progress.py
@@ -89,13 +89,13 @@
     if not job.status.is_final or any(job.iter_running()):
         started = (task for task in job.tasks.values() if task.last_run)
         tasks = tuple(_make_task_progress(task, hosts) for task in started)
-    lives = [split_incarnation_id(incarnation_id) for incarnation_id in hosts]
-    host_start_times_ms = tuple(host_started_at_ms for _host_id, host_started_at_ms in lives)
+    incarnations = [split_incarnation_id(incarnation_id) for incarnation_id in hosts]
+    host_start_times_ms = tuple(host_started_at_ms for _host_id, host_started_at_ms in incarnations)
     progress = JobProgress(
         job.id,
         job.spec.queue,
         job.status.value,
-        tuple(host_id for host_id, _host_started_at_ms in lives),
+        tuple(host_id for host_id, _host_started_at_ms in incarnations),
         tasks,
         job.ended_at_ms,
         host_start_times_ms
@@ -114,8 +114,8 @@
         raise msgspec.ValidationError(
             f"{len(progress.host_start_times_ms)} host start times for {len(progress.hosts)} hosts"
         )
-    named = (run.host for task in progress.tasks for run in task.runs)
-    if any(not 0 <= host < len(progress.hosts) for host in named):
+    host_indexes = (run.host for task in progress.tasks for run in task.runs)
+    if any(not 0 <= host < len(progress.hosts) for host in host_indexes):
         raise msgspec.ValidationError(
             f"a run has a host index outside the list of {len(progress.hosts)} hosts"
         )
@@ -127,11 +127,11 @@
     job.status = job.recorded_status = JobStatus(progress.status)
     job.ended_at_ms = progress.ended_at_ms
     job.has_begun = any(row.last_run for row in progress.tasks)
-    lives = progress.list_incarnations()
+    incarnations = progress.list_incarnations()
     for row in progress.tasks:
         key = TaskKey(job.id, row.occurrence, row.step, row.index)
         if job.has_task(key):
-            _restore_task(job, job.get_task(key), row, lives)
+            _restore_task(job, job.get_task(key), row, incarnations)
 
 
 def _make_task_progress(task: Task, hosts: dict[str, int]) -> TaskProgress:
--- a/src/robinthread/_internal/jobs/stragglers.py
+++ b/src/robinthread/_internal/jobs/stragglers.py
@@ -22,13 +22,13 @@
 # differ by a third, whereas a slow host is slower by a factor of four or more.
 LAG_SHARE: Final = 0.4
 # Least presence of a run before its progress is compared, and of other tasks to compare with.
-JUDGED_AFTER_S: Final = 0.5
+COMPARED_AFTER_S: Final = 0.5
 PEERS_MIN: Final = 2
 # Least number of compared runs on a host for a verdict on it.
-JUDGED_MIN: Final = 2
+COMPARED_RUNS_MIN: Final = 2
 # A run is stopped only if its remaining work would take more than this many times as long as the
 # whole task usually takes elsewhere.
-WORTH_MOVING: Final = 1.5
+MOVE_WORTH_FACTOR: Final = 1.5
 
 
 @dataclass(frozen=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class _Judgement:
+class _RunComparison:
     """A run's progress rate as a share of the median for its step."""
 
     run: Run
@@ -50,7 +50,7 @@
 
 def move_stragglers(pool: PoolJobs, now_s: float) -> list[Straggler]:
     """Request copies of tasks that lag or are on silent hosts, or move them; return those moved."""
-    for task in _iter_unseen(pool):
+    for task in _iter_copyable_on_silent_hosts(pool):
         pool.request_copy(task)
     moved = []
     for straggler in find_stragglers(pool):
@@ -68,48 +68,50 @@
 
 def find_stragglers(pool: PoolJobs) -> list[Straggler]:
     """Return the runs on slow hosts that lag behind other tasks of their steps."""
-    by_host: dict[str, list[_Judgement]] = defaultdict(list)
-    for judgement in _judge_runs(pool):
-        by_host[judgement.run.host_id].append(judgement)
+    by_host: dict[str, list[_RunComparison]] = defaultdict(list)
+    for comparison in _compare_runs(pool):
+        by_host[comparison.run.host_id].append(comparison)
     return [
-        Straggler(judgement.run, judgement.usual_s)
-        for judgements in by_host.values()
-        if len(judgements) >= JUDGED_MIN
-        and statistics.median(one.share for one in judgements) < LAG_SHARE
-        for judgement in judgements
-        if judgement.share < LAG_SHARE
+        Straggler(comparison.run, comparison.usual_s)
+        for comparisons in by_host.values()
+        if len(comparisons) >= COMPARED_RUNS_MIN
+        and statistics.median(one.share for one in comparisons) < LAG_SHARE
+        for comparison in comparisons
+        if comparison.share < LAG_SHARE
     ]
 
 
-def _judge_runs(pool: PoolJobs) -> Iterator[_Judgement]:
+def _compare_runs(pool: PoolJobs) -> Iterator[_RunComparison]:
     """Compare each run's progress rate with the median for its step."""
     by_step: dict[StepKey, list[Run]] = defaultdict(list)
     for host in pool.hosts.values():
-        for run in _iter_judged(pool, host):
+        for run in _iter_comparable(pool, host):
             by_step[run.task.step_key].append(run)
     for step, runs in by_step.items():
         tasks = pool.jobs[step.job_id].get_tasks(step.occurrence, step.step)
         rates = [1 / task.took_s for task in tasks if task.took_s]
         rates += [_get_rate(pool, run) for run in runs]
         if len(rates) > PEERS_MIN and (usual := statistics.median(rates)) > 0:
-            yield from (_Judgement(run, _get_rate(pool, run) / usual, 1 / usual) for run in runs)
+            yield from (
+                _RunComparison(run, _get_rate(pool, run) / usual, 1 / usual) for run in runs
+            )
 
 
-def _iter_judged(pool: PoolJobs, host: Host) -> Iterator[Run]:
+def _iter_comparable(pool: PoolJobs, host: Host) -> Iterator[Run]:
     if host.contact is not HostContact.ANSWERING:
         return
     for run in host.runs.values():
         step = pool.jobs[run.task.job_id].spec.steps[run.task.step]
-        is_alike = not step.is_lasting and not step.is_gang and not step.fills_leftover
+        is_comparable = not step.is_lasting and not step.is_gang and not step.fills_leftover
         is_near = not step.near_rack or host.record.rack == step.near_rack
         if (
-            is_alike
+            is_comparable
             and is_near
             and not step.wants_one_rack
             and run.phase is RunPhase.PRESENT
             and not run.is_resumed
             and run.present_since_s is not None
-            and host.reported_at_s - run.present_since_s >= JUDGED_AFTER_S
+            and host.reported_at_s - run.present_since_s >= COMPARED_AFTER_S
         ):
             yield run
 
@@ -124,10 +126,10 @@
 def _is_worth_moving(pool: PoolJobs, straggler: Straggler) -> bool:
     rate = _get_rate(pool, straggler.run)
     left = 1 - straggler.run.progress_percent / 100
-    return rate == 0.0 or left / rate > WORTH_MOVING * straggler.usual_s
+    return rate == 0.0 or left / rate > MOVE_WORTH_FACTOR * straggler.usual_s
 
 
-def _iter_unseen(pool: PoolJobs) -> Iterator[Task]:
+def _iter_copyable_on_silent_hosts(pool: PoolJobs) -> Iterator[Task]:
     """Iterate over the tasks on silent hosts whose steps allow copies."""
     for host in pool.hosts.values():
         if host.contact is HostContact.SILENT:
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -53,27 +53,27 @@
     waiting = [
         task
         for task in pool.crash_tracker.suspects.values()
-        if task.key in pool.waiting and _may_go_on(pool, task)
+        if task.key in pool.waiting and _may_start(pool, task)
     ]
     if not waiting:
         return 0
     usable = get_usable_hosts(pool, now_s)
     placed = 0
     without_host: set[tuple[StepKey, bool]] = set()
-    for task in sorted(sort_tasks(pool, waiting, now_ms), key=_count_sure):
+    for task in sorted(sort_tasks(pool, waiting, now_ms), key=_count_confirmed):
         kind = task.key.step_key, must_run_alone(task.crashes)
-        left = _count_to_spare(pool, task, usable, now_s)
-        if left < 1 or kind in without_host or not pool.fits_workspace_limit(task):
+        spare = _count_spare_hosts(pool, task, usable, now_s)
+        if spare < 1 or kind in without_host or not pool.fits_workspace_limit(task):
             continue
         trial = _choose_trial(pool, task, usable, now_s)
         if trial is None:
             without_host.add(kind)
             continue
-        if len(trial.host_ids) > left and trials.count_at_risk(now_s):
+        if len(trial.host_ids) > spare and trials.count_at_risk(now_s):
             continue
         trials.add(trial)
         usable = [host for host in usable if host.id not in trial.host_ids]
-        placed += _begin(pool, task, trial, now_s)
+        placed += _start_trial(pool, task, trial, now_s)
     return placed
 
 
@@ -81,7 +81,7 @@
     """Clear the suspects that have run past their start in isolation."""
     for trial in pool.crash_tracker.trials.list_all():
         task = pool.crash_tracker.suspects.get(trial.task)
-        if task is not None and trial.run and _has_outlived(pool, task, trial, now_s):
+        if task is not None and trial.run and _has_survived(pool, task, trial, now_s):
             pool.crash_tracker.trials.drop(trial.task)
             set_crashes(pool, task, () if trial.is_alone else attribute_all_elsewhere(task.crashes))
             pool.crash_tracker.add_event(CrashEventKind.CLEARED, task, trial.host_ids)
@@ -98,7 +98,7 @@
     return all((age_s or 0.0) >= STARTUP_WINDOW_S for _run, age_s in ages_s)
 
 
-def _may_go_on(pool: PoolJobs, task: Task) -> bool:
+def _may_start(pool: PoolJobs, task: Task) -> bool:
     """Return whether a suspect may be started now.
 
     In a job with culprits, only the first of them is started.  A suspect with few starts left
@@ -110,21 +110,21 @@
     return not must_run_alone(task.crashes) or not pool.crash_tracker.is_host_outcome_open(task)
 
 
-def _count_sure(task: Task) -> int:
+def _count_confirmed(task: Task) -> int:
     return sum(crash.is_confirmed for crash in task.crashes)
 
 
-def _count_to_spare(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> int:
+def _count_spare_hosts(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> int:
     """Count the hosts that the pool can afford to lose to a suspect."""
     trials = pool.crash_tracker.trials
     host_count = len(usable) + len(trials.reserved)
-    at_stake = trials.count_at_risk(now_s)
-    if not _count_sure(task):
-        return max(int(AT_RISK_SHARE * host_count) - at_stake, not trials.reserved)
-    left = max(1, int(AT_RISK_SHARE_CULPRITS * host_count)) - at_stake
-    if left < 1 and all(pool.is_withheld(other) for other in pool.waiting.values()):
-        left = sum(not host.runs for host in usable) - 1
-    return left
+    at_risk = trials.count_at_risk(now_s)
+    if not _count_confirmed(task):
+        return max(int(AT_RISK_SHARE * host_count) - at_risk, not trials.reserved)
+    spare = max(1, int(AT_RISK_SHARE_CULPRITS * host_count)) - at_risk
+    if spare < 1 and all(pool.is_withheld(other) for other in pool.waiting.values()):
+        spare = sum(not host.runs for host in usable) - 1
+    return spare
 
 
 def _choose_trial(pool: PoolJobs, task: Task, usable: list[Host], now_s: float) -> Trial | None:
@@ -168,7 +168,7 @@
     )
 
 
-def _begin(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> int:
+def _start_trial(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> int:
     """Start a suspect if its hosts are ready; return how many tasks were placed."""
     hosts = [pool.hosts[host_id] for host_id in sorted(trial.host_ids)]
     if not all(is_ready(host, trial.is_alone, now_s) for host in hosts):
@@ -188,7 +188,7 @@
     return placed
 
 
-def _has_outlived(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> bool:
+def _has_survived(pool: PoolJobs, task: Task, trial: Trial, now_s: float) -> bool:
     """Return whether all runs of a trial have been present long enough on responding hosts."""
     needed_s = EXONERATED_AFTER_S if trial.is_alone else STARTUP_WINDOW_S
     hosts = [pool.hosts[host_id] for host_id in trial.host_ids if host_id in pool.hosts]
--- a/src/robinthread/_internal/jobs/task.py
+++ b/src/robinthread/_internal/jobs/task.py
@@ -64,12 +64,12 @@
         self.runs.append(run)
         return run
 
-    def record_last_run_time(self, run: Run, heard_at_s: float) -> None:
+    def record_last_run_time(self, run: Run, last_report_at_s: float) -> None:
         """Record until when a lasting task ran, by the last report of its host.
 
         A run that no host confirmed may never have been present, so it does not move the time
         forward.
         """
         if run.present_since_s is None:
-            heard_at_s = min(heard_at_s, self.ran_until_s)
-        self.ran_until_s = heard_at_s
+            last_report_at_s = min(last_report_at_s, self.ran_until_s)
+        self.ran_until_s = last_report_at_s
--- a/src/robinthread/_internal/jobs/tickets.py
+++ b/src/robinthread/_internal/jobs/tickets.py
@@ -24,14 +24,14 @@
         self._refused: dict[StepKey, set[str]] = defaultdict(set)
 
     def record_advice(
-        self, step: StepKey, asked: Iterable[str], advice: HostAdvice, asked_at_s: float
+        self, step: StepKey, queried: Iterable[str], advice: HostAdvice, requested_at_s: float
     ) -> None:
-        """Store advice about the hosts in ``asked``, requested at ``asked_at_s``."""
-        until_s = asked_at_s + advice.valid_ms / 1000
+        """Store advice about the hosts in ``queried``, requested at ``requested_at_s``."""
+        until_s = requested_at_s + advice.valid_ms / 1000
         self._tickets[step] |= {
             host_id: (ticket, until_s) for host_id, ticket in advice.tickets.items()
         }
-        self._refused[step] |= set(asked) - advice.tickets.keys()
+        self._refused[step] |= set(queried) - advice.tickets.keys()
 
     def get(self, step: StepKey, host_id: str, now_s: float) -> str | None:
         """Return a ticket that is still valid when it is used, or None."""
@@ -53,6 +53,6 @@
 
     def drop_job(self, job_id: str) -> None:
         """Remove the advice for a job that has ended."""
-        for book in (self._tickets, self._refused):
-            for step in [step for step in book if step.job_id == job_id]:
-                del book[step]
+        for cache in (self._tickets, self._refused):
+            for step in [step for step in cache if step.job_id == job_id]:
+                del cache[step]
--- a/src/robinthread/_internal/jobs/trials.py
+++ b/src/robinthread/_internal/jobs/trials.py
@@ -46,12 +46,12 @@
     def add(self, trial: Trial) -> None:
         """Reserve the hosts of a trial."""
         self._trials[trial.task] = trial
-        self._note_reserved()
+        self._update_reserved()
 
     def drop(self, task: TaskKey) -> None:
         """End a task's trial, if there is one."""
         if self._trials.pop(task, None) is not None:
-            self._note_reserved()
+            self._update_reserved()
 
     def drop_unstarted(self) -> None:
         """Drop trials that have not begun: other hosts may suit better now."""
@@ -73,6 +73,6 @@
         self._lost_until_s = [until_s for until_s in self._lost_until_s if until_s > now_s]
         return len(self.reserved) + len(self._lost_until_s)
 
-    def _note_reserved(self) -> None:
+    def _update_reserved(self) -> None:
         hosts = (trial.host_ids for trial in self._trials.values())
         self.reserved = frozenset().union(*hosts)
--- a/src/robinthread/_internal/jobs/unresponsive_hosts.py
+++ b/src/robinthread/_internal/jobs/unresponsive_hosts.py
@@ -26,21 +26,23 @@
     halls: dict[str, list[Host]] = defaultdict(list)
     for host in pool.hosts.values():
         halls[host.record.hall].append(host)
-    return frozenset(host.id for hosts in halls.values() for host in _list_doubted_in(hosts, now_s))
+    return frozenset(
+        host.id for hosts in halls.values() for host in _list_unresponsive_in_hall(hosts, now_s)
+    )
 
 
-def _list_doubted_in(hosts: list[Host], now_s: float) -> Iterable[Host]:
+def _list_unresponsive_in_hall(hosts: list[Host], now_s: float) -> Iterable[Host]:
     """Return the unresponsive hosts of one hall."""
-    doubted = [host for host in hosts if _is_in_doubt(host, now_s)]
-    silent = [host for host in doubted if not host.is_refusing]
+    unresponsive = [host for host in hosts if _is_unresponsive(host, now_s)]
+    silent = [host for host in unresponsive if not host.is_refusing]
     if len(silent) < HALL_UNRESPONSIVE_MIN:
-        return doubted
+        return unresponsive
     since_s = min(host.unanswered_since_s or now_s for host in silent)
-    is_heard = any(host.reported_at_s > since_s for host in hosts)
-    return doubted if is_heard else hosts
+    has_reported = any(host.reported_at_s > since_s for host in hosts)
+    return unresponsive if has_reported else hosts
 
 
-def _is_in_doubt(host: Host, now_s: float) -> bool:
+def _is_unresponsive(host: Host, now_s: float) -> bool:
     if host.contact is HostContact.NOT_CONTACTED or host.unanswered_since_s is None:
         return False
     return now_s - host.unanswered_since_s > UNRESPONSIVE_AFTER_S
