--- a/src/robinthread/_internal/jobs/host_loss.py
+++ b/src/robinthread/_internal/jobs/host_loss.py
@@ -36,7 +36,7 @@
 ) -> None:
     """End all runs of a host that has crashed, and fail the jobs of culprits.
 
-    The ``moved_runs`` runs may continue on its ``successor``.
+    The ``moved_runs`` may continue on its ``successor``.
     """
     if not pool.policy.isolates_crashing_tasks:
         pool.remove_host(host.id, now_ms, moved_runs, successor)
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -225,7 +225,7 @@
     ) -> None:
         """Remove a host that has certainly ended and end its runs.
 
-        The ``moved_runs`` runs are moved to its ``successor``, if there is one.
+        The ``moved_runs`` continue on its ``successor``, if there is one.
         """
         host = self.hosts.get(host_id)
         if host is None:
--- a/src/robinthread/_internal/jobs/stragglers.py
+++ b/src/robinthread/_internal/jobs/stragglers.py
@@ -21,10 +21,11 @@
 # A run lags if its progress rate is below this share of the median for its step.  Tasks of a step
 # differ by a third, whereas a slow host is slower by a factor of four or more.
 LAG_SHARE: Final = 0.4
-# Least presence of a run before its progress is compared, and of other tasks to compare with.
+# Least time that a run must have been present before its progress is compared, and least number
+# of other tasks to compare it with.
 COMPARED_AFTER_S: Final = 0.5
 PEERS_MIN: Final = 2
-# Least number of compared runs on a host for a verdict on it.
+# Least number of compared runs on a host before the host can count as slow.
 COMPARED_RUNS_MIN: Final = 2
 # A run is stopped only if its remaining work would take more than this many times as long as the
 # whole task usually takes elsewhere.
