--- a/tests/unit/test_crash_records.py
+++ b/tests/unit/test_crash_records.py
@@ -37,14 +37,14 @@
         pool.record_crashes(job, task, CRASHES)
         self.value = encode_progress(job)
 
-    def test_next_owner_knows_the_crashes_and_the_suspect(self) -> None:
+    def test_next_owner_restores_crashes_and_suspects(self) -> None:
         pool = restore(self.value)
         task = pool.jobs[SPEC.job_id].get_task(KEY)
         self.assertEqual(CRASHES, task.crashes)
         self.assertTrue(pool.crash_tracker.is_suspect(task))
         self.assertEqual({KEY}, pool.jobs[SPEC.job_id].culprits)
 
-    def test_next_owner_starts_nothing_beside_a_suspect_that_runs_alone(self) -> None:
+    def test_next_owner_reserves_the_host_of_a_suspect_that_runs_alone(self) -> None:
         pool = PoolJobs()
         job = pool.add_job(SPEC, POLICY, 0, 0.0)
         task = job.get_task(KEY)
@@ -56,20 +56,20 @@
         resumed.end_run(run, RunEnd.DONE, "", 0)
         self.assertEqual(frozenset(), resumed.crash_tracker.trials.reserved)
 
-    def test_record_of_code_that_knew_no_crashes_has_none(self) -> None:
+    def test_record_without_crash_fields_is_read_as_no_crashes(self) -> None:
         raw = msgspec.msgpack.decode(self.value)
         raw[4] = [row[:9] for row in raw[4]]
         task = restore(msgspec.msgpack.encode(raw)).jobs[SPEC.job_id].get_task(KEY)
         self.assertEqual(((), 2), (task.crashes, task.last_run))
 
-    def test_record_of_later_code_is_read_without_what_is_not_known(self) -> None:
+    def test_unknown_fields_of_a_newer_record_are_ignored(self) -> None:
         raw = msgspec.msgpack.decode(self.value)
         raw[4] = [[*row, "later"] for row in raw[4]]
         raw[4][0][9] = [[*crash, 7] for crash in raw[4][0][9]]
         task = restore(msgspec.msgpack.encode(raw)).jobs[SPEC.job_id].get_task(KEY)
         self.assertEqual(CRASHES, task.crashes)
 
-    def test_malformed_crashes_are_a_typed_error(self) -> None:
+    def test_malformed_crashes_raise_a_decoding_error(self) -> None:
         raw = msgspec.msgpack.decode(self.value)
         raw[4][0][9] = [["h1"]]
         self.assertRaises(msgspec.MsgspecError, decode_progress, msgspec.msgpack.encode(raw))
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -22,57 +22,57 @@
 
 
 class CrashesTest(TestCase):
-    def test_task_is_suspect_from_a_crash_close_to_its_start(self) -> None:
+    def test_crash_near_the_start_makes_a_task_suspect(self) -> None:
         self.assertTrue(is_suspect([crash(1)]))
         self.assertFalse(is_suspect([crash(1, 800)]))
         self.assertFalse(is_suspect([]))
 
-    def test_third_run_that_ends_with_its_host_makes_any_task_go_on_alone(self) -> None:
+    def test_third_run_with_a_host_crash_makes_any_task_run_alone(self) -> None:
         late = [crash(1, 800), crash(2, 300), crash(3, 2000)]
         self.assertFalse(is_suspect(late[:2]))
         self.assertTrue(is_suspect(late) and must_run_alone(late))
 
-    def test_members_of_a_gang_that_crash_several_hosts_in_one_run_count_once(self) -> None:
+    def test_several_crashes_in_one_run_of_a_gang_count_once(self) -> None:
         one_run = [Crash(f"h{host}", f"m{host}", 1, 800, False, False) for host in range(4)]
         self.assertFalse(must_run_alone(one_run))
 
-    def test_two_sure_crashes_of_two_machines_are_to_blame(self) -> None:
+    def test_two_confirmed_crashes_on_two_machines_make_a_culprit(self) -> None:
         self.assertTrue(is_culprit([crash(1), crash(2, sure=True), crash(3, sure=True)]))
         self.assertFalse(is_culprit([crash(1), crash(2, sure=True)]))
         self.assertFalse(is_culprit([crash(1), crash(2), crash(3)]))
 
-    def test_machine_that_crashes_whatever_it_runs_blames_no_task(self) -> None:
+    def test_crashes_on_one_machine_make_no_culprit(self) -> None:
         same = [crash(1), crash(2, sure=True, machine="m"), crash(3, sure=True, machine="m")]
         self.assertFalse(is_culprit(same))
         self.assertTrue(is_culprit([*same, crash(4, sure=True, machine="m")]))
 
-    def test_crashes_at_any_time_are_the_hosts_own(self) -> None:
+    def test_crashes_at_different_run_ages_make_no_culprit(self) -> None:
         self.assertFalse(is_culprit([crash(1, 390, sure=True), crash(2, 790, sure=True)]))
         self.assertTrue(is_culprit([crash(1, 600, sure=True), crash(2, 602, sure=True)]))
 
-    def test_fifth_run_blames_a_task_that_ended_alike_before(self) -> None:
+    def test_fifth_run_needs_one_confirmed_and_three_similar_crashes(self) -> None:
         before = [crash(1, 600), crash(2, 601), crash(3, 390), crash(4, 100, sure=True)]
         self.assertTrue(is_culprit([*before, crash(5, 602, sure=True)]))
         self.assertFalse(is_culprit([*before, crash(5, 1600, sure=True)]))
         self.assertFalse(is_culprit([*before, crash(5, 602)]))
 
-    def test_lasting_task_is_never_to_blame_for_one_sure_crash(self) -> None:
+    def test_lasting_task_needs_two_confirmed_crashes(self) -> None:
         crashes = [*(crash(run, 600) for run in range(1, 5)), crash(5, 601, sure=True)]
         self.assertTrue(is_culprit(crashes))
         self.assertFalse(is_culprit(crashes, is_lasting=True))
 
-    def test_task_that_outlives_its_start_is_not_suspect_but_its_runs_count(self) -> None:
+    def test_cleared_task_is_not_suspect_but_its_runs_count(self) -> None:
         cleared = attribute_all_elsewhere([crash(1), crash(2, sure=True)])
         self.assertFalse(is_suspect(cleared))
         self.assertTrue(must_run_alone([*cleared, crash(3)]))
 
-    def test_crash_that_another_task_caused_counts_no_more(self) -> None:
+    def test_crash_attributed_to_another_task_no_longer_counts(self) -> None:
         caused = [crash(1), crash(2, sure=True)]
         self.assertEqual(
             [], attribute_to_culprit([Crash("h1", "m1", 7, 900, False, False)], caused)
         )
 
-    def test_task_that_began_together_with_the_cause_is_no_suspect_and_its_run_counts(self) -> None:
+    def test_task_that_began_with_the_culprit_is_not_suspect_but_its_run_counts(self) -> None:
         left = attribute_to_culprit([Crash("h1", "m1", 7, 12, True, False)], [crash(1)])
         self.assertEqual([True], [each.has_other_cause for each in left])
         self.assertFalse(is_suspect(left))
@@ -81,7 +81,7 @@
         mine = [Crash("h1", "m1", 7, 12, True, False), Crash("h9", "m9", 8, 11, True, False)]
         self.assertEqual(mine, attribute_to_culprit(mine, [crash(1)]))
 
-    def test_crashes_that_do_not_look_like_the_sure_ones_were_not_a_tasks_doing(self) -> None:
+    def test_crashes_unlike_the_confirmed_ones_are_not_attributed_to_the_task(self) -> None:
         mine = [crash(1, 900), crash(2, 12), crash(3, 12, sure=True), crash(4, 11, sure=True)]
         self.assertEqual(
             ("h2", "h3", "h4"), tuple(each.host_id for each in list_caused_crashes(mine))
--- a/tests/unit/test_host_lease.py
+++ b/tests/unit/test_host_lease.py
@@ -8,7 +8,7 @@
 
 
 class HostLeaseTest(TestCase):
-    def test_host_that_has_not_heard_of_this_owner_may_run_for_as_long_as_earlier_ones_grant(
+    def test_host_not_contacted_yet_is_bound_by_the_leases_of_earlier_owners(
         self,
     ) -> None:
         foreign = ForeignLeases(10.0)
@@ -17,7 +17,7 @@
         foreign.over_at_s = 7.0
         self.assertEqual(7.0, lease.over_at_s)
 
-    def test_host_that_refuses_earlier_owners_runs_for_one_lease_of_theirs(self) -> None:
+    def test_fencing_bounds_earlier_leases_by_one_lease_length(self) -> None:
         lease = HostLease(ForeignLeases(10.0))
         lease.record_fencing(LENGTH_MS, 1.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
@@ -25,14 +25,14 @@
         lease.record_fencing(LENGTH_MS, 3.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
 
-    def test_earlier_owners_that_are_known_to_have_stopped_sooner_count_for_less(self) -> None:
+    def test_earlier_stop_of_earlier_owners_shortens_their_leases(self) -> None:
         foreign = ForeignLeases(10.0)
         lease = HostLease(foreign)
         lease.record_fencing(LENGTH_MS, 1.0)
         foreign.over_at_s = 3.0
         self.assertEqual(3.0, lease.over_at_s)
 
-    def test_own_grants_count_in_any_case(self) -> None:
+    def test_own_grants_always_count(self) -> None:
         lease = HostLease(ForeignLeases(10.0))
         lease.record_fencing(LENGTH_MS, 1.0)
         lease.record_clock(0, 1.0)
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -77,7 +77,7 @@
 
 
 class HostLossTest(TestCase):
-    def test_what_had_just_begun_is_suspect_and_all_else_is_not(self) -> None:
+    def test_only_runs_that_had_just_begun_are_suspect(self) -> None:
         hosts = PoolOfHosts()
         old, new = hosts.add_task(1), hosts.add_task(2)
         hosts.start(old, "h0", NOW_S - 3)
@@ -86,13 +86,13 @@
         self.assertEqual({"2"}, hosts.list_suspects())
         self.assertEqual({old.key, new.key}, set(hosts.pool.waiting))
 
-    def test_start_without_answer_may_have_been_the_cause(self) -> None:
+    def test_unanswered_start_is_suspect(self) -> None:
         hosts = PoolOfHosts()
         hosts.start(hosts.add_task(1), "h0", NOW_S - 2, is_there=False)
         hosts.crash("h0", NOW_S)
         self.assertEqual({"1"}, hosts.list_suspects())
 
-    def test_start_that_was_not_sent_was_not_the_cause(self) -> None:
+    def test_start_that_was_not_sent_is_not_suspect(self) -> None:
         hosts = PoolOfHosts()
         task = hosts.add_task(1)
         hosts.pool.place(task, hosts.pool.hosts["h0"])
@@ -102,14 +102,14 @@
         self.assertEqual((), task.crashes)
         self.assertEqual(set(), hosts.list_suspects())
 
-    def test_run_that_was_there_for_long_has_no_part_in_a_crash(self) -> None:
+    def test_run_present_for_long_has_no_crash_counted(self) -> None:
         hosts = PoolOfHosts()
         task = hosts.add_task(1, StepSpec(1, cpu_millicores=1000, is_lasting=True))
         hosts.start(task, "h0", NOW_S - 60)
         hosts.crash("h0", NOW_S)
         self.assertEqual((), task.crashes)
 
-    def test_silent_host_makes_no_suspects_but_its_runs_count(self) -> None:
+    def test_silent_host_makes_no_suspects_but_its_runs_are_counted(self) -> None:
         hosts = PoolOfHosts()
         task = hosts.add_task(1)
         hosts.start(task, "h0", NOW_S)
@@ -117,7 +117,7 @@
         self.assertEqual(set(), hosts.list_suspects())
         self.assertEqual(1, len(task.crashes))
 
-    def test_rack_that_goes_as_a_whole_makes_no_suspects(self) -> None:
+    def test_loss_of_a_whole_rack_makes_no_suspects(self) -> None:
         hosts = PoolOfHosts(hosts=2, rack="r")
         for number in (0, 1):
             hosts.start(hosts.add_task(number), f"h{number}", NOW_S)
@@ -127,7 +127,7 @@
         hosts.crash("h1", NOW_S + 0.01)
         self.assertEqual(set(), hosts.list_suspects())
 
-    def test_host_that_drains_was_to_end_once_its_time_is_over(self) -> None:
+    def test_end_of_a_draining_host_is_expected_only_near_its_leave_time(self) -> None:
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
         host.record = replace(host.record, is_draining=True, leaves_in_ms=2000)
@@ -138,7 +138,7 @@
         host.record_failure(HostRefusedError("refused"), NOW_S + 1.9)
         self.assertTrue(host.was_expected_to_end())
 
-    def test_host_that_left_without_a_word_was_to_end(self) -> None:
+    def test_end_of_a_host_unlisted_while_alive_is_expected(self) -> None:
         hosts = PoolOfHosts()
         host = hosts.pool.hosts["h0"]
         self.assertFalse(host.was_expected_to_end())
@@ -151,7 +151,7 @@
         crashed.record_listing(False)
         self.assertFalse(crashed.was_expected_to_end())
 
-    def test_lapsed_lease_makes_suspects_only_until_the_host_answers(self) -> None:
+    def test_lapsed_lease_makes_suspects_until_the_host_responds(self) -> None:
         hosts = PoolOfHosts()
         task, host = hosts.add_task(1), hosts.pool.hosts["h0"]
         hosts.start(task, "h0", NOW_S)
@@ -172,7 +172,7 @@
         hosts.crash("h0", NOW_S + 0.01)
         return task
 
-    def test_host_of_a_suspect_gets_nothing_else_until_it_has_outlived_its_start(self) -> None:
+    def test_host_of_a_suspect_is_reserved_until_the_suspect_is_cleared(self) -> None:
         hosts = PoolOfHosts(hosts=2)
         task = self.suspect(hosts)
         self.assertEqual(1, place_suspects(hosts.pool, NOW_S + 1, 0))
@@ -184,14 +184,14 @@
         self.assertEqual(set(), hosts.list_suspects())
         self.assertEqual(frozenset(), hosts.pool.crash_tracker.trials.reserved)
 
-    def test_suspect_waits_for_a_host_where_nothing_has_just_begun(self) -> None:
+    def test_suspect_waits_for_a_host_without_recent_starts(self) -> None:
         hosts = PoolOfHosts(hosts=2)
         self.suspect(hosts)
         hosts.start(hosts.add_task(2), "h1", NOW_S + 0.95)
         self.assertEqual(0, place_suspects(hosts.pool, NOW_S + 1, 0))
         self.assertEqual(1, place_suspects(hosts.pool, NOW_S + 1.2, 0))
 
-    def test_suspects_are_apart_from_each_other_on_half_of_the_hosts(self) -> None:
+    def test_suspects_get_separate_hosts_up_to_half_of_the_pool(self) -> None:
         hosts = PoolOfHosts(hosts=5)
         tasks = [hosts.add_task(number) for number in range(1, 5)]
         for task in tasks:
@@ -200,7 +200,7 @@
         self.assertEqual(2, place_suspects(hosts.pool, NOW_S + 1, 0))
         self.assertEqual(2, len(hosts.pool.crash_tracker.trials.reserved))
 
-    def test_second_crash_of_a_trial_gives_the_job_up_and_tells_why(self) -> None:
+    def test_second_crash_in_a_trial_fails_the_job_and_logs_the_reason(self) -> None:
         hosts = PoolOfHosts()
         task = self.suspect(hosts)
         for moment in (10, 20):
@@ -213,7 +213,7 @@
         self.assertEqual(1, notes.count(CrashEventKind.GIVEN_UP))
         self.assertEqual({}, hosts.pool.crash_tracker.suspects)
 
-    def test_other_tasks_of_a_job_wait_while_one_is_to_blame(self) -> None:
+    def test_other_tasks_of_a_job_wait_while_one_has_a_confirmed_crash(self) -> None:
         hosts = PoolOfHosts()
         task = hosts.add_task(1, StepSpec(2, cpu_millicores=1000))
         other = hosts.pool.jobs[task.key.job_id].get_tasks(0, 0)[1]
@@ -225,7 +225,7 @@
         hosts.crash(run.host_id, NOW_S + 10.01)
         self.assertTrue(hosts.pool.is_withheld(other))
 
-    def test_suspect_that_may_have_copies_gets_none(self) -> None:
+    def test_suspect_gets_no_copy(self) -> None:
         hosts = PoolOfHosts()
         task = hosts.add_task(1, StepSpec(1, cpu_millicores=1000, allows_copies=True))
         hosts.start(task, "h0", NOW_S)
@@ -234,7 +234,7 @@
         hosts.pool.request_copy(task)
         self.assertNotIn(task.key, hosts.pool.waiting)
 
-    def test_task_that_was_lost_with_a_silent_host_may_have_a_copy(self) -> None:
+    def test_task_lost_with_a_silent_host_may_get_a_copy(self) -> None:
         """It got none, as if it were suspect: jobs on days with such hosts were late."""
         hosts = PoolOfHosts()
         task = hosts.add_task(1, StepSpec(1, cpu_millicores=1000, allows_copies=True))
--- a/tests/unit/test_pacing.py
+++ b/tests/unit/test_pacing.py
@@ -39,19 +39,19 @@
             change.run.paced_at_s = now_s
         return self.filling.pace_percent
 
-    def test_what_fills_takes_no_room(self) -> None:
+    def test_leftover_task_reserves_no_capacity(self) -> None:
         self.assertEqual(3000, self.host.free.cpu_millicores)
 
-    def test_harm_is_ended_within_two_seconds(self) -> None:
+    def test_leftover_task_stops_within_two_seconds_of_high_latency(self) -> None:
         self.assertEqual([40, 16, 0], [self.step(150, now_s) for now_s in (1.0, 1.5, 2.0)])
 
-    def test_pace_comes_back_slowly_and_holds_in_between(self) -> None:
+    def test_pace_recovers_slowly_and_holds_at_medium_pressure(self) -> None:
         self.filling.pace_percent = 0
         self.assertEqual([10, 20, 20], [self.step(*at) for at in ((50, 1.0), (50, 1.5), (70, 2))])
 
-    def test_pace_changes_only_so_often(self) -> None:
+    def test_pace_changes_at_most_once_per_period(self) -> None:
         self.assertEqual([40, 40], [self.step(150, now_s) for now_s in (1.0, 1.2)])
 
-    def test_only_what_fills_is_slowed_down(self) -> None:
+    def test_serving_task_is_not_slowed_down(self) -> None:
         self.step(150, 1.0)
         self.assertEqual(100, self.serving.pace_percent)
--- a/tests/unit/test_stragglers.py
+++ b/tests/unit/test_stragglers.py
@@ -48,7 +48,7 @@
 class StragglersTest(TestCase):
     STEP = StepSpec(4, cpu_millicores=1000)
 
-    def test_tasks_on_a_slow_host_are_moved_and_the_host_rests(self) -> None:
+    def test_tasks_on_a_slow_host_are_moved_and_the_host_is_paused(self) -> None:
         pool = make_pool(self.STEP, (60, 50, 70, 8), (40, 45, 50, 9))
         moved = move_stragglers(pool, now_s=1.1)
         self.assertEqual(
@@ -56,27 +56,27 @@
         )
         self.assertTrue(pool.hosts["h3"].is_paused(1.2))
 
-    def test_long_task_on_a_host_that_is_well_is_left_alone(self) -> None:
+    def test_long_task_on_a_sound_host_is_not_moved(self) -> None:
         pool = make_pool(self.STEP, (60, 50, 70, 8), (40, 45, 50, 44))
         self.assertEqual([], move_stragglers(pool, now_s=1.1))
 
-    def test_one_task_alone_tells_nothing_of_its_host(self) -> None:
+    def test_single_task_on_a_host_is_not_moved(self) -> None:
         pool = make_pool(self.STEP, (60, 50, 70, 8))
         self.assertEqual([], move_stragglers(pool, now_s=1.1))
 
-    def test_uneven_tasks_are_left_alone(self) -> None:
+    def test_tasks_of_uneven_length_are_not_moved(self) -> None:
         pool = make_pool(self.STEP, (60, 50, 90, 35), (60, 50, 90, 35))
         self.assertEqual([], move_stragglers(pool, now_s=1.1))
 
-    def test_tasks_without_others_to_compare_with_are_left_alone(self) -> None:
+    def test_tasks_without_peers_are_not_moved(self) -> None:
         pool = make_pool(StepSpec(2, cpu_millicores=1000), (60, 5), (60, 5))
         self.assertEqual([], move_stragglers(pool, now_s=1.1))
 
-    def test_old_report_tells_nothing_of_the_time_since(self) -> None:
+    def test_progress_is_measured_up_to_the_last_report(self) -> None:
         pool = make_pool(self.STEP, (60, 50, 70, 55), (60, 50, 70, 55))
         self.assertEqual([], move_stragglers(pool, now_s=9.0))
 
-    def test_copy_begins_elsewhere_and_the_first_end_counts(self) -> None:
+    def test_copy_runs_on_another_host_and_the_first_to_end_counts(self) -> None:
         step = StepSpec(4, cpu_millicores=1000, allows_copies=True)
         pool = make_pool(step, (60, 50, 70, 8), (60, 50, 70, 8))
         slow = get_run(pool, 3)
@@ -91,7 +91,7 @@
         self.assertTrue(task.is_done)
         self.assertEqual([slow], pool.to_stop)
 
-    def test_tasks_on_a_silent_host_get_copies_where_that_is_allowed(self) -> None:
+    def test_tasks_on_a_silent_host_get_copies_if_the_step_allows_them(self) -> None:
         for allows_copies in (True, False):
             step = StepSpec(2, cpu_millicores=1000, allows_copies=allows_copies)
             pool = make_pool(step, (60, 50))
@@ -99,7 +99,7 @@
             move_stragglers(pool, now_s=1.1)
             self.assertEqual(int(allows_copies), len(pool.waiting))
 
-    def test_job_that_was_cancelled_gets_no_copies(self) -> None:
+    def test_cancelled_job_gets_no_copies(self) -> None:
         step = StepSpec(2, cpu_millicores=1000, allows_copies=True)
         pool = make_pool(step, (60, 50))
         pool.hosts["h1"].contact = HostContact.SILENT
--- a/tests/unit/test_unresponsive_hosts.py
+++ b/tests/unit/test_unresponsive_hosts.py
@@ -32,7 +32,7 @@
 
 
 class UnresponsiveHostsTest(TestCase):
-    def test_host_is_in_doubt_from_an_order_it_leaves_unanswered_until_it_answers(self) -> None:
+    def test_host_with_an_unanswered_order_is_unresponsive_until_it_responds(self) -> None:
         pool = make_pool()
         host = pool.hosts["a1"]
         host.record_order_sent(SENT_S)
@@ -42,19 +42,19 @@
         host.record_response()
         self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
 
-    def test_later_orders_do_not_hide_the_first(self) -> None:
+    def test_later_orders_do_not_reset_the_time_of_the_first(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].record_order_sent(SENT_S)
         pool.hosts["a1"].record_order_sent(LATER_S)
         self.assertEqual({"a1"}, list_unresponsive(pool, LATER_S))
 
-    def test_two_in_doubt_put_their_hall_in_doubt(self) -> None:
+    def test_two_unresponsive_hosts_make_their_hall_unresponsive(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].record_order_sent(SENT_S)
         pool.hosts["a2"].record_order_sent(SENT_S)
         self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
-    def test_hosts_that_refuse_connections_are_in_doubt_alone(self) -> None:
+    def test_hosts_that_refuse_connections_do_not_affect_their_hall(self) -> None:
         pool = make_pool()
         for name in ("a1", "a2", "a3"):
             pool.hosts[name].record_order_sent(SENT_S)
@@ -64,7 +64,7 @@
         pool.hosts["a3"].record_response()
         self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
-    def test_hosts_that_refused_and_then_say_nothing_count_for_their_hall(self) -> None:
+    def test_hosts_that_time_out_after_a_refusal_count_towards_their_hall(self) -> None:
         pool = make_pool()
         for name in ("a1", "a2"):
             pool.hosts[name].record_order_sent(SENT_S)
@@ -72,14 +72,14 @@
             pool.hosts[name].record_failure(HostSilentError("silent"), SENT_S)
         self.assertEqual({"a1", "a2", "a3"}, list_unresponsive(pool, LATER_S))
 
-    def test_hall_that_is_heard_is_not_in_doubt(self) -> None:
+    def test_hall_with_a_later_report_is_not_unresponsive(self) -> None:
         pool = make_pool()
         pool.hosts["a1"].record_order_sent(SENT_S)
         pool.hosts["a2"].record_order_sent(SENT_S)
         pool.hosts["a3"].reported_at_s = SENT_S + 0.05
         self.assertEqual({"a1", "a2"}, list_unresponsive(pool, LATER_S))
 
-    def test_switched_off_no_host_is(self) -> None:
+    def test_no_host_is_unresponsive_if_the_policy_is_off(self) -> None:
         pool = make_pool(PlacementPolicy(doubts_silent_hosts=False))
         pool.hosts["a1"].record_order_sent(SENT_S)
         self.assertEqual(frozenset(), list_unresponsive(pool, LATER_S))
@@ -98,9 +98,9 @@
         }
         return find_silent_halls([PoolReport(True, hosts=hosts)], machines)
 
-    def test_hall_is_silent_where_most_of_its_hosts_are(self) -> None:
+    def test_hall_is_silent_if_most_of_its_hosts_are(self) -> None:
         self.assertEqual({"a"}, self.find("a1 b1 b2"))
         self.assertEqual(frozenset(), self.find("a1 a2 b1 b2"))
 
-    def test_one_silent_host_says_nothing(self) -> None:
+    def test_one_silent_host_does_not_make_its_hall_silent(self) -> None:
         self.assertEqual(frozenset(), self.find("a1 a2 a3 b1"))
