--- a/tests/unit/test_crash_records.py
+++ b/tests/unit/test_crash_records.py
@@ -1,4 +1,4 @@
-"""What crashed under a task outlasts its pool's owner, beside records of other code."""
+"""Crashes in a job's progress record, also in records of older and newer versions."""
 
 import msgspec
 from testtools import TestCase
@@ -21,7 +21,7 @@
 
 
 def restore(value: bytes) -> PoolJobs:
-    """Return a pool of the next owner, which read a record."""
+    """Return the pool of a next owner, restored from a progress record."""
     pool = PoolJobs()
     pool.add_job(SPEC, POLICY, 0, 0.0, decode_progress(value))
     return pool
--- a/tests/unit/test_crashes.py
+++ b/tests/unit/test_crashes.py
@@ -1,4 +1,4 @@
-"""What crashes of hosts tell of a task."""
+"""Rules that attribute host crashes to a task."""
 
 from testtools import TestCase
 
@@ -16,7 +16,7 @@
 def crash(
     run: int, age_ms: int = 12, sure: bool = False, close: bool | None = None, machine: str = ""
 ) -> Crash:
-    """Make a crash under a run, of a host and machine of its own unless one is named."""
+    """Make a crash during a run, on a host of its own and a machine of its own if none is named."""
     is_near_start = age_ms < 150 if close is None else close
     return Crash(f"h{run}", machine or f"m{run}", run, age_ms, is_near_start, sure)
 
--- a/tests/unit/test_host_lease.py
+++ b/tests/unit/test_host_lease.py
@@ -1,4 +1,4 @@
-"""When all that may run on a host has surely lapsed."""
+"""When all leases that may be in force on a host have certainly lapsed."""
 
 from testtools import TestCase
 
@@ -21,7 +21,7 @@
         lease = HostLease(ForeignLeases(10.0))
         lease.record_fencing(LENGTH_MS, 1.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
-        # A later answer tells nothing new: they were refused from the first one on.
+        # A later response changes nothing: earlier owners were rejected from the first one on.
         lease.record_fencing(LENGTH_MS, 3.0)
         self.assertEqual(get_lapse_time_s(LENGTH_MS, 1.0), lease.over_at_s)
 
--- a/tests/unit/test_host_loss.py
+++ b/tests/unit/test_host_loss.py
@@ -1,4 +1,4 @@
-"""Which of the runs that a host took with it may have been the cause."""
+"""Which runs of a lost host are suspected of having caused its crash, and their trials."""
 
 from dataclasses import replace
 
@@ -29,7 +29,7 @@
 
 
 class PoolOfHosts:
-    """A pool whose hosts answer; each job has one task."""
+    """A pool whose hosts respond; each job has one step."""
 
     def __init__(self, hosts: int = 4, rack: str = "") -> None:
         self.pool = PoolJobs()
@@ -44,19 +44,19 @@
             host.reported_at_s = NOW_S
 
     def add_task(self, number: int, step: StepSpec = STEP) -> Task:
-        """Add a job whose task waits."""
+        """Add a job with waiting tasks; return the first task."""
         spec = JobSpec(f"{number:016x}", "queue", "pool", "", (step,))
         job = self.pool.add_job(spec, POLICY, number, NOW_S)
         self.pool.queue_due_tasks(job, 0)
         return job.get_tasks(0, 0)[0]
 
     def start(self, task: Task, host: str, at_s: float, is_there: bool = True) -> Run:
-        """Start a task on a host, which has confirmed it unless told otherwise."""
+        """Start a task on a host; ``is_there``: the host has confirmed the start."""
         run = self.pool.place(task, self.pool.hosts[host])
         return self.send(run, at_s, is_there)
 
     def send(self, run: Run, at_s: float, is_there: bool = True) -> Run:
-        """Send a start that was placed."""
+        """Send the start of a placed run."""
         run.phase = RunPhase.SENDING
         run.sent_at_s = at_s
         if is_there:
@@ -64,7 +64,7 @@
         return run
 
     def crash(self, host_id: str, at_s: float, is_silent: bool = False) -> None:
-        """Have a host crash; its connections break unless it only falls silent."""
+        """Crash a host; its connections break, or time out if ``is_silent``."""
         host = self.pool.hosts[host_id]
         host.contact = HostContact.SILENT
         error = HostSilentError("timed out") if is_silent else HostRefusedError("refused")
@@ -164,7 +164,7 @@
 
 
 class TrialTest(TestCase):
-    """A suspect is started where nothing else is to blame."""
+    """A suspect is started where no other run can be the cause of a crash."""
 
     def suspect(self, hosts: PoolOfHosts, number: int = 1) -> Task:
         task = hosts.add_task(number)
@@ -235,7 +235,7 @@
         self.assertNotIn(task.key, hosts.pool.waiting)
 
     def test_task_lost_with_a_silent_host_may_get_a_copy(self) -> None:
-        """It got none, as if it were suspect: jobs on days with such hosts were late."""
+        """Such a task was treated as suspect and got no copy, which made its job late."""
         hosts = PoolOfHosts()
         task = hosts.add_task(1, StepSpec(1, cpu_millicores=1000, allows_copies=True))
         hosts.start(task, "h0", NOW_S)
--- a/tests/unit/test_pacing.py
+++ b/tests/unit/test_pacing.py
@@ -1,4 +1,4 @@
-"""How fast tasks that take what others leave work beside tasks that serve."""
+"""Pacing of leftover-filling tasks beside serving tasks on the same host."""
 
 from testtools import TestCase
 
--- a/tests/unit/test_stragglers.py
+++ b/tests/unit/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Tasks that lag behind the others of their step."""
+"""Detection and moving of tasks that lag behind the others of their step."""
 
 from testtools import TestCase
 
@@ -18,9 +18,10 @@
 
 
 def make_pool(step: StepSpec, *jobs: tuple[int, ...]) -> PoolJobs:
-    """Make a pool where the n-th task of each job runs on host n, as far as given in percent.
+    """Make a pool where the n-th task of each job runs on host n, with the given progress.
 
-    All tasks began at 0 s, and all hosts told of them at 1 s; one more host is empty.
+    Progress is in percent.  All tasks began at 0 s, and all hosts reported at 1 s; one more host
+    is empty.
     """
     pool = PoolJobs()
     for number in range(max(map(len, jobs)) + 1):
--- a/tests/unit/test_unresponsive_hosts.py
+++ b/tests/unit/test_unresponsive_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that leave orders unanswered, and halls that are cut off."""
+"""Detection of hosts that leave orders unanswered and of halls that are cut off."""
 
 from testtools import TestCase
 
@@ -21,7 +21,7 @@
 
 
 def make_pool(policy: PlacementPolicy | None = None) -> PoolJobs:
-    """Make a pool of five hosts, whose names begin with their halls', all heard just now."""
+    """Make a pool of five hosts that have just reported; the first letter names the hall."""
     pool = PoolJobs(policy or PlacementPolicy())
     for name in HOSTS:
         record = UpstreamHost(name, f"m{name}", "", "", name[0], "r", HOST_CAPACITY, frozenset())
