--- a/tests/functional/test_crashing_machines.py
+++ b/tests/functional/test_crashing_machines.py
@@ -17,7 +17,7 @@
 
 
 class CrashingMachinesTest(TestCase):
-    def test_machine_that_crashes_whatever_it_runs_gets_less_and_less(self) -> None:
+    def test_faulty_machine_gets_work_less_and_less_often(self) -> None:
         """Each of its crashes took some ten runs with it: nine in 30 s, and 96 runs."""
 
         async def work() -> int:
--- a/tests/functional/test_crashing_tasks.py
+++ b/tests/functional/test_crashing_tasks.py
@@ -96,24 +96,24 @@
 
 
 class CrashingTasksTest(TestCase):
-    def test_job_whose_task_crashes_each_host_is_given_up_and_all_others_are_done(self) -> None:
+    def test_job_of_a_crashing_task_fails_and_all_others_succeed(self) -> None:
         for crashing in (1, 4, 10):
             run_virtual(play(crashing))
 
-    def test_what_crashed_under_a_task_outlasts_owners(self) -> None:
+    def test_crashes_are_counted_across_changes_of_owner(self) -> None:
         run_virtual(play(4, owners_lost=2))
 
-    def test_gang_is_started_three_times_and_lasting_task_as_well(self) -> None:
+    def test_crashing_gang_and_lasting_task_are_started_three_times(self) -> None:
         gang = replace(STEP, is_gang=True)
         lasting = replace(STEP, is_lasting=True, per_host_max=1)
         for work_s, step in ((1.0, STEP), (1.0, gang), (None, lasting)):
             self.assertEqual(3, run_virtual(count_starts(work_s, (step,), HOSTS)))
 
-    def test_pool_of_one_host_gives_the_task_up_as_well(self) -> None:
+    def test_job_of_a_crashing_task_fails_in_a_pool_of_one_host(self) -> None:
         starts = run_virtual(count_starts(1.0, (STEP,), hosts=1))
         self.assertTrue(CRASHES <= starts <= CRASHES + STARTS_AFTER_MAX, starts)
 
-    def test_hosts_that_crash_by_themselves_cost_no_job(self) -> None:
+    def test_hosts_that_crash_by_themselves_fail_no_job(self) -> None:
         """Two a second of twelve do."""
 
         async def work(seed: int) -> dict[str, JobStatus | None]:
@@ -130,7 +130,7 @@
             statuses = run_virtual(work(seed))
             self.assertEqual({JobStatus.SUCCEEDED}, set(statuses.values()), f"seed {seed}")
 
-    def test_lasting_neighbours_of_such_tasks_are_sound(self) -> None:
+    def test_lasting_tasks_beside_crashing_tasks_keep_running(self) -> None:
         """Each host that a task takes down carries some of them."""
 
         async def work() -> None:
@@ -151,7 +151,7 @@
 
         run_virtual(work())
 
-    def test_operators_are_told_which_hosts_a_task_took_down(self) -> None:
+    def test_log_names_the_hosts_that_a_task_crashed(self) -> None:
         async def work() -> None:
             specs = make_jobs(1)
             platform = await start_platform(CrashPlan(specs), hosts=HOSTS)
@@ -169,7 +169,7 @@
 
         run_virtual(work())
 
-    def test_with_the_mechanism_off_such_a_task_is_started_as_any_other(self) -> None:
+    def test_crashing_task_is_not_isolated_if_the_policy_is_off(self) -> None:
         async def work() -> int:
             specs = make_jobs(1)
             policy = PolicySettings(placement=PlacementPolicy(isolates_crashing_tasks=False))
--- a/tests/functional/test_drawn_crashes.py
+++ b/tests/functional/test_drawn_crashes.py
@@ -24,11 +24,11 @@
 
 
 class DrawnCrashesTest(TestCase):
-    def test_days_break_no_promise(self) -> None:
+    def test_random_days_keep_all_guarantees(self) -> None:
         found = map(find_on_crash_day, FRESH_SEEDS)
         self.assertEqual([], [day for day in found if not day.is_clean or day.given_up_sound])
 
-    def test_days_that_failed_once_break_no_promise(self) -> None:
+    def test_days_that_once_failed_keep_all_guarantees(self) -> None:
         found = {seed: find_on_crash_day(seed) for seed in FAILED_SEEDS}
         broken = {
             seed: FAILED_SEEDS[seed]
