--- a/tests/functional/test_crashing_machines.py
+++ b/tests/functional/test_crashing_machines.py
@@ -1,4 +1,4 @@
-"""A machine whose hosts crash whatever they run, among sound ones."""
+"""A faulty machine whose hosts crash whatever they run, among sound machines."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from tests.lib.job_platforms import find_breaks, plan_second, start_platform
 from tests.lib.virtual import run_virtual
 
-# Jobs come for 30 s, in which it is back each 3 s and would be tried as often; tried half as
-# often each time it crashes four times, and once more by chance.
+# Jobs arrive for 30 s.  The machine is back every 3 s and would get work as often; with the pause
+# doubled after each crash it crashes four times, and once more by chance.
 JOBS = 600
 JOB_PERIOD_S = 0.05
 CRASHES_MAX = 5
@@ -18,7 +18,7 @@
 
 class CrashingMachinesTest(TestCase):
     def test_faulty_machine_gets_work_less_and_less_often(self) -> None:
-        """Each of its crashes took some ten runs with it: nine in 30 s, and 96 runs."""
+        """Without pauses, the machine crashed nine times in 30 s and ended 96 runs."""
 
         async def work() -> int:
             platform = await start_platform(plan_second, hosts=8)
--- a/tests/functional/test_crashing_tasks.py
+++ b/tests/functional/test_crashing_tasks.py
@@ -1,17 +1,11 @@
-"""Tasks under which each host crashes that starts them.
-
-A platform's pool lost seven hosts a second for two minutes.  Some ten tasks each took down the
-host that had just begun them, with the 9 to 18 runs beside; the end of a host counted for
-nothing, so each waited for the next host at once, and two of them had been started 101 and 104
-times as the record ends.  What settled it: in the owner's log the same few tasks came again and
-again among the starts of the last 20 ms before a host was lost,
-
-    17.917 host_lost run_count=13, started 8.2 ms before: bc04b0 0.0.0 run 7
-    18.063 host_lost run_count=11, started 11.2 ms before: bc04b0 0.0.0 run 8
-    18.587 host_lost run_count=14, started 9.2 ms before: bc04b0 0.0.0 run 9
-    18.927 host_lost run_count=12, started 13.6 ms before: bc04b0 0.0.0 run 10
-
-and each time the task waited again as if it had never been started.
+"""Tasks that crash each host that starts them.
+
+On a platform, a pool lost seven hosts a second for two minutes.  About ten tasks each crashed the
+host that had just started them, together with the 9 to 18 other runs there.  The loss of a host
+did not count against any task, so each culprit was queued again at once; by the end of the record
+two of them had been started 101 and 104 times.  The owner's log showed the cause: the same few
+tasks recurred among the starts within 20 ms before the loss of a host, for example bc04b0 0.0.0
+with runs 7 to 10, started 8.2, 11.2, 9.2 and 13.6 ms before.
 """
 
 import asyncio
@@ -58,12 +52,12 @@
 from tests.lib.virtual import run_virtual
 
 HOSTS = 12
-# The jobs come in 6 s; the rest is for those that crashes delayed.
+# All jobs arrive within 6 s; the rest allows for jobs that crashes delay.
 ENDED_WITHIN_S = 30.0
 
 
 async def play(crashing: int, owners_lost: int = 0) -> tuple[PlatformStandin, CrashPlan]:
-    """Hand jobs in, the first of which crash their hosts, and wait until they have ended."""
+    """Submit jobs, the first ``crashing`` of which crash their hosts, and wait until all end."""
     specs = make_jobs()
     plan = CrashPlan(specs[:crashing])
     platform = await start_platform(plan, hosts=HOSTS)
@@ -87,7 +81,7 @@
 
 
 async def count_starts(work_s: float | None, steps: tuple[StepSpec, ...], hosts: int) -> int:
-    """Hand in one job whose first task crashes its hosts; return how often that was started."""
+    """Submit a job whose first task crashes its hosts; return how often that was started."""
     specs = make_jobs(1, *steps)
     platform = await start_platform(CrashPlan(specs, work_s), hosts=hosts)
     await feed(platform, specs)
@@ -114,7 +108,7 @@
         self.assertTrue(CRASHES <= starts <= CRASHES + STARTS_AFTER_MAX, starts)
 
     def test_hosts_that_crash_by_themselves_fail_no_job(self) -> None:
-        """Two a second of twelve do."""
+        """Two of twelve hosts crash per second."""
 
         async def work(seed: int) -> dict[str, JobStatus | None]:
             specs = make_jobs(20, STEP, replace(STEP, task_count=2, after_steps=(0,)))
@@ -131,7 +125,7 @@
             self.assertEqual({JobStatus.SUCCEEDED}, set(statuses.values()), f"seed {seed}")
 
     def test_lasting_tasks_beside_crashing_tasks_keep_running(self) -> None:
-        """Each host that a task takes down carries some of them."""
+        """Each host that a task crashes also runs some of the lasting tasks."""
 
         async def work() -> None:
             lasting = make_job(LASTING_NUMBER, replace(STEP, is_lasting=True, task_count=12))
--- a/tests/functional/test_drawn_crashes.py
+++ b/tests/functional/test_drawn_crashes.py
@@ -1,25 +1,25 @@
-"""Drawn days of tasks that crash their hosts; ``python -m bench drawn_crashes`` plays more."""
+"""Random days with tasks that crash their hosts; ``python -m bench drawn_crashes`` runs more."""
 
 from testtools import TestCase
 
 from tests.lib.drawn_crashes import find_on_crash_day
 
 FRESH_SEEDS = (0, 5)
-# Days that have shown a fault once, and its cause.
+# Seeds of days that once failed, each with the cause.
 FAILED_SEEDS = {
-    1: "copies were begun of a task whose host had just broken, until three were lost",
-    12: "a start that was carried out late counted as one that had been there for long",
-    23: "a run that took three hosts of a gang counted for one, which was then explained away",
-    28: "one of three sure crashes was the host's own, and the two others were not enough",
-    33: "a suspect that another's crashes explained kept its hosts for good",
-    47: "a host that lived too briefly to be listed ended unseen, so its lease's end told nothing",
-    77: "a task to blame explained crashes of others that had begun beside it",
-    244: "the crash of a trial was lost with its owner, and the next two were one too few",
-    433: "the crash of a host that was draining counted as its planned end",
-    478: "a gang to blame got no hosts to be tried on, so that its job ran for good",
-    1121: "the next owner did not know that a task had been alone on the host that crashed",
-    1145: "the same, so that it was started once more than is allowed",
-    279: "a sound task was given up for two crashes that came at any time",
+    1: "a task whose host had just crashed got copies until three hosts were lost",
+    12: "a run whose start was carried out late counted as present for long",
+    23: "three hosts lost in one run of a gang counted as one crash, later attributed elsewhere",
+    28: "one of three confirmed crashes was the host's own; the other two were not enough",
+    33: "a suspect cleared by attribution to another task kept its hosts reserved forever",
+    47: "a host that ended before it was listed went unnoticed; its lapsed lease gave no crash",
+    77: "crashes of tasks that began beside a culprit were attributed to it",
+    244: "a trial's crash was lost with its owner, and the next two were one too few",
+    433: "the crash of a draining host counted as its planned end",
+    478: "a culprit gang got no hosts for a trial, so its job never ended",
+    1121: "the next owner did not know that a task was alone on the crashed host",
+    1145: "as 1121; the task was started once more than allowed",
+    279: "a sound task's job failed for two crashes at unrelated run ages",
 }
 
 
