--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -1,4 +1,4 @@
-"""Tasks that take down each host that starts them, and what must hold of them."""
+"""Tasks that crash each host that starts them, and checks of how the pool treats them."""
 
 import asyncio
 import random
@@ -15,17 +15,17 @@
 from robinthread._internal.standins.run_ledger import LedgerRun
 from tests.lib.job_platforms import get_owner, get_status, hand_in, make_job
 
-# A task under which so many hosts have crashed is started at most so often from then on.
+# After ``CRASHES`` host crashes, a task is started at most ``STARTS_AFTER_MAX`` more times.
 CRASHES = 3
 STARTS_AFTER_MAX = 2
-# A job is given up only where so many hosts have crashed under one of its tasks.
+# A job may fail for crashes only if this many hosts have crashed under one of its tasks.
 CRASHES_TO_GIVE_UP = 2
-# The host is gone so long after the start.
+# Time from the start of a crashing task until its host crashes.
 CRASH_AFTER_S = 0.01
-# Twelve hosts carry 192 of these tasks.
+# Twelve hosts have capacity for 192 of these tasks.
 SMALL = Resources(1000, 100)
 STEP = StepSpec(4, cpu_millicores=1000, memory_mb=100)
-# Whoever hands a job in gives a node 3 s for its answer.
+# A job submission waits up to 3 s for a node's response.
 ANSWERED_WITHIN_S = 4.0
 JOBS = 60
 JOB_PERIOD_S = 0.1
@@ -37,9 +37,9 @@
 
 
 class CrashPlan:
-    """Has the first task of each of some jobs take its hosts down, and all others work.
+    """Plans in which the first task of the ``crashing`` jobs crashes its hosts.
 
-    ``steps`` are the steps whose first task does so.
+    All other tasks work normally.  ``steps`` are the steps whose first task crashes hosts.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         self._steps = steps
 
     def is_cause(self, task: TaskKey) -> bool:
-        """Tell whether a task takes its hosts down."""
+        """Return whether a task crashes its hosts."""
         return task.job_id in self.crashing and not task.index and task.step in self._steps
 
     def __call__(self, task: TaskKey) -> TaskPlan:
-        """Return how a task behaves."""
+        """Return the plan of a task."""
         crashes_after_s = self._crash_after_s if self.is_cause(task) else None
         return TaskPlan(self._work_s, SMALL, crashes_after_s=crashes_after_s)
 
@@ -67,14 +67,14 @@
 async def feed(
     platform: PlatformStandin, specs: Iterable[JobSpec], period_s: float = JOB_PERIOD_S
 ) -> None:
-    """Hand jobs in, one each ``period_s``, at a node that runs."""
+    """Submit one job per ``period_s`` to any running node."""
     for spec in specs:
         await _hand_in_somewhere(platform, spec)
         await asyncio.sleep(period_s)
 
 
 async def crash_hosts(platform: PlatformStandin, per_s: float, seed: int) -> None:
-    """Have hosts crash by themselves, whatever runs there, until cancelled."""
+    """Crash random hosts at ``per_s`` per second, whatever runs there, until cancelled."""
     drawn = random.Random(seed + 1)
     while per_s:
         await asyncio.sleep(drawn.expovariate(per_s))
@@ -84,7 +84,7 @@
 
 
 async def _hand_in_somewhere(platform: PlatformStandin, spec: JobSpec) -> None:
-    """Hand a job in at one node after another until one has taken it."""
+    """Submit a job to one node after another until one has accepted it."""
     while True:
         for name in sorted(platform.nodes):
             if name in platform.nodes:
@@ -92,7 +92,8 @@
                     async with asyncio.timeout(ANSWERED_WITHIN_S):
                         outcome = await hand_in(platform, name, spec)
                 except TimeoutError:
-                    # A node that was killed meanwhile; the job's id makes it one.
+                    # The node was killed meanwhile.  Submitting again is safe, since
+                    # the id identifies the job.
                     continue
                 if outcome is JobRequestOutcome.DONE:
                     return
@@ -102,7 +103,7 @@
 async def read_statuses(
     platform: PlatformStandin, specs: Iterable[JobSpec]
 ) -> dict[str, JobStatus | None]:
-    """Return what the pool's owner tells of each job."""
+    """Return the status of each job as shown by the pool's owner."""
     name = get_owner(platform) or min(platform.nodes)
     return {spec.job_id: await get_status(platform, name, spec.job_id) for spec in specs}
 
@@ -110,7 +111,7 @@
 async def wait_until_ended(
     platform: PlatformStandin, specs: Collection[JobSpec], limit_s: float
 ) -> dict[str, JobStatus | None]:
-    """Wait until all jobs are shown as ended, for a bounded time; return what is shown."""
+    """Wait up to ``limit_s`` until all jobs have ended; return their shown statuses."""
     until_s = asyncio.get_running_loop().time() + limit_s
     while True:
         statuses = await read_statuses(platform, specs)
@@ -121,12 +122,12 @@
 
 
 def find_excess(platform: PlatformStandin) -> list[str]:
-    """Return the tasks that were started too often after their third crash, in words."""
+    """Return a description of each task that was started too often after its third crash."""
     by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
     for run in platform.hosts.ledger.runs:
         by_task[run.task].append(run)
     return [
-        f"{task}: {len(causes)} hosts taken down, {len(after)} starts after the third"
+        f"{task}: {len(causes)} hosts crashed, {len(after)} starts after the third crash"
         for task, runs in by_task.items()
         if len(causes := [run for run in runs if run.is_cause]) >= CRASHES
         and len(after := [run for run in runs if run.began_at_s > _get_third_s(causes)])
@@ -141,7 +142,7 @@
 def find_given_up_early(
     platform: PlatformStandin, statuses: dict[str, JobStatus | None]
 ) -> list[str]:
-    """Return the jobs shown as failed under no task of which enough hosts have crashed."""
+    """Return the failed jobs none of whose tasks lost ``CRASHES_TO_GIVE_UP`` hosts."""
     crashed: dict[TaskKey, set[str]] = defaultdict(set)
     for run in platform.hosts.ledger.runs:
         if run.end == "crashed":
@@ -155,12 +156,12 @@
 
 
 def count_causes(platform: PlatformStandin) -> int:
-    """Return how many hosts tasks have taken down."""
+    """Return how many times a task crashed its host."""
     return sum(run.is_cause for run in platform.hosts.ledger.runs)
 
 
 def count_lost_beside(platform: PlatformStandin) -> int:
-    """Return how many runs of other tasks were lost with hosts that a task took down."""
+    """Count the runs of other tasks that were lost with hosts that a task crashed."""
     hosts = {run.host_id for run in platform.hosts.ledger.runs if run.is_cause}
     return sum(
         run.host_id in hosts and run.end == "crashed" and not run.is_cause
--- a/tests/lib/drawn_crashes.py
+++ b/tests/lib/drawn_crashes.py
@@ -1,4 +1,4 @@
-"""Days of tasks that crash their hosts among sound ones, each drawn wholly from its seed."""
+"""Random days with crashing tasks among sound ones; a seed determines the whole day."""
 
 import asyncio
 import random
@@ -24,15 +24,15 @@
 from tests.lib.lasting import LASTING_JOB, LASTING_NUMBER, get_longest_gap_s
 from tests.lib.virtual import run_virtual
 
-# Jobs come for some 12 s, and troubles as long.
+# Jobs arrive for about 12 s, and troubles occur during the same time.
 JOBS = 80
 JOB_PERIOD_S = 0.15
 TROUBLES_S = 12.0
 ENDED_WITHIN_S = 240.0
-# Of the jobs, so many have a task that crashes its hosts, so long after its start.
+# Number of jobs with a task that crashes its hosts, and the time from start to crash.
 CRASHING = (1, 3, 8, 16)
 CRASH_AFTER_S = (0.002, 0.01, 0.1, 0.6)
-# Hosts that crash by themselves, a second.
+# Rate of hosts that crash by themselves, per second.
 OWN_CRASHES_PER_S = (0.0, 0.0, 0.2, 1.0)
 HOST_BACK_S = (0.8, 3.0, 6.0)
 KINDS = (
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class CrashDay:
-    """A day: its platform, its jobs, which of their tasks crash, and what else goes wrong."""
+    """A day: its platform, jobs, crashing tasks and other troubles."""
 
     seed: int
     hosts: int
@@ -70,10 +70,10 @@
 
 @dataclass(frozen=True)
 class CrashFindings:
-    """What was seen on a day and must not be, and what the crashes cost.
+    """Violations found on a day, and the cost of the crashes.
 
-    ``given_up_sound`` are jobs given up though none of their tasks crashes hosts: where hosts
-    crash by themselves, chance may have two do so just as a suspect is tried on them.
+    ``given_up_sound`` are failed jobs without a crashing task: if hosts crash by themselves, two
+    may do so by chance just as a suspect is on trial there.
     """
 
     seed: int
@@ -87,12 +87,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether no violation was found."""
         return not (self.excess or self.given_up_early or self.breaks or self.undone)
 
 
 def draw_crash_day(seed: int) -> CrashDay:
-    """Draw a day from its seed alone."""
+    """Return the day that a seed determines."""
     drawn = random.Random(seed)
     specs = tuple(make_job(number + 10, *drawn.choice(SHAPES)) for number in range(JOBS))
     crashing = frozenset(
@@ -112,7 +112,7 @@
 
 
 def find_on_crash_day(seed: int) -> CrashFindings:
-    """Play the day of a seed on virtual time; that it does not go on is found as well."""
+    """Run the day of a seed on virtual time; a failed assertion counts as a finding."""
     try:
         return run_virtual(play_crash_day(draw_crash_day(seed)))
     except AssertionError as error:
@@ -120,7 +120,7 @@
 
 
 async def play_crash_day(day: CrashDay) -> CrashFindings:
-    """Play a day, and tell what was found."""
+    """Run a day and return the findings."""
 
     def plan(task: TaskKey) -> TaskPlan:
         if task.job_id == LASTING_JOB:
@@ -175,7 +175,7 @@
 
 
 def _find_breaks(platform: PlatformStandin, day: CrashDay) -> list[str]:
-    """Return what the hosts saw and must never see; tasks that may have copies run twice."""
+    """Return the violations seen by hosts, except for tasks with copies, which run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
     return [each for each in find_breaks(platform) if not any(job in each for job in copied)]
 
--- a/tests/unit/test_resumed_stops.py
+++ b/tests/unit/test_resumed_stops.py
@@ -1,4 +1,4 @@
-"""Runs that an earlier owner recorded are told to stop."""
+"""Stops of runs that an earlier owner recorded."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 class ResumedStopTest(TestCase):
     def setUp(self) -> None:
-        """Have an owner place a gang, and another one take its job in."""
+        """Place a gang as one owner, and restore its job as the next one."""
         super().setUp()
         spec = make_job(1, GANG)
         before = PoolJobs()
