--- a/src/robinthread/_internal/fleet/ended_incarnations.py
+++ b/src/robinthread/_internal/fleet/ended_incarnations.py
@@ -20,27 +20,31 @@
     """
 
     def __init__(self) -> None:
-        self._shown: dict[str, Machine] = {}
-        self._ended_at_s: dict[str, tuple[float, str]] = {}
+        self._listed: dict[str, Machine] = {}
+        self._ended: dict[str, tuple[float, str]] = {}
 
     def record_listing(self, machines: Mapping[str, Machine], now_s: float) -> None:
         """Take in a list of machines."""
-        for host_id, shown in self._shown.items():
-            machine = machines.get(shown.name)
+        for host_id, listed in self._listed.items():
+            machine = machines.get(listed.name)
             if machine is None or machine.host_id != host_id:
                 is_ordered = machine is not None and machine.state in (
                     MachineState.MOVING,
                     MachineState.UPKEEP,
                 )
                 if not is_ordered:
-                    self._ended_at_s[host_id] = now_s, shown.pool
-        self._shown = {machine.host_id: machine for machine in machines.values() if machine.host_id}
-        self._ended_at_s = {
+                    self._ended[host_id] = now_s, listed.pool
+        self._listed = {
+            machine.host_id: machine for machine in machines.values() if machine.host_id
+        }
+        self._ended = {
             host_id: (ended_s, pool)
-            for host_id, (ended_s, pool) in self._ended_at_s.items()
-            if now_s - ended_s < REPORTED_FOR_S and host_id not in self._shown
+            for host_id, (ended_s, pool) in self._ended.items()
+            if now_s - ended_s < REPORTED_FOR_S and host_id not in self._listed
         }
 
     def list_for_pool(self, pool: str) -> tuple[str, ...]:
         """Return the hosts of a pool that have ended of late."""
-        return tuple(host_id for host_id, (_at_s, of) in self._ended_at_s.items() if of == pool)
+        return tuple(
+            host_id for host_id, (_at_s, ended_pool) in self._ended.items() if ended_pool == pool
+        )
--- a/src/robinthread/_internal/fleet/host_apportionment.py
+++ b/src/robinthread/_internal/fleet/host_apportionment.py
@@ -14,7 +14,7 @@
 
 
 def apportion_hosts(
-    sizes: Mapping[str, PoolSize], needs: Mapping[str, HostTiers], host_count: int
+    sizes: Mapping[str, PoolSize], tiers: Mapping[str, HostTiers], host_count: int
 ) -> dict[str, PoolSize]:
     """Return the pools' sizes, each no larger than its share where hosts are short.
 
@@ -28,37 +28,38 @@
     if sum(size.keep_count for size in sizes.values()) <= host_count:
         return dict(sizes)
     shares = dict.fromkeys(sizes, 0)
-    ranks = (
-        {pool: need.least_count for pool, need in needs.items()},
-        {pool: need.urgent_count for pool, need in needs.items()},
-        {pool: need.wanted_count for pool, need in needs.items()},
+    tier_counts = (
+        {pool: tier.minimum_count for pool, tier in tiers.items()},
+        {pool: tier.urgent_count for pool, tier in tiers.items()},
+        {pool: tier.wanted_count for pool, tier in tiers.items()},
     )
     left = host_count
-    for wanted in ranks:
+    for wanted in tier_counts:
         more = {pool: max(0, count - shares[pool]) for pool, count in wanted.items()}
-        given = _divide(more, left)
-        shares = {pool: shares[pool] + given[pool] for pool in shares}
-        left -= sum(given.values())
+        allotted = _divide_proportionally(more, left)
+        shares = {pool: shares[pool] + allotted[pool] for pool in shares}
+        left -= sum(allotted.values())
     return {
-        pool: _limit(size, shares[pool], needs[pool].least_count) for pool, size in sizes.items()
+        pool: _cap_size(size, shares[pool], tiers[pool].minimum_count)
+        for pool, size in sizes.items()
     }
 
 
-def _divide(wanted: Mapping[str, int], count: int) -> dict[str, int]:
+def _divide_proportionally(wanted: Mapping[str, int], count: int) -> dict[str, int]:
     """Divide hosts in proportion to what is wanted, whole ones by the largest remainder."""
     total = sum(wanted.values())
     if total <= count:
         return dict(wanted)
     exact = {pool: count * want / total for pool, want in wanted.items()}
-    given = {pool: math.floor(part) for pool, part in exact.items()}
-    by_remainder = sorted(wanted, key=lambda pool: (given[pool] - exact[pool], pool))
-    for pool in by_remainder[: count - sum(given.values())]:
-        given[pool] += 1
-    return given
+    allotted = {pool: math.floor(part) for pool, part in exact.items()}
+    by_remainder = sorted(wanted, key=lambda pool: (allotted[pool] - exact[pool], pool))
+    for pool in by_remainder[: count - sum(allotted.values())]:
+        allotted[pool] += 1
+    return allotted
 
 
-def _limit(size: PoolSize, share: int, least_count: int) -> PoolSize:
-    kept = max(least_count, share + math.ceil(SLACK_SHARE * share))
+def _cap_size(size: PoolSize, share: int, minimum_count: int) -> PoolSize:
+    keep_max = max(minimum_count, share + math.ceil(SLACK_SHARE * share))
     return replace(
-        size, fetch_count=min(size.fetch_count, share), keep_count=min(size.keep_count, kept)
+        size, fetch_count=min(size.fetch_count, share), keep_count=min(size.keep_count, keep_max)
     )
--- a/src/robinthread/_internal/fleet/new_machines.py
+++ b/src/robinthread/_internal/fleet/new_machines.py
@@ -19,23 +19,27 @@
     """
 
     def __init__(self) -> None:
-        self._is_listed = False
+        self._has_listing = False
         self._known_hosts: set[str] = set()
-        self._since_s: dict[tuple[str, str], float] = {}
+        self._new_since_s: dict[tuple[str, str], float] = {}
 
     def record_listing(self, machines: Iterable[Machine], ordered: Container[str]) -> None:
         """Take in a list of machines; ``ordered`` are those that may just have come up."""
-        lives = {(machine.name, machine.host_id): machine for machine in machines}
-        if not self._is_listed:
-            self._is_listed = True
+        incarnations = {(machine.name, machine.host_id): machine for machine in machines}
+        if not self._has_listing:
+            self._has_listing = True
             self._known_hosts = {
                 machine.host_id
-                for machine in lives.values()
+                for machine in incarnations.values()
                 if machine.state is MachineState.UP and machine.name not in ordered
             }
         # The reserve's machines are up without a host.
-        self._known_hosts &= {host_id for _name, host_id in lives if host_id}
-        self._since_s = {life: since_s for life, since_s in self._since_s.items() if life in lives}
+        self._known_hosts &= {host_id for _name, host_id in incarnations if host_id}
+        self._new_since_s = {
+            incarnation: since_s
+            for incarnation, since_s in self._new_since_s.items()
+            if incarnation in incarnations
+        }
 
     def record_reported_hosts(self, host_ids: Iterable[str]) -> None:
         """Note which hosts a pool's owner names."""
@@ -49,5 +53,5 @@
         """Tell whether a machine is up so newly that its pool has not heard of it."""
         if machine.state is not MachineState.UP or machine.host_id in self._known_hosts:
             return False
-        since_s = self._since_s.setdefault((machine.name, machine.host_id), now_s)
+        since_s = self._new_since_s.setdefault((machine.name, machine.host_id), now_s)
         return now_s - since_s < FIRST_REPORT_MAX_S
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -48,24 +48,24 @@
         self._surplus_since_s: dict[str, float] = {}
         self._vacating: dict[str, frozenset[str]] = {}
         # Those of them that only an order has leave; it may be another steward's, and over soon.
-        self._ordered_away: dict[str, frozenset[str]] = {}
+        self._leaving_by_order: dict[str, frozenset[str]] = {}
         self._is_short = False
 
     def plan(self, view: FleetView, now_s: float) -> FleetPlan:
         """Return the orders to give now."""
         pending = frozenset().union(*(wave.pending for wave in view.waves))
-        room = _get_room(view)
-        wanted = {pool.name: get_pool_size(pool.report, room) for pool in view.pools}
-        sizes = self._share(view, wanted, room)
+        capacity = _get_largest_capacity(view)
+        wanted = {pool.name: get_pool_size(pool.report, capacity) for pool in view.pools}
+        sizes = self._apportion(view, wanted, capacity)
         reserve = Reserve(view, pending)
-        places = UpkeepSlots(view.waves)
+        slots = UpkeepSlots(view.waves)
         orders: list[MoveOrder | UpkeepOrder] = []
         if self._policy.upkeep_first:
             # A machine that a pool takes unkept may not pass through the reserve in time again.
-            orders += _order_upkeep(view, reserve, places)
+            orders += _order_upkeep(view, reserve, slots)
         self._is_short = any(
-            _count_lacking(
-                view, pool, sizes[pool.name], self._vacating.get(pool.name, frozenset()), room
+            _count_missing(
+                view, pool, sizes[pool.name], self._vacating.get(pool.name, frozenset()), capacity
             )
             for pool in view.pools
         )
@@ -76,26 +76,27 @@
         shortages: Counter[str] = Counter()
         for pool in sorted(view.pools, key=lambda pool: -pool.report.fetch_resources[0]):
             size, vacating = sizes[pool.name], self._vacating[pool.name]
-            taken = reserve.take_for(list_unmet_shortages(pool.report.shortages, pool.arriving))
+            acquired = reserve.take_for(list_unmet_shortages(pool.report.shortages, pool.arriving))
             serving = _count_serving(pool, vacating, view.leaving)
             awaited = _count_awaited(view, pool)
-            taken += reserve.take(size.fetch_count - serving - awaited - len(taken))
-            orders += [MoveOrder(machine, pool.name) for machine in taken]
-            lack = _count_lacking(view, pool, size, vacating, room)
-            shortages[pool.name] = max(0, lack - len(taken))
-        orders += self._order_emptied(view, sizes, places, shortages)
+            acquired += reserve.take(size.fetch_count - serving - awaited - len(acquired))
+            orders += [MoveOrder(machine, pool.name) for machine in acquired]
+            shortage = _count_missing(view, pool, size, vacating, capacity)
+            shortages[pool.name] = max(0, shortage - len(acquired))
+        orders += self._order_emptied(view, sizes, slots, shortages)
         if not self._policy.upkeep_first:
-            orders += _order_upkeep(view, reserve, places)
+            orders += _order_upkeep(view, reserve, slots)
         return FleetPlan(tuple(orders), self._vacating, wanted, sizes)
 
-    def _share(
-        self, view: FleetView, wanted: dict[str, PoolSize], room: Resources
+    def _apportion(
+        self, view: FleetView, wanted: dict[str, PoolSize], capacity: Resources
     ) -> dict[str, PoolSize]:
         """Return the sizes that the pools may have where there are machines of ``room``."""
         if not self._policy.shares_when_short:
             return wanted
         needs = {
-            pool.name: get_host_tiers(pool.report, wanted[pool.name], room) for pool in view.pools
+            pool.name: get_host_tiers(pool.report, wanted[pool.name], capacity)
+            for pool in view.pools
         }
         return apportion_hosts(wanted, needs, _count_all(view))
 
@@ -109,15 +110,15 @@
     ) -> frozenset[str]:
         """Return the machines that a pool is to empty, none of which a waiting task needs."""
         present = {host.machine: host for host in pool.hosts if host.is_usable}
-        gone = frozenset(name for name in present if name in view.leaving)
+        departing = frozenset(name for name in present if name in view.leaving)
         needed = frozenset(name for name, host in present.items() if host.is_needed)
         chosen = self._vacating.get(pool.name, frozenset())
-        chosen -= self._ordered_away.get(pool.name, frozenset())
+        chosen -= self._leaving_by_order.get(pool.name, frozenset())
         vacating = chosen & present.keys() - needed
         serving = _count_serving(pool, vacating, view.leaving)
         if serving < size.keep_count:
             # Hosts that are still here serve sooner than any that are fetched.
-            kept = sorted(vacating - gone, key=lambda name: (name in pending, name))
+            kept = sorted(vacating - departing, key=lambda name: (name in pending, name))
             vacating -= frozenset(kept[: size.keep_count - serving])
         spare = _count_serving(pool, vacating, view.leaving) - size.keep_count
         if spare <= 0:
@@ -128,8 +129,8 @@
             leaving = sorted(candidates, key=lambda host: _get_leaving_order(host, pending))
             if view.reserve_pool:
                 vacating |= frozenset(host.machine for host in leaving[:spare])
-        self._ordered_away[pool.name] = gone - vacating
-        vacating |= gone
+        self._leaving_by_order[pool.name] = departing - vacating
+        vacating |= departing
         is_replaceable = spare + _count_free(view) > 0
         return vacating | self._choose_for_upkeep(
             view, pool, vacating, pending, size, is_replaceable
@@ -159,17 +160,17 @@
         if chosen := frozenset(host.machine for host in due if host.machine in unsettled):
             # Each takes a place in its wave until it is ordered.
             return chosen
-        begun_count = len(vacating & pending)
-        short = [wave for wave in view.waves if _is_short_of_time(wave)]
-        if short and (self._policy.upkeep_first or is_replaceable):
-            urgent = frozenset().union(*(wave.pending for wave in short))
-            slot_count = sum(wave.free_slots for wave in short)
-            share = math.ceil(slot_count / len(view.pools)) - begun_count
+        started_count = len(vacating & pending)
+        urgent_waves = [wave for wave in view.waves if _is_short_of_time(wave)]
+        if urgent_waves and (self._policy.upkeep_first or is_replaceable):
+            urgent = frozenset().union(*(wave.pending for wave in urgent_waves))
+            slot_count = sum(wave.free_slots for wave in urgent_waves)
+            share = math.ceil(slot_count / len(view.pools)) - started_count
             return frozenset(
                 [host.machine for host in due if host.machine in urgent][: max(0, share)]
             )
         is_idle = size.keep_count <= max(HOSTS_MIN, pool.report.hosts_min)
-        if begun_count or not is_idle or not is_replaceable:
+        if started_count or not is_idle or not is_replaceable:
             return frozenset()
         return frozenset([host.machine for host in due if not host.is_needed][:1])
 
@@ -177,7 +178,7 @@
         self,
         view: FleetView,
         sizes: dict[str, PoolSize],
-        places: UpkeepSlots,
+        slots: UpkeepSlots,
         shortages: Counter[str],
     ) -> list[MoveOrder | UpkeepOrder]:
         """Order the machines that have been emptied: to another pool, the reserve, or upkeep.
@@ -201,15 +202,17 @@
                         view.reserve_pool if wave else self._choose_target(view, pool, shortages)
                     )
                     orders.append(MoveOrder(host.machine, target))
-                elif wave is not None and places.take(host.machine):
+                elif wave is not None and slots.allocate(host.machine):
                     orders.append(UpkeepOrder(host.machine, wave.number))
         return orders
 
     def _choose_target(self, view: FleetView, pool: PoolView, shortages: Counter[str]) -> str:
         """Return where a machine goes that a pool has emptied: where most are lacking."""
-        others = Counter({name: lack for name, lack in shortages.items() if name != pool.name})
-        (name, lack), *_rest = others.most_common(1) or [("", 0)]
-        if lack <= 0 or not self._policy.moves_directly:
+        others = Counter(
+            {name: shortage for name, shortage in shortages.items() if name != pool.name}
+        )
+        (name, shortage), *_rest = others.most_common(1) or [("", 0)]
+        if shortage <= 0 or not self._policy.moves_directly:
             return view.reserve_pool
         shortages[name] -= 1
         return name
@@ -224,11 +227,11 @@
     )
 
 
-def _order_upkeep(view: FleetView, reserve: Reserve, places: UpkeepSlots) -> Iterable[UpkeepOrder]:
+def _order_upkeep(view: FleetView, reserve: Reserve, slots: UpkeepSlots) -> Iterable[UpkeepOrder]:
     """Order the reserve's machines that are due, those first that may have begun."""
     for wave in view.waves:
         for due in (wave.unsettled, wave.pending - wave.unsettled):
-            for machine in reserve.take_due(due, places.take):
+            for machine in reserve.take_due(due, slots.allocate):
                 yield UpkeepOrder(machine, wave.number)
 
 
@@ -253,15 +256,15 @@
     )
 
 
-def _count_lacking(
-    view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], room: Resources
+def _count_missing(
+    view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], capacity: Resources
 ) -> int:
     """Return how many hosts a pool lacks that any machine of ``room`` could be."""
     shortages = list_unmet_shortages(pool.report.shortages, pool.arriving)
     missing = sum(
-        lack.count
-        for lack in shortages
-        if not lack.label and Resources(*lack.resources).fits_in(room)
+        shortage.count
+        for shortage in shortages
+        if not shortage.label and Resources(*shortage.resources).fits_in(capacity)
     )
     serving = _count_serving(pool, vacating, view.leaving) + _count_awaited(view, pool)
     return max(0, size.fetch_count - serving, missing)
@@ -288,10 +291,10 @@
     return wave.left_s < (rounds + 1) * UPKEEP_ROUND_S
 
 
-def _get_room(view: FleetView) -> Resources:
+def _get_largest_capacity(view: FleetView) -> Resources:
     machines: list[Machine] = [
         *view.reserve,
         *(machine for pool in view.pools for machine in pool.machines.values()),
     ]
-    rooms = [machine.capacity for machine in machines]
-    return max(rooms, key=lambda room: room.cpu_millicores, default=NO_RESOURCES)
+    capacities = [machine.capacity for machine in machines]
+    return max(capacities, key=lambda capacity: capacity.cpu_millicores, default=NO_RESOURCES)
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -29,9 +29,9 @@
         """Take up to ``count`` machines."""
         return self._take(lambda machine: True, count)
 
-    def take_due(self, due: frozenset[str], take_place: Callable[[str], bool]) -> list[str]:
-        """Take those of the machines in ``due`` for which ``take_place`` finds a place."""
-        return self._take(lambda machine: machine.name in due and take_place(machine.name))
+    def take_due(self, due: frozenset[str], allocate_slot: Callable[[str], bool]) -> list[str]:
+        """Take those of the machines in ``due`` for which ``allocate_slot`` finds a place."""
+        return self._take(lambda machine: machine.name in due and allocate_slot(machine.name))
 
     def take_for(self, shortages: Iterable[ShortageReport]) -> list[str]:
         """Take machines that have what a pool lacks, as far as there are any."""
@@ -40,9 +40,9 @@
             taken += self._take(lambda machine, lack=lack: covers(machine, lack), lack.count)  # type: ignore[misc]
         return taken
 
-    def _take(self, suits: Callable[[Machine], bool], count: int | None = None) -> list[str]:
-        suiting = (machine.name for machine in self._free if suits(machine))
-        taken = list(suiting if count is None else islice(suiting, max(0, count)))
+    def _take(self, is_suitable: Callable[[Machine], bool], count: int | None = None) -> list[str]:
+        matching = (machine.name for machine in self._free if is_suitable(machine))
+        taken = list(matching if count is None else islice(matching, max(0, count)))
         self._free = [machine for machine in self._free if machine.name not in taken]
         return taken
 
@@ -54,14 +54,14 @@
 
     Each counts for one host of one lack; what fewest of them supply is served first.
     """
-    coming = list(arriving)
+    unassigned = list(arriving)
     left: list[ShortageReport] = []
     for lack in sorted(
-        shortages, key=lambda lack: sum(covers(machine, lack) for machine in coming)
+        shortages, key=lambda lack: sum(covers(machine, lack) for machine in unassigned)
     ):
-        suiting = [machine for machine in coming if covers(machine, lack)][: lack.count]
-        coming = [machine for machine in coming if machine not in suiting]
-        left.append(msgspec.structs.replace(lack, count=lack.count - len(suiting)))
+        matching = [machine for machine in unassigned if covers(machine, lack)][: lack.count]
+        unassigned = [machine for machine in unassigned if machine not in matching]
+        left.append(msgspec.structs.replace(lack, count=lack.count - len(matching)))
     return tuple(left)
 
 
--- a/src/robinthread/_internal/fleet/share_allocation.py
+++ b/src/robinthread/_internal/fleet/share_allocation.py
@@ -40,54 +40,62 @@
     return kept_share / max(1, len(config.list_working_pools()))
 
 
-def allocate_shares(uses: Mapping[str, PoolUsage], room: float, kept: float) -> dict[str, float]:
-    """Return the share that each pool should have, of ``room`` in all.
+def allocate_shares(
+    usages: Mapping[str, PoolUsage], available: float, reserved: float
+) -> dict[str, float]:
+    """Return the share that each pool should have, of ``available`` in all.
 
-    Pools get what they take and want, up to a common level, and ``kept`` at least where that
+    Pools get what they take and want, up to a common level, and ``reserved`` at least where that
     level allows; what is left over is dealt out evenly, to pools that want more if there are
     any.  A share below what a pool takes stops its starts.  Where none wants more than an even
     share, each has that.
     """
-    even = room / len(uses)
-    if all(use.used + use.waiting <= even and not use.held_back for use in uses.values()):
-        return dict.fromkeys(uses, even)
-    wanted = {pool: max(kept, use.used + use.waiting) for pool, use in uses.items()}
-    level = _find_level(uses, wanted, room)
+    even = available / len(usages)
+    if all(usage.used + usage.waiting <= even and not usage.held_back for usage in usages.values()):
+        return dict.fromkeys(usages, even)
+    wanted = {pool: max(reserved, usage.used + usage.waiting) for pool, usage in usages.items()}
+    level = _find_level(usages, wanted, available)
     shares = {pool: min(share, level) for pool, share in wanted.items()}
-    spare = room - sum(max(use.used, shares[pool]) for pool, use in uses.items())
-    takers = [pool for pool, use in uses.items() if use.held_back and use.used <= shares[pool]]
-    takers = takers or [pool for pool, use in uses.items() if use.used <= shares[pool]]
+    spare = available - sum(max(usage.used, shares[pool]) for pool, usage in usages.items())
+    recipients = [
+        pool for pool, usage in usages.items() if usage.held_back and usage.used <= shares[pool]
+    ]
+    recipients = recipients or [
+        pool for pool, usage in usages.items() if usage.used <= shares[pool]
+    ]
     if spare > 0:
-        for pool in takers:
-            shares[pool] += spare / len(takers)
-    return _let_one_begin(uses, shares, room, kept)
+        for pool in recipients:
+            shares[pool] += spare / len(recipients)
+    return _allow_one_start(usages, shares, available, reserved)
 
 
 def find_next_shares(
-    uses: Mapping[str, PoolUsage], targets: Mapping[str, float], room: float
+    usages: Mapping[str, PoolUsage], targets: Mapping[str, float], available: float
 ) -> dict[str, float]:
     """Return what each pool may be told now: shares rise only by what no pool may hold any more.
 
     A pool that is to have less holds on to it until it has confirmed that it heard so.
     """
-    free = room - sum(use.held for use in uses.values())
-    told: dict[str, float] = {}
-    for pool, use in sorted(uses.items(), key=lambda item: targets[item[0]] - item[1].bound):
+    free = available - sum(usage.held for usage in usages.values())
+    next_shares: dict[str, float] = {}
+    for pool, usage in sorted(usages.items(), key=lambda item: targets[item[0]] - item[1].bound):
         target = targets[pool]
-        if target > use.held:
-            grown = min(target, use.held + max(0.0, free))
-            free -= grown - use.held
-            target = grown if grown > use.used else use.bound
-        told[pool] = target
-    return told
+        if target > usage.held:
+            grown = min(target, usage.held + max(0.0, free))
+            free -= grown - usage.held
+            target = grown if grown > usage.used else usage.bound
+        next_shares[pool] = target
+    return next_shares
 
 
-def _find_level(uses: Mapping[str, PoolUsage], wanted: Mapping[str, float], room: float) -> float:
+def _find_level(
+    usages: Mapping[str, PoolUsage], wanted: Mapping[str, float], available: float
+) -> float:
     """Return the highest level up to which all wants can be met."""
 
     def fits(level: float) -> bool:
-        held = (max(use.used, min(wanted[pool], level)) for pool, use in uses.items())
-        return sum(held) <= room
+        held = (max(usage.used, min(wanted[pool], level)) for pool, usage in usages.items())
+        return sum(held) <= available
 
     low, high = 0.0, max(1.0, *wanted.values())
     if fits(high):
@@ -98,8 +106,8 @@
     return low
 
 
-def _let_one_begin(
-    uses: Mapping[str, PoolUsage], shares: dict[str, float], room: float, kept: float
+def _allow_one_start(
+    usages: Mapping[str, PoolUsage], shares: dict[str, float], available: float, reserved: float
 ) -> dict[str, float]:
     """Let a pool in which nothing runs begin one task where its share lets none begin.
 
@@ -108,21 +116,23 @@
     """
     starving = [
         pool
-        for pool, use in uses.items()
-        if use.held_back and not use.used and shares[pool] < use.held_back
+        for pool, usage in usages.items()
+        if usage.held_back and not usage.used and shares[pool] < usage.held_back
     ]
-    used = sum(use.used for use in uses.values())
+    used = sum(usage.used for usage in usages.values())
     for pool in sorted(starving):
-        if used + uses[pool].held_back > room:
+        if used + usages[pool].held_back > available:
             continue
-        spared = {
-            other: min(shares[other], max(use.used, kept)) if other != pool else use.held_back
-            for other, use in uses.items()
+        reduced = {
+            other: min(shares[other], max(usage.used, reserved))
+            if other != pool
+            else usage.held_back
+            for other, usage in usages.items()
         }
-        if sum(max(use.used, spared[other]) for other, use in uses.items()) <= room:
-            return spared
+        if sum(max(usage.used, reduced[other]) for other, usage in usages.items()) <= available:
+            return reduced
         return {
-            other: min(shares[other], use.used) if other != pool else use.held_back
-            for other, use in uses.items()
+            other: min(shares[other], usage.used) if other != pool else usage.held_back
+            for other, usage in usages.items()
         }
     return shares
--- a/src/robinthread/_internal/fleet/silent_halls.py
+++ b/src/robinthread/_internal/fleet/silent_halls.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.machine import Machine
 
 # So many hosts of a hall must be out of reach, and more than answer.
-SILENT_MIN: Final = 2
+SILENT_HOSTS_MIN: Final = 2
 
 
 def find_silent_halls(
@@ -27,5 +27,5 @@
             if machine is not None and is_current and not host.is_awaited:
                 (usable if host.is_usable else silent)[machine.hall] += 1
     return frozenset(
-        hall for hall, count in silent.items() if count >= SILENT_MIN and count > usable[hall]
+        hall for hall, count in silent.items() if count >= SILENT_HOSTS_MIN and count > usable[hall]
     )
--- a/src/robinthread/_internal/fleet/upkeep_slots.py
+++ b/src/robinthread/_internal/fleet/upkeep_slots.py
@@ -19,20 +19,20 @@
         self._down = {wave.number: set(wave.down) for wave in waves}
         self._counted = {wave.number: set(wave.down | wave.unsettled) for wave in waves}
 
-    def take(self, machine: str) -> bool:
+    def allocate(self, machine: str) -> bool:
         """Take the places for a machine's upkeep; return False, and take none, where one lacks.
 
         What may have begun already is counted, and takes the place of its own order.
         """
         waves = [wave for wave in self._waves if machine in wave.machines]
-        if not all(self._has_place(wave, machine) for wave in waves):
+        if not all(self._has_slot(wave, machine) for wave in waves):
             return False
         for wave in waves:
             self._down[wave.number].add(machine)
             self._counted[wave.number].add(machine)
         return True
 
-    def _has_place(self, wave: WaveView, machine: str) -> bool:
+    def _has_slot(self, wave: WaveView, machine: str) -> bool:
         counted = self._counted[wave.number]
         is_counted = machine in counted or len(counted) < wave.at_once_max
         return is_counted and len(self._down[wave.number] - {machine}) < wave.at_once_max
