--- a/src/robinthread/_internal/jobs/capacity_reservation.py
+++ b/src/robinthread/_internal/jobs/capacity_reservation.py
@@ -31,7 +31,7 @@
 # Share of the usable hosts, one at least, that are kept ahead of more urgent tasks at a time.
 # Of a pool of eight hosts on the stand-in, full of tasks of 1.6 to 2.25 s, four were lost with
 # eight lasting tasks of half a host: all ran again after 8.9 s, with a quarter after 12.5 s.
-KEPT_AHEAD_SHARE: Final = 0.5
+RESERVED_AHEAD_SHARE: Final = 0.5
 
 
 class CapacityReserver:
@@ -45,10 +45,10 @@
         self._pool = pool
         self._now_s = now_s
         self._ran_until_max_s = now_s - OVERDUE_S
-        self._rooms: dict[str, Resources] = {}
-        self._last_kept, pool.reserved_host_ids = pool.reserved_host_ids, {}
-        self._in_vain: set[StepKey] = set()
-        self.kept: set[str] = set()
+        self._future_capacities: dict[str, Resources] = {}
+        self._previous_host_ids, pool.reserved_host_ids = pool.reserved_host_ids, {}
+        self._unplaceable_steps: set[StepKey] = set()
+        self.reserved: set[str] = set()
 
     def iter_overdue(self, usable: Collection[Host]) -> Iterator[Task]:
         """Iterate over the lasting tasks that go before all others, longest without a run first.
@@ -67,33 +67,39 @@
             ),
             key=lambda task: (task.ran_until_s, task.key),
         )
-        kept_max = max(1, int(KEPT_AHEAD_SHARE * len(usable)))
-        return takewhile(lambda _task: len(self.kept) < kept_max, overdue)
+        reserved_max = max(1, int(RESERVED_AHEAD_SHARE * len(usable)))
+        return takewhile(lambda _task: len(self.reserved) < reserved_max, overdue)
 
     def reserve_for(self, task: Task, hosts: list[Host]) -> None:
         """Take the host off ``hosts`` to which nothing is to go until the task fits there.
 
         A task that ends is not kept room for: others like it will end.
         """
-        if task.step.is_gang or task.key.step_key in self._in_vain or not self._may_keep(task):
+        if (
+            task.step.is_gang
+            or task.key.step_key in self._unplaceable_steps
+            or not self._may_reserve(task)
+        ):
             return
         job = self._pool.jobs[task.key.job_id]
         fitting = (
             host
             for host in hosts
-            if task.resources.fits_in(self._get_room_to_come(host))
+            if task.resources.fits_in(self._get_future_capacity(host))
             and may_run(self._pool, job, task, host, self._now_s)
             and allows_another_run(task, host)
         )
-        last_id = self._last_kept.get(task.key)
+        previous_id = self._previous_host_ids.get(task.key)
         host = min(
-            fitting, key=lambda host: (_get_lack(task, host), host.id != last_id), default=None
+            fitting,
+            key=lambda host: (_get_shortage(task, host), host.id != previous_id),
+            default=None,
         )
         if host is None:
             # Tasks of a step are alike, and hosts only grow fewer in a look.
-            self._in_vain.add(task.key.step_key)
+            self._unplaceable_steps.add(task.key.step_key)
             return
-        self._keep(task, host)
+        self._reserve(task, host)
         hosts.remove(host)
 
     def reserve_for_gang(self, task: Task) -> None:
@@ -101,40 +107,40 @@
 
         It begins whole or not at all, so it may keep more than the share that is kept ahead.
         """
-        if not self._may_keep(task) or task.ran_until_s > self._ran_until_max_s:
+        if not self._may_reserve(task) or task.ran_until_s > self._ran_until_max_s:
             return
         members = get_waiting_gang(self._pool, task)
         if not members:
             return
         job = self._pool.jobs[task.key.job_id]
         usable = get_usable_hosts(self._pool, self._now_s)
-        free = [host for host in usable if host.id not in self.kept]
+        available = [host for host in usable if host.id not in self.reserved]
         hosts = choose_gang_hosts(
-            self._pool, job, members, free, self._now_s, self._get_room_to_come
+            self._pool, job, members, available, self._now_s, self._get_future_capacity
         )
         for member, host in zip(members, hosts or (), strict=False):
-            self._keep(member, host)
+            self._reserve(member, host)
 
-    def _may_keep(self, task: Task) -> bool:
+    def _may_reserve(self, task: Task) -> bool:
         return task.step.is_lasting and self._pool.policy.keeps_room_for_lasting
 
-    def _keep(self, task: Task, host: Host) -> None:
+    def _reserve(self, task: Task, host: Host) -> None:
         self._pool.reserved_host_ids[task.key] = host.id
-        self.kept.add(host.id)
+        self.reserved.add(host.id)
 
-    def _get_room_to_come(self, host: Host) -> Resources:
+    def _get_future_capacity(self, host: Host) -> Resources:
         """Return the room that a host has once all that ends by itself has ended."""
-        room = self._rooms.get(host.id)
-        if room is None:
-            room = self._rooms[host.id] = get_future_capacity(self._pool, host)
-        return room
+        capacity = self._future_capacities.get(host.id)
+        if capacity is None:
+            capacity = self._future_capacities[host.id] = get_future_capacity(self._pool, host)
+        return capacity
 
 
-def _get_lack(task: Task, host: Host) -> float:
+def _get_shortage(task: Task, host: Host) -> float:
     """Return how much room a host lacks for a task, as the largest share of its own room."""
-    lacks, room = task.resources - host.free, host.record.capacity
+    missing, capacity = task.resources - host.free, host.record.capacity
     return max(
-        lacks.cpu_millicores / max(1, room.cpu_millicores),
-        lacks.memory_mb / max(1, room.memory_mb),
-        lacks.gpu_count / max(1, room.gpu_count),
+        missing.cpu_millicores / max(1, capacity.cpu_millicores),
+        missing.memory_mb / max(1, capacity.memory_mb),
+        missing.gpu_count / max(1, capacity.gpu_count),
     )
--- a/src/robinthread/_internal/jobs/evacuation.py
+++ b/src/robinthread/_internal/jobs/evacuation.py
@@ -12,7 +12,7 @@
 AT_WORK_PERCENT: Final = 100
 # A task that keeps checkpoints is stopped so long before its host may leave: time for
 # the order, the stop itself and the look that brings its checkpoint.
-LEAVE_EARLY_S: Final = 0.8
+CHECKPOINT_STOP_LEAD_S: Final = 0.8
 
 
 def evacuate(pool: PoolJobs, now_s: float) -> list[Run]:
@@ -34,7 +34,7 @@
             if (
                 run.phase is RunPhase.PRESENT
                 and not task.step.is_gang
-                and _is_to_leave(pool, host, job, task, run, now_s)
+                and _should_leave(pool, host, job, task, run, now_s)
                 and choose_host(pool, task, usable, now_s) is not None
             ):
                 pool.stop(run)
@@ -42,17 +42,17 @@
     return stopped
 
 
-def may_leave(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
+def can_spare(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
     """Tell whether a lasting task's step can spare it now."""
     step = task.step
     if not step.has_not_running_limit:
         return True
     members = job.get_tasks(task.key.occurrence, task.key.step)
-    away = sum(not is_at_work(pool, other, now_s) for other in members if other is not task)
-    return away < step.not_running_max
+    not_working = sum(not is_working(pool, other, now_s) for other in members if other is not task)
+    return not_working < step.not_running_max
 
 
-def is_at_work(pool: PoolJobs, task: Task, now_s: float) -> bool:
+def is_working(pool: PoolJobs, task: Task, now_s: float) -> bool:
     """Tell whether a lasting task does its work, on a host that says so itself.
 
     What runs on a silent host may have ended, and what an earlier owner told to stop,
@@ -67,19 +67,21 @@
     )
 
 
-def _is_to_leave(pool: PoolJobs, host: Host, job: Job, task: Task, run: Run, now_s: float) -> bool:
+def _should_leave(pool: PoolJobs, host: Host, job: Job, task: Task, run: Run, now_s: float) -> bool:
     if task.step.is_lasting:
         if host.record.is_draining:
-            return not _is_other_ending(pool, job, task) or _is_about_to_go(host, now_s)
-        return may_leave(pool, job, task, now_s) and pool.may_restart(task)
+            return not _is_other_stopping(pool, job, task) or _leaves_soon(host, now_s)
+        return can_spare(pool, job, task, now_s) and pool.may_restart(task)
     if not task.step.keeps_checkpoints or host.leaves_at_s is None:
         return False
     left_s = host.leaves_at_s - now_s
-    takes_s = pool.run_times.estimate_s(job.spec.queue, task.step)
-    return left_s < LEAVE_EARLY_S and left_s < takes_s * (1 - run.progress_percent / 100)
+    duration_s = pool.run_times.estimate_s(job.spec.queue, task.step)
+    return left_s < CHECKPOINT_STOP_LEAD_S and left_s < duration_s * (
+        1 - run.progress_percent / 100
+    )
 
 
-def _is_other_ending(pool: PoolJobs, job: Job, task: Task) -> bool:
+def _is_other_stopping(pool: PoolJobs, job: Job, task: Task) -> bool:
     """Tell whether another task of a lasting step is being stopped on a sound host.
 
     Of two that are stopped at once either may end first, and the one on the sound host must
@@ -96,8 +98,8 @@
     )
 
 
-def _is_about_to_go(host: Host, now_s: float) -> bool:
-    return host.leaves_at_s is not None and host.leaves_at_s - now_s < LEAVE_EARLY_S
+def _leaves_soon(host: Host, now_s: float) -> bool:
+    return host.leaves_at_s is not None and host.leaves_at_s - now_s < CHECKPOINT_STOP_LEAD_S
 
 
 def _is_leaving(host: Host, now_s: float) -> bool:
--- a/src/robinthread/_internal/jobs/gangs.py
+++ b/src/robinthread/_internal/jobs/gangs.py
@@ -38,7 +38,7 @@
     return members if all(member.key in pool.waiting for member in members) else []
 
 
-def _get_free(host: Host) -> Resources:
+def _get_free_capacity(host: Host) -> Resources:
     return host.free
 
 
@@ -48,11 +48,11 @@
     members: list[Task],
     usable: Iterable[Host],
     now_s: float,
-    get_room: Callable[[Host], Resources] = _get_free,
+    get_capacity: Callable[[Host], Resources] = _get_free_capacity,
 ) -> list[Host] | None:
     """Return a host for each member, or None where not all have room at once.
 
-    ``get_room`` tells what room of a host counts.
+    ``get_capacity`` tells what room of a host counts.
 
     One rack is taken where that is asked for and a rack has the room.
     """
@@ -61,10 +61,10 @@
     if step.wants_one_rack:
         racks = _group_by_rack(usable)
         for rack in sorted(racks, key=lambda name: (name != step.near_rack, name)):
-            if chosen := _fill(members, racks[rack], get_room):
+            if chosen := _assign_hosts(members, racks[rack], get_capacity):
                 return chosen
     near_first = sorted(usable, key=lambda host: (host.record.rack != step.near_rack, host.id))
-    return _fill(members, near_first, get_room)
+    return _assign_hosts(members, near_first, get_capacity)
 
 
 def _group_by_rack(hosts: Iterable[Host]) -> dict[str, list[Host]]:
@@ -74,11 +74,11 @@
     return racks
 
 
-def _fill(
-    members: list[Task], hosts: list[Host], get_room: Callable[[Host], Resources]
+def _assign_hosts(
+    members: list[Task], hosts: list[Host], get_capacity: Callable[[Host], Resources]
 ) -> list[Host] | None:
     """Give each member the first host that still has room for it."""
-    free = {host.id: get_room(host) for host in hosts}
+    free = {host.id: get_capacity(host) for host in hosts}
     counts = {host.id: count_step_runs(members[0], host) for host in hosts}
     chosen: list[Host] = []
     for member in members:
--- a/src/robinthread/_internal/jobs/host_requirements.py
+++ b/src/robinthread/_internal/jobs/host_requirements.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from robinthread._internal.jobs.host import Host
-from robinthread._internal.jobs.placement import get_willing_hosts
+from robinthread._internal.jobs.placement import get_usable_or_vacating_hosts
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.waiting_steps import WaitingStep
 from robinthread._internal.models.job_spec import StepSpec
@@ -30,7 +30,7 @@
     """A step of which tasks wait, and how many should run at a time."""
 
     waiting: WaitingStep
-    parallel: float
+    parallel_count: float
 
     @property
     def spec(self) -> StepSpec:
@@ -63,7 +63,7 @@
     missing: tuple[MissingHosts, ...] = ()
 
 
-class _Space:
+class _HostAllocation:
     """What a host has for tasks that wait: its room beside lasting ones, and its time."""
 
     def __init__(self, host: Host) -> None:
@@ -74,7 +74,7 @@
 
 
 @dataclass
-class _Lack:
+class _Shortage:
     """Hosts that are missing, as a real number."""
 
     hosts: float = 0.0
@@ -82,7 +82,7 @@
 
 
 def find_host_requirements(
-    pool: PoolJobs, needs: Iterable[StepDemand], now_s: float
+    pool: PoolJobs, demands: Iterable[StepDemand], now_s: float
 ) -> HostRequirements:
     """Return the hosts for tasks that do not fit on every host.
 
@@ -90,34 +90,43 @@
     beside its lasting tasks.  Hosts that are being emptied count after all others, and
     those that are still awaited as if they answered.
     """
-    hosts = [*get_willing_hosts(pool, now_s), *_list_awaited(pool, now_s)]
+    hosts = [*get_usable_or_vacating_hosts(pool, now_s), *_list_awaited(pool, now_s)]
     serving = [host for host in hosts if not host.is_vacating(now_s)]
     if not serving:
         return HostRequirements()
-    common = reduce(Resources.min, (host.capacity_beside_lasting for host in serving))
-    narrow = [need for need in needs if not _fits_everywhere(need.spec, common)]
-    if not narrow:
+    common_capacity = reduce(Resources.min, (host.capacity_beside_lasting for host in serving))
+    constrained = [
+        demand for demand in demands if not _fits_everywhere(demand.spec, common_capacity)
+    ]
+    if not constrained:
         return HostRequirements()
-    largest = max((host.record.capacity for host in hosts), key=lambda room: room.cpu_millicores)
-    narrow.sort(key=lambda need: _get_width(need.spec, largest), reverse=True)
-    spaces = [_Space(host) for host in sorted(hosts, key=lambda host: _get_order(host, now_s))]
-    lacks: dict[tuple[str, bool], _Lack] = defaultdict(_Lack)
-    for need in narrow[:STEPS_MAX]:
-        left = _fill(need, spaces)
-        if left > SHARE_MIN:
-            lack = lacks[need.spec.required_label, need.spec.is_lasting]
-            lack.hosts += left / max(1, _count_slots(need.spec, largest))
-            lack.resources = lack.resources.max(need.spec.resources)
+    largest_capacity = max(
+        (host.record.capacity for host in hosts), key=lambda capacity: capacity.cpu_millicores
+    )
+    constrained.sort(
+        key=lambda demand: _get_step_order(demand.spec, largest_capacity), reverse=True
+    )
+    allocations = [
+        _HostAllocation(host)
+        for host in sorted(hosts, key=lambda host: _get_host_order(host, now_s))
+    ]
+    shortages: dict[tuple[str, bool], _Shortage] = defaultdict(_Shortage)
+    for demand in constrained[:STEPS_MAX]:
+        remaining = _allocate(demand, allocations)
+        if remaining > SHARE_MIN:
+            shortage = shortages[demand.spec.required_label, demand.spec.is_lasting]
+            shortage.hosts += remaining / max(1, _count_slots(demand.spec, largest_capacity))
+            shortage.resources = shortage.resources.max(demand.spec.resources)
     missing = (
-        MissingHosts(math.ceil(lack.hosts - SHARE_MIN), lack.resources, label, is_lasting)
-        for (label, is_lasting), lack in lacks.items()
+        MissingHosts(math.ceil(shortage.hosts - SHARE_MIN), shortage.resources, label, is_lasting)
+        for (label, is_lasting), shortage in shortages.items()
     )
-    needed = [space for space in spaces if space.is_needed]
+    needed = [allocation for allocation in allocations if allocation.is_needed]
     separate_host_count = sum(
-        space.share < 1.0 and not space.host.lasting_count for space in needed
+        allocation.share < 1.0 and not allocation.host.lasting_count for allocation in needed
     )
     return HostRequirements(
-        frozenset(space.host.id for space in needed), separate_host_count, tuple(missing)
+        frozenset(allocation.host.id for allocation in needed), separate_host_count, tuple(missing)
     )
 
 
@@ -125,56 +134,60 @@
     return [host for host in pool.hosts.values() if host.is_awaited(now_s)]
 
 
-def _fits_everywhere(step: StepSpec, common: Resources) -> bool:
-    return not step.required_label and not step.per_host_max and step.resources.fits_in(common)
+def _fits_everywhere(step: StepSpec, common_capacity: Resources) -> bool:
+    return (
+        not step.required_label
+        and not step.per_host_max
+        and step.resources.fits_in(common_capacity)
+    )
 
 
-def _get_width(step: StepSpec, room: Resources) -> tuple[bool, float]:
+def _get_step_order(step: StepSpec, capacity: Resources) -> tuple[bool, float]:
     """Order steps: those that keep their room first, then the widest."""
     shares = (
-        step.resources.cpu_millicores / max(1, room.cpu_millicores),
-        step.resources.memory_mb / max(1, room.memory_mb),
-        step.resources.gpu_count / max(1, room.gpu_count),
+        step.resources.cpu_millicores / max(1, capacity.cpu_millicores),
+        step.resources.memory_mb / max(1, capacity.memory_mb),
+        step.resources.gpu_count / max(1, capacity.gpu_count),
     )
     return (step.is_lasting, max(shares))
 
 
-def _get_order(host: Host, now_s: float) -> tuple[bool, int, int, str]:
+def _get_host_order(host: Host, now_s: float) -> tuple[bool, int, int, str]:
     """Order hosts: those first that stay in any case, and the roomiest that do not."""
     if host.is_vacating(now_s):
         return (True, 0, -host.free.cpu_millicores, host.id)
     return (False, -host.lasting_count, -len(host.runs), host.id)
 
 
-def _fill(need: StepDemand, spaces: Sequence[_Space]) -> float:
+def _allocate(demand: StepDemand, allocations: Sequence[_HostAllocation]) -> float:
     """Give a step's tasks room, and note where; return how many are left."""
-    step, room, left = need.spec, need.spec.resources, need.parallel
-    counts = _count_lasting_runs(need.waiting)
-    for space in spaces:
-        if left <= SHARE_MIN:
+    step, request, remaining = demand.spec, demand.spec.resources, demand.parallel_count
+    counts = _count_lasting_runs(demand.waiting)
+    for allocation in allocations:
+        if remaining <= SHARE_MIN:
             break
-        if not room.fits_in(space.free):
+        if not request.fits_in(allocation.free):
             continue
-        if step.required_label and step.required_label not in space.host.record.labels:
+        if step.required_label and step.required_label not in allocation.host.record.labels:
             continue
-        slots = _count_slots(step, space.free, counts[space.host.id])
-        taken = min(left, slots * space.share)
-        if taken <= SHARE_MIN:
+        slots = _count_slots(step, allocation.free, counts[allocation.host.id])
+        allocated = min(remaining, slots * allocation.share)
+        if allocated <= SHARE_MIN:
             continue
         if step.is_lasting:
-            taken = min(slots, math.ceil(left - SHARE_MIN))
-            space.free -= room.scale(taken)
+            allocated = min(slots, math.ceil(remaining - SHARE_MIN))
+            allocation.free -= request.scale(allocated)
         else:
-            space.share -= taken / slots
-        space.is_needed = True
-        left -= taken
-    return left
+            allocation.share -= allocated / slots
+        allocation.is_needed = True
+        remaining -= allocated
+    return remaining
 
 
-def _count_slots(step: StepSpec, room: Resources, present_count: int = 0) -> int:
+def _count_slots(step: StepSpec, capacity: Resources, present_count: int = 0) -> int:
     """Return how many tasks of a step fit in a room beside those that stay there."""
     limit = step.per_host_max - present_count if step.per_host_max else step.task_count
-    return max(0, min(limit, room.count(step.resources)))
+    return max(0, min(limit, capacity.count(step.resources)))
 
 
 def _count_lasting_runs(waiting: WaitingStep) -> Counter[str]:
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -15,10 +15,10 @@
 def choose_host(pool: PoolJobs, task: Task, hosts: Iterable[Host], now_s: float) -> Host | None:
     """Return the best of the usable ``hosts`` that may run a task."""
     fitting = iter_fitting(pool, task, hosts, now_s)
-    return max(fitting, key=lambda host: _get_worth(host, task), default=None)
+    return max(fitting, key=lambda host: _get_host_rank(host, task), default=None)
 
 
-def stays_best(task: Task, last: Task, host: Host) -> bool:
+def is_still_best_host(task: Task, last: Task, host: Host) -> bool:
     """Tell whether the host that was best for the last task is so for the next one.
 
     Hosts are filled one after the other, so for tasks of one step the same host stays best
@@ -52,23 +52,23 @@
     """
     if not pool.are_capacities_known:
         return []
-    left_out = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
+    excluded = list_unresponsive(pool, now_s) | pool.crash_tracker.trials.reserved
     hosts = [
-        host for host in pool.hosts.values() if host.id not in left_out and host.accepts_work(now_s)
+        host for host in pool.hosts.values() if host.id not in excluded and host.accepts_work(now_s)
     ]
-    return _prefer_well(hosts, now_s)
+    return _prefer_healthy(hosts, now_s)
 
 
-def get_willing_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
+def get_usable_or_vacating_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
     """Return the hosts that may take work, and those that could were they not emptied."""
     doubted = list_unresponsive(pool, now_s)
     hosts = [host for host in pool.hosts.values() if host.is_eligible() and host.id not in doubted]
-    return _prefer_well(hosts, now_s)
+    return _prefer_healthy(hosts, now_s)
 
 
-def _prefer_well(hosts: list[Host], now_s: float) -> list[Host]:
-    well = [host for host in hosts if not host.is_paused(now_s)]
-    return well if 2 * len(well) >= len(hosts) else hosts
+def _prefer_healthy(hosts: list[Host], now_s: float) -> list[Host]:
+    healthy = [host for host in hosts if not host.is_paused(now_s)]
+    return healthy if 2 * len(healthy) >= len(hosts) else hosts
 
 
 def may_run(pool: PoolJobs, job: Job, task: Task, host: Host, now_s: float) -> bool:
@@ -92,14 +92,16 @@
 def get_future_capacity(pool: PoolJobs, host: Host) -> Resources:
     """Return the room that a host has once all that ends by itself has ended."""
     ending = (run for run in host.runs.values() if not run.is_lasting)
-    rooms = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
-    return sum(rooms, start=host.free)
+    ending_resources = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
+    return sum(ending_resources, start=host.free)
 
 
 def count_step_runs(task: Task, host: Host) -> int:
     """Count the runs of a task's step that take room on a host."""
-    place = (task.key.job_id, task.key.occurrence, task.key.step)
-    return sum((key.job_id, key.occurrence, key.step) == place for key, _number in host.runs)
+    occurrence_key = (task.key.job_id, task.key.occurrence, task.key.step)
+    return sum(
+        (key.job_id, key.occurrence, key.step) == occurrence_key for key, _number in host.runs
+    )
 
 
 def sort_waiting(pool: PoolJobs, now_ms: int) -> list[Task]:
@@ -115,8 +117,8 @@
     handed in beyond its share comes after all that.
     """
     order = {
-        place: _get_order(pool, place, now_ms)
-        for place in {(task.key.job_id, task.key.occurrence) for task in tasks}
+        occurrence_key: _get_occurrence_rank(pool, occurrence_key, now_ms)
+        for occurrence_key in {(task.key.job_id, task.key.occurrence) for task in tasks}
     }
     return sorted(
         tasks,
@@ -128,10 +130,10 @@
     )
 
 
-def _get_order(
-    pool: PoolJobs, place: tuple[str, int], now_ms: int
+def _get_occurrence_rank(
+    pool: PoolJobs, occurrence_key: tuple[str, int], now_ms: int
 ) -> tuple[bool, int, bool, bool, float, int, int]:
-    job_id, occurrence = place
+    job_id, occurrence = occurrence_key
     job = pool.jobs[job_id]
     if job.spec.is_lasting:
         rank = (job.policy.priority, False, False, 0.0, job.offset, occurrence)
@@ -143,7 +145,7 @@
     return (job.is_beyond_share, *rank)
 
 
-def _get_worth(host: Host, task: Task) -> tuple[bool, bool, int, float]:
+def _get_host_rank(host: Host, task: Task) -> tuple[bool, bool, int, float]:
     """Rank hosts for a task.
 
     Tasks that end are packed, so that hosts fall empty and can leave the pool;
--- a/src/robinthread/_internal/jobs/resource_vector.py
+++ b/src/robinthread/_internal/jobs/resource_vector.py
@@ -36,6 +36,6 @@
 ZERO_VECTOR = ResourceVector()
 
 
-def as_vector(room: Resources) -> ResourceVector:
+def as_vector(resources: Resources) -> ResourceVector:
     """Return a room as real numbers."""
-    return ResourceVector(room.cpu_millicores, room.memory_mb, room.gpu_count)
+    return ResourceVector(resources.cpu_millicores, resources.memory_mb, resources.gpu_count)
--- a/src/robinthread/_internal/jobs/scheduling.py
+++ b/src/robinthread/_internal/jobs/scheduling.py
@@ -8,8 +8,8 @@
 from robinthread._internal.jobs.placement import (
     choose_host,
     get_usable_hosts,
+    is_still_best_host,
     sort_waiting,
-    stays_best,
 )
 from robinthread._internal.jobs.pool_jobs import PoolJobs
 from robinthread._internal.jobs.suspects import place_suspects
@@ -35,15 +35,15 @@
     placed = place_suspects(pool, now_s, now_ms)
     if not pool.waiting:
         return placed
-    smallest = _get_smallest_room(pool.waiting.values())
+    smallest = _get_smallest_request(pool.waiting.values())
     usable = get_usable_hosts(pool, now_s)
     hosts = [host for host in usable if smallest.fits_in(host.free)]
     if not hosts:
         return placed
     last: tuple[Task, Host] | None = None
-    without_host: set[StepKey] = set()
-    keeper = CapacityReserver(pool, now_s)
-    for task in _iter_in_order(pool, keeper, usable, hosts, now_ms):
+    unplaceable_steps: set[StepKey] = set()
+    reserver = CapacityReserver(pool, now_s)
+    for task in _iter_in_order(pool, reserver, usable, hosts, now_ms):
         if not hosts:
             break
         if task.key not in pool.waiting or task.key in pool.reserved_host_ids:
@@ -51,28 +51,30 @@
             continue
         if pool.is_withheld(task) or not pool.fits_workspace_limit(task):
             continue
-        if task.key.step_key in without_host:
-            keeper.reserve_for(task, hosts)
+        if task.key.step_key in unplaceable_steps:
+            reserver.reserve_for(task, hosts)
             continue
         if task.step.is_gang:
-            free = [host for host in usable if host.id not in keeper.kept]
-            begun_count = place_gang(pool, task, free, now_s)
-            if not begun_count:
-                keeper.reserve_for_gang(task)
-            placed += begun_count
+            free = [host for host in usable if host.id not in reserver.reserved]
+            gang_count = place_gang(pool, task, free, now_s)
+            if not gang_count:
+                reserver.reserve_for_gang(task)
+            placed += gang_count
             hosts[:] = [
-                host for host in hosts if smallest.fits_in(host.free) and host.id not in keeper.kept
+                host
+                for host in hosts
+                if smallest.fits_in(host.free) and host.id not in reserver.reserved
             ]
-            without_host.add(task.key.step_key)
+            unplaceable_steps.add(task.key.step_key)
             continue
-        if last is not None and stays_best(task, *last):
+        if last is not None and is_still_best_host(task, *last):
             host: Host | None = last[1]
         else:
             host = choose_host(pool, task, hosts, now_s)
         if host is None:
             if not task.runs:
-                without_host.add(task.key.step_key)
-                keeper.reserve_for(task, hosts)
+                unplaceable_steps.add(task.key.step_key)
+                reserver.reserve_for(task, hosts)
             continue
         pool.place(task, host)
         placed += 1
@@ -83,22 +85,22 @@
 
 
 def _iter_in_order(
-    pool: PoolJobs, keeper: CapacityReserver, usable: list[Host], hosts: list[Host], now_ms: int
+    pool: PoolJobs, reserver: CapacityReserver, usable: list[Host], hosts: list[Host], now_ms: int
 ) -> Iterator[Task]:
     """Iterate over the overdue tasks, then over all in their usual order while hosts are left.
 
     Putting all in order costs most of a look, and is spared where every host with room is kept.
     """
-    yield from keeper.iter_overdue(usable)
+    yield from reserver.iter_overdue(usable)
     if hosts:
         yield from sort_waiting(pool, now_ms)
 
 
-def _get_smallest_room(tasks: Collection[Task]) -> Resources:
+def _get_smallest_request(tasks: Collection[Task]) -> Resources:
     """Return, of each kind of room, the least that any of the tasks takes."""
-    rooms = [task.resources for task in tasks]
+    requests = [task.resources for task in tasks]
     return Resources(
-        min(room.cpu_millicores for room in rooms),
-        min(room.memory_mb for room in rooms),
-        min(room.gpu_count for room in rooms),
+        min(request.cpu_millicores for request in requests),
+        min(request.memory_mb for request in requests),
+        min(request.gpu_count for request in requests),
     )
--- a/src/robinthread/_internal/jobs/waiting_steps.py
+++ b/src/robinthread/_internal/jobs/waiting_steps.py
@@ -34,6 +34,6 @@
         (key.job_id, key.occurrence, key.step) for key, task in pool.waiting.items() if task.runs
     )
     return [
-        WaitingStep(pool.jobs[place[0]], place[1], place[2], count, copies[place])
-        for place, count in Counter(keys).items()
+        WaitingStep(pool.jobs[step_key[0]], step_key[1], step_key[2], count, copies[step_key])
+        for step_key, count in Counter(keys).items()
     ]
--- a/src/robinthread/_internal/jobs/workspace_limiter.py
+++ b/src/robinthread/_internal/jobs/workspace_limiter.py
@@ -12,9 +12,9 @@
 )
 
 # A workspace is told of that takes more than this part of its share here: before it needs more.
-TOLD_FROM_PART: Final = 0.5
+REPORTED_FROM_FRACTION: Final = 0.5
 # Of a limit: shares are sums, and a sum is to hold all of its parts.
-ROUNDING: Final = 1e-9
+ROUNDING_TOLERANCE: Final = 1e-9
 
 
 class WorkspaceLimiter:
@@ -29,25 +29,25 @@
     def __init__(self) -> None:
         self._used: dict[str, Resources] = {}
         self._limits: Mapping[str, Resources] = {}
-        self._fell_in: Mapping[str, int] = {}
+        self._lowered_in: Mapping[str, int] = {}
         self._state = ShareState()
         self.held_back: dict[str, Resources] = {}
         self.default_share = 0.0
 
-    def set_limits(self, config: FleetConfig, fell_in: Mapping[str, int]) -> None:
+    def set_limits(self, config: FleetConfig, lowered_in: Mapping[str, int]) -> None:
         """Take the limits in force, and the versions in which limits last fell."""
-        self._fell_in = fell_in
+        self._lowered_in = lowered_in
         self._limits = config.limits
 
-    def record_start(self, workspace: str, room: Resources) -> None:
+    def record_start(self, workspace: str, resources: Resources) -> None:
         """Note that a run may begin from now on."""
         if workspace:
-            self._used[workspace] = self.get_used(workspace) + room
+            self._used[workspace] = self.get_used(workspace) + resources
 
-    def record_end(self, workspace: str, room: Resources) -> None:
+    def record_end(self, workspace: str, resources: Resources) -> None:
         """Note that a run has surely ended, or never began and never will."""
         if workspace:
-            self._used[workspace] = self.get_used(workspace) - room
+            self._used[workspace] = self.get_used(workspace) - resources
 
     def get_used(self, workspace: str) -> Resources:
         """Return what a workspace takes here."""
@@ -64,23 +64,23 @@
         """
         table = self._state.table
         if table is None:
-            return 0.0 if workspace in self._fell_in else self.default_share
-        if table.config_version < self._fell_in.get(workspace, 0):
+            return 0.0 if workspace in self._lowered_in else self.default_share
+        if table.config_version < self._lowered_in.get(workspace, 0):
             return 0.0
         return table.get(workspace)
 
-    def has_capacity(self, workspace: str, room: Resources) -> bool:
+    def has_capacity(self, workspace: str, resources: Resources) -> bool:
         """Tell whether a workspace may begin what takes so much room."""
         limit = self._limits.get(workspace)
         if limit is None:
             return True
-        return (self.get_used(workspace) + room).get_utilization(limit) <= self.get_share(
+        return (self.get_used(workspace) + resources).get_utilization(limit) <= self.get_share(
             workspace
-        ) + ROUNDING
+        ) + ROUNDING_TOLERANCE
 
-    def record_held_back(self, workspace: str, room: Resources) -> None:
+    def record_held_back(self, workspace: str, resources: Resources) -> None:
         """Note that something is not begun for want of a share."""
-        self.held_back.setdefault(workspace, room)
+        self.held_back.setdefault(workspace, resources)
 
     def apply_order(self, order: ShareOrder | None) -> ShareState:
         """Take shares from the steward; return those in force.
@@ -127,6 +127,7 @@
             name
             for name, used in self._used.items()
             if name in self._limits
-            and used.get_utilization(self._limits[name]) > TOLD_FROM_PART * self.get_share(name)
+            and used.get_utilization(self._limits[name])
+            > REPORTED_FROM_FRACTION * self.get_share(name)
         }
         return sorted(named & self._limits.keys() | near)
