--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -98,10 +98,8 @@
 
 def count_step_runs(task: Task, host: Host) -> int:
     """Count the runs of a task's step that take room on a host."""
-    occurrence_key = (task.key.job_id, task.key.occurrence, task.key.step)
-    return sum(
-        (key.job_id, key.occurrence, key.step) == occurrence_key for key, _number in host.runs
-    )
+    step_key = (task.key.job_id, task.key.occurrence, task.key.step)
+    return sum((key.job_id, key.occurrence, key.step) == step_key for key, _number in host.runs)
 
 
 def sort_waiting(pool: PoolJobs, now_ms: int) -> list[Task]:
