--- a/src/robinthread/_internal/jobs/__init__.py
+++ b/src/robinthread/_internal/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The job engine: jobs of steps of tasks, placed on a pool's hosts."""
+"""The job engine: places the tasks of a job's steps on the hosts of a pool."""
--- a/src/robinthread/_internal/jobs/capacity_reservation.py
+++ b/src/robinthread/_internal/jobs/capacity_reservation.py
@@ -1,9 +1,9 @@
-"""Keeping a host's room for a lasting task that fits nowhere yet.
+"""Reservation of hosts for lasting tasks that do not fit on any host yet.
 
-A full pool frees room in small pieces, which small tasks take at once: without this, a
-task that needs several of them would wait for as long as the pool is full.  A lasting task
-that has been without a run for long comes before more urgent tasks, which in a full pool would
-take all room before its turn.
+A full pool frees capacity in small amounts, which small tasks use at once.  Without
+reservations, a task that needs several of these amounts would wait as long as the pool is full.
+A lasting task that has not run for long takes precedence over more urgent tasks, which in a full
+pool would use all capacity before its turn.
 """
 
 from collections.abc import Collection, Iterator
@@ -23,22 +23,24 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.step_key import StepKey
 
-# A lasting task should run again 9 s after its last run at the latest: the platform's rules
-# ask for it from 6 s on and allow 3 s.  A host's room is free once its usual tasks of 1 to 2 s
-# have ended; as much again is left for a task that waits its turn behind another overdue one,
-# and 1 s for the record and the order.
+# A lasting task is overdue this long after its last run ended.  It should run again within 9 s:
+# the platform's rules require it from 6 s on, with a tolerance of 3 s.  The remaining 5 s are
+# 2 s until a host is free, since its usual tasks take 1 to 2 s, 2 s more for a task that waits
+# behind another overdue one, and 1 s to write the record and send the order.
 OVERDUE_S: Final = 4.0
-# Share of the usable hosts, one at least, that are kept ahead of more urgent tasks at a time.
-# Of a pool of eight hosts on the stand-in, full of tasks of 1.6 to 2.25 s, four were lost with
-# eight lasting tasks of half a host: all ran again after 8.9 s, with a quarter after 12.5 s.
+# Share of the usable hosts that may be reserved ahead of more urgent tasks at a time, at least
+# one host.  Measured on the stand-in: a pool of eight hosts was full of tasks of 1.6 to 2.25 s,
+# and four hosts were lost with eight lasting tasks of half a host each.  All of these ran again
+# after 8.9 s; with a share of a quarter, after 12.5 s.
 RESERVED_AHEAD_SHARE: Final = 0.5
 
 
 class CapacityReserver:
-    """The hosts that are kept for lasting tasks, in one look at all waiting tasks.
+    """Reserves hosts for lasting tasks during one pass over all waiting tasks.
 
-    A task keeps the one that lacks least, of equal ones the one that it kept before.  A gang
-    that is overdue keeps as many as all its members need.
+    A task reserves the host with the smallest shortage, of equal ones the host that it reserved
+    in the previous pass.  An overdue gang reserves hosts for all its members.  ``reserved`` are
+    the ids of the hosts that are reserved in this pass.
     """
 
     def __init__(self, pool: PoolJobs, now_s: float) -> None:
@@ -51,11 +53,11 @@
         self.reserved: set[str] = set()
 
     def iter_overdue(self, usable: Collection[Host]) -> Iterator[Task]:
-        """Iterate over the lasting tasks that go before all others, longest without a run first.
+        """Iterate over the overdue lasting tasks, the one that ran least recently first.
 
-        They end once as many of the ``usable`` hosts are kept as may be ahead of other tasks;
-        the rest has its usual turn.  Only tasks that ran before are overdue, so that urgent
-        queues give up no more than the room that these had.
+        The iteration ends once ``RESERVED_AHEAD_SHARE`` of the ``usable`` hosts are reserved; the
+        remaining tasks are placed in the usual order.  Only tasks that ran before are overdue, so
+        urgent queues lose no more than the capacity that these tasks had used.
         """
         if not self._pool.policy.keeps_room_for_lasting:
             return iter(())
@@ -71,9 +73,10 @@
         return takewhile(lambda _task: len(self.reserved) < reserved_max, overdue)
 
     def reserve_for(self, task: Task, hosts: list[Host]) -> None:
-        """Take the host off ``hosts`` to which nothing is to go until the task fits there.
+        """Reserve a host for a lasting task until it fits there, and remove it from ``hosts``.
 
-        A task that ends is not kept room for: others like it will end.
+        Nothing is reserved for tasks that end, since other such tasks free the capacity, nor for
+        gangs, see ``reserve_for_gang``.
         """
         if (
             task.step.is_gang
@@ -96,16 +99,16 @@
             default=None,
         )
         if host is None:
-            # Tasks of a step are alike, and hosts only grow fewer in a look.
+            # The tasks of a step are alike, and the hosts only become fewer during a pass.
             self._unplaceable_steps.add(task.key.step_key)
             return
         self._reserve(task, host)
         hosts.remove(host)
 
     def reserve_for_gang(self, task: Task) -> None:
-        """Keep the hosts to which nothing is to go until a task's overdue gang fits there.
+        """Reserve hosts for all members of a task's overdue gang until the gang fits there.
 
-        It begins whole or not at all, so it may keep more than the share that is kept ahead.
+        A gang starts as a whole, so its hosts may exceed ``RESERVED_AHEAD_SHARE``.
         """
         if not self._may_reserve(task) or task.ran_until_s > self._ran_until_max_s:
             return
@@ -129,7 +132,7 @@
         self.reserved.add(host.id)
 
     def _get_future_capacity(self, host: Host) -> Resources:
-        """Return the room that a host has once all that ends by itself has ended."""
+        """Return a host's free capacity once its runs of tasks that end have ended, cached."""
         capacity = self._future_capacities.get(host.id)
         if capacity is None:
             capacity = self._future_capacities[host.id] = get_future_capacity(self._pool, host)
@@ -137,7 +140,7 @@
 
 
 def _get_shortage(task: Task, host: Host) -> float:
-    """Return how much room a host lacks for a task, as the largest share of its own room."""
+    """Return the largest share of a host's capacity that it lacks for a task, over resources."""
     missing, capacity = task.resources - host.free, host.record.capacity
     return max(
         missing.cpu_millicores / max(1, capacity.cpu_millicores),
--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -1,4 +1,4 @@
-"""How much room a pool's jobs need, now and when hosts fetched now would serve."""
+"""Forecast of the resources that a pool's jobs need, now and once newly fetched hosts serve."""
 
 import math
 from collections import deque
@@ -27,32 +27,35 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import DemandPolicy
 
-# Jobs handed in within twice so long tell the rate at which work arrives; those of
-# the later half, against those of the earlier one, whether it rises.
+# The arrival rate is measured over the last two windows of this length.  More arrivals in the
+# later window than in the earlier one indicate a rising rate.
 RATE_WINDOW_S: Final = 0.9
-# A rise counts that is so many times what chance alone brings.
+# The rate counts as rising if the difference between the two windows is at least this many
+# times the square root of the number of arrivals, its standard deviation at a constant rate.
 RISE_DEVIATIONS_MIN: Final = 1.2
-# Weight of a new job in the mean work of a job: some ten are remembered.
+# Weight of a new job in the moving averages of work and critical path per job: they reflect
+# about the last ten jobs.
 MEAN_JOB_WEIGHT: Final = 0.1
-# What waits for room should begin within so long of the time hosts come.
+# Target time within which waiting tasks should start once the fetched hosts serve.
 BACKLOG_DRAIN_S: Final = 2.0
-# Share of the forecast that is kept free for what chance brings on top.
+# Share of the forecast that is added as a margin for random variation of the load.
 HEADROOM_SHARE: Final = 0.0
-# How far ahead hosts are kept for what will run, beyond the time that others need to come.
+# Hosts are kept for tasks that will run within the lead time of a new host plus this.
 KEEP_AHEAD_S: Final = 0.5
 
-# An occurrence of a job: the job's id and the occurrence's number.
+# Identifies an occurrence of a job: the job's id and the number of the occurrence.
 OccurrenceKey = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Room for which to fetch hosts, and room for which to keep them.
+    """The resources and hosts that a pool needs.
 
-    Of the latter, ``urgent`` is without jobs that can no longer be on time.  Whatever the room,
-    ``hosts_min`` hosts are needed for tasks that may not share one.  ``lasting`` is the part of
-    the room that lasting tasks take.  ``host_requirements`` are those of tasks that do not
-    fit on every host.
+    ``fetch`` are the resources for which the pool should fetch hosts, ``keep`` those for which
+    it should keep the hosts that it has, and ``urgent`` those to keep without jobs that can no
+    longer be on time.  ``lasting`` is the part of all three that lasting tasks use.  At least
+    ``hosts_min`` hosts are needed for tasks that may not share a host.  ``host_requirements``
+    cover the tasks that do not fit on every host.
     """
 
     fetch: Resources
@@ -64,9 +67,9 @@
 
 
 class DemandForecaster:
-    """Forecasts a pool's need from the jobs it has and those that should arrive.
+    """Forecasts a pool's demand from its open jobs and from the arrival rate of new ones.
 
-    ``lead_s`` is how long a host takes from being asked for to its first task.
+    ``lead_s`` is the time from the request for a host until the host runs its first task.
     """
 
     def __init__(self, lead_s: float, policy: DemandPolicy) -> None:
@@ -77,7 +80,7 @@
         self._mean_chain_s = 0.0
 
     def record_job(self, job: Job, times: RunTimes, now_s: float) -> None:
-        """Note a job that was handed in."""
+        """Add a submitted job to the arrival statistics; lasting and timed jobs don't count."""
         if job.spec.is_lasting or job.spec.is_timed:
             return
         work, chain_s = estimate_work(job, times), get_critical_path_s(job, times)
@@ -88,10 +91,11 @@
         self._arrivals_s.append(now_s)
 
     def forecast(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
-        """Return what the pool's tasks need."""
+        """Return the resources and hosts that the pool's tasks need."""
         late = _find_late_occurrences(pool, now_ms)
         lasting = _sum_lasting_resources(pool)
-        # A job that may never be done is to get no hosts, but those for a gang to be tried on.
+        # A job with a task that crashes its hosts may never complete, so no hosts are fetched for
+        # it, except those on which a gang is tried.
         steps = [
             step
             for step in list_waiting_steps(pool)
@@ -122,7 +126,7 @@
     def _get_fetch_and_keep(
         self, forecasts: Sequence[StepForecast], waiting: ResourceVector, arriving: ResourceVector
     ) -> tuple[ResourceVector, ResourceVector]:
-        """Return the room to fetch hosts for, and the room to keep them for."""
+        """Return the resources to fetch hosts for, and the resources to keep hosts for."""
         expected = self._forecast(forecasts, arriving, self._lead_s).scale(1 + HEADROOM_SHARE)
         fetch = keep = expected + waiting.scale(1 / BACKLOG_DRAIN_S)
         for ahead_s in (0.0, self._lead_s / 2, self._lead_s + KEEP_AHEAD_S):
@@ -132,7 +136,7 @@
     def _forecast(
         self, forecasts: Iterable[StepForecast], arriving: ResourceVector, ahead_s: float
     ) -> ResourceVector:
-        """Return the room that all tasks would take ``ahead_s`` from now, given room."""
+        """Return the resources in use ``ahead_s`` from now if no task had to wait for a host."""
         known = (
             step.resources for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s
         )
@@ -142,7 +146,7 @@
     def _forecast_all(
         self, pool: PoolJobs, late: frozenset[OccurrenceKey], now_s: float
     ) -> tuple[list[StepForecast], list[StepForecast]]:
-        """Return the steps that are not done of jobs in time, and of late ones."""
+        """Return forecasts for the open steps of on-time occurrences, and of late ones."""
         on_time: list[StepForecast] = []
         too_late: list[StepForecast] = []
         for job in pool.jobs.values():
@@ -158,12 +162,15 @@
     def _get_step_demand(
         self, pool: PoolJobs, step: WaitingStep, late: frozenset[OccurrenceKey]
     ) -> StepDemand:
-        """Return how many tasks of a step should run at a time for all to begin in time."""
+        """Return how many of a step's waiting tasks should run in parallel.
+
+        With that many, all of them start within about ``BACKLOG_DRAIN_S``.
+        """
         count = step.task_count - step.copy_count
         if step.spec.is_lasting:
             return StepDemand(step, count)
         if step.spec.is_gang:
-            # It begins whole or not at all, however late it is.
+            # A gang starts as a whole, so the late share does not reduce its demand.
             return StepDemand(step, count)
         duration_s = pool.run_times.estimate_s(step.job.spec.queue, step.spec)
         share = self._get_host_share((step.job.id, step.occurrence), late)
@@ -172,13 +179,13 @@
     def _get_host_share(
         self, occurrence_key: OccurrenceKey, late: frozenset[OccurrenceKey]
     ) -> float:
-        """Return the share of an occurrence's room for which to ask for hosts."""
+        """Return the share of an occurrence's resources for which hosts are requested."""
         return self._policy.late_share if occurrence_key in late else 1.0
 
     def _get_arriving_resources(self, now_s: float) -> ResourceVector:
-        """Return the room that jobs of usual size need at the rate they arrive at.
+        """Return the resources that jobs of average size need at the current arrival rate.
 
-        One large job tells nothing of the next: it is counted where its tasks are.
+        A single large job does not predict the next one: its own tasks are counted in the pool.
         """
         while self._arrivals_s and now_s - self._arrivals_s[0] > 2 * RATE_WINDOW_S:
             self._arrivals_s.popleft()
@@ -187,9 +194,10 @@
         return self._mean_work.scale(self._get_arrival_rate(now_s))
 
     def _get_arrival_rate(self, now_s: float) -> float:
-        """Return the rate over both windows, or over the later one where it has risen.
+        """Return the arrival rate in jobs per second.
 
-        A rise is carried forward by as much as the policy says.
+        It is the mean over both windows.  If the rate has risen, it is that of the later window,
+        extrapolated by ``rise_ahead_s`` of the policy.
         """
         total = len(self._arrivals_s)
         recent = sum(now_s - at_s <= RATE_WINDOW_S for at_s in self._arrivals_s)
@@ -201,14 +209,14 @@
 
 
 def _is_held_back(pool: PoolJobs, job: Job) -> bool:
-    """Tell whether more hosts would not help a job: its workspace's share is taken."""
+    """Tell whether more hosts would not help a job, since its workspace's share is used up."""
     return job.spec.workspace in pool.workspaces.held_back
 
 
 def _sum_waiting(
     pool: PoolJobs, steps: Iterable[WaitingStep], late: frozenset[OccurrenceKey]
 ) -> tuple[ResourceVector, ResourceVector]:
-    """Sum the work of the tasks that wait for a host: of jobs in time, and of late ones."""
+    """Return the work of waiting tasks in resource-seconds: of on-time jobs, and of late ones."""
     sums = {False: ZERO_VECTOR, True: ZERO_VECTOR}
     for step in steps:
         if not step.spec.is_lasting:
@@ -219,7 +227,11 @@
 
 
 def _get_widest_gang(steps: Iterable[WaitingStep]) -> ResourceVector:
-    """Return the room that the widest waiting gang that ends needs at once, late or not."""
+    """Return the largest amount of each resource that a waiting gang needs at once.
+
+    Late gangs count as well, since a gang starts as a whole.  Lasting gangs are left out, since
+    lasting tasks are counted separately.
+    """
     amounts = (
         as_vector(step.spec.resources).scale(step.task_count)
         for step in steps
@@ -229,7 +241,7 @@
 
 
 def _find_late_occurrences(pool: PoolJobs, now_ms: int) -> frozenset[OccurrenceKey]:
-    """Return the occurrences of jobs that can no longer be on time, or are beyond a share."""
+    """Return the occurrences that can no longer be on time or exceed their workspace's share."""
     return frozenset(
         (job.id, occurrence)
         for job in pool.jobs.values()
@@ -240,7 +252,10 @@
 
 
 def _count_hosts_for_lasting(pool: PoolJobs) -> int:
-    """Return on how many hosts the lasting tasks of the widest step must be spread."""
+    """Return how many hosts the lasting step with the widest spread needs; 0 without a limit.
+
+    Only steps that limit their tasks per host count.
+    """
     counts = (
         math.ceil(step.task_count / step.per_host_max)
         for job in pool.jobs.values()
@@ -252,7 +267,7 @@
 
 
 def _sum_lasting_resources(pool: PoolJobs) -> ResourceVector:
-    """Sum the room of all lasting tasks."""
+    """Return the resources of all lasting tasks of open jobs."""
     amounts = (
         step.resources.scale(step.task_count)
         for job in pool.jobs.values()
--- a/src/robinthread/_internal/jobs/evacuation.py
+++ b/src/robinthread/_internal/jobs/evacuation.py
@@ -1,4 +1,4 @@
-"""Which runs to move off hosts that are to be emptied."""
+"""Moving runs off hosts that drain or that the steward is vacating."""
 
 from typing import Final
 
@@ -9,19 +9,20 @@
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.task import Task
 
+# A lasting task works once it reports this progress.
 AT_WORK_PERCENT: Final = 100
-# A task that keeps checkpoints is stopped so long before its host may leave: time for
-# the order, the stop itself and the look that brings its checkpoint.
+# A task that keeps checkpoints is stopped this long before its host may leave.  The time covers
+# the stop order, the stop itself and the poll that fetches the checkpoint.
 CHECKPOINT_STOP_LEAD_S: Final = 0.8
 
 
 def evacuate(pool: PoolJobs, now_s: float) -> list[Run]:
-    """Stop the runs that are to leave their hosts now; return them.
+    """Stop the runs that should leave their hosts now; return them.
 
-    A lasting task leaves when its step can spare it.  A task that ends by itself
-    is left to do so, unless its host is about to leave and its work can be kept.
-    Either goes only where another host has room for it.  What has to leave a draining host
-    comes first: tasks on sound hosts then see that it is away.
+    A lasting task is stopped when its step can spare it.  A task that ends by itself is left to
+    finish, unless its host is about to leave and the task keeps checkpoints.  Either is stopped
+    only if another host has the capacity for it.  Draining hosts are processed first, so that
+    tasks on other hosts already count those tasks as not running.
     """
     stopped = []
     usable = get_usable_hosts(pool, now_s)
@@ -43,7 +44,7 @@
 
 
 def can_spare(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
-    """Tell whether a lasting task's step can spare it now."""
+    """Tell whether a lasting task may stop without exceeding its step's limit of stopped tasks."""
     step = task.step
     if not step.has_not_running_limit:
         return True
@@ -53,10 +54,10 @@
 
 
 def is_working(pool: PoolJobs, task: Task, now_s: float) -> bool:
-    """Tell whether a lasting task does its work, on a host that says so itself.
+    """Tell whether a lasting task is known to work, by a report of a host that responds.
 
-    What runs on a silent host may have ended, and what an earlier owner told to stop,
-    just before the host heard of this one, may be about to.
+    A run on a silent host may have ended.  A run on a host that an earlier owner may have sent
+    stop orders, just before the host learned of this owner, may be about to end.
     """
     return any(
         run.phase is RunPhase.PRESENT
@@ -68,6 +69,7 @@
 
 
 def _should_leave(pool: PoolJobs, host: Host, job: Job, task: Task, run: Run, now_s: float) -> bool:
+    """Tell whether a run on a draining or vacating host should be stopped now."""
     if task.step.is_lasting:
         if host.record.is_draining:
             return not _is_other_stopping(pool, job, task) or _leaves_soon(host, now_s)
@@ -82,10 +84,10 @@
 
 
 def _is_other_stopping(pool: PoolJobs, job: Job, task: Task) -> bool:
-    """Tell whether another task of a lasting step is being stopped on a sound host.
+    """Tell whether another task of a lasting step is being stopped on a host that does not drain.
 
-    Of two that are stopped at once either may end first, and the one on the sound host must
-    not end while the other one is away.
+    Of two tasks that are stopped at the same time either may end first, and the one on the host
+    that does not drain must not end while the other one is not running.
     """
     if not task.step.has_not_running_limit:
         return False
--- a/src/robinthread/_internal/jobs/gangs.py
+++ b/src/robinthread/_internal/jobs/gangs.py
@@ -1,4 +1,4 @@
-"""Placing a gang: tasks of a step that work only as a group."""
+"""Placement of gangs: the tasks of a gang step run only together."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
@@ -12,10 +12,10 @@
 
 
 def place_gang(pool: PoolJobs, task: Task, usable: Iterable[Host], now_s: float) -> int:
-    """Place all members of a task's gang, or none, on ``usable`` hosts; return how many.
+    """Place all members of a task's gang on ``usable`` hosts, or none; return how many.
 
-    The members share one run number and one checkpoint, so the group begins
-    only when no run of an earlier try is left.
+    The members share one run number and one checkpoint, so the gang starts only when no run of
+    an earlier attempt is left.
     """
     job = pool.jobs[task.key.job_id]
     members = get_waiting_gang(pool, task)
@@ -33,7 +33,7 @@
 
 
 def get_waiting_gang(pool: PoolJobs, task: Task) -> list[Task]:
-    """Return all members of a task's gang, or none where not all of them wait."""
+    """Return all members of a task's gang, or an empty list unless all of them wait."""
     members = pool.jobs[task.key.job_id].get_tasks(task.key.occurrence, task.key.step)
     return members if all(member.key in pool.waiting for member in members) else []
 
@@ -50,11 +50,11 @@
     now_s: float,
     get_capacity: Callable[[Host], Resources] = _get_free_capacity,
 ) -> list[Host] | None:
-    """Return a host for each member, or None where not all have room at once.
+    """Return a host for each member, or None if the hosts cannot hold all members at once.
 
-    ``get_capacity`` tells what room of a host counts.
+    ``get_capacity`` returns the capacity of a host that may be used: by default what is free.
 
-    One rack is taken where that is asked for and a rack has the room.
+    If the step asks for one rack, all hosts are of one rack if any rack has the capacity.
     """
     step = members[0].step
     usable = [host for host in usable if may_run(pool, job, members[0], host, now_s)]
@@ -77,7 +77,7 @@
 def _assign_hosts(
     members: list[Task], hosts: list[Host], get_capacity: Callable[[Host], Resources]
 ) -> list[Host] | None:
-    """Give each member the first host that still has room for it."""
+    """Assign to each member the first host with capacity left; return None if one has no host."""
     free = {host.id: get_capacity(host) for host in hosts}
     counts = {host.id: count_step_runs(members[0], host) for host in hosts}
     chosen: list[Host] = []
--- a/src/robinthread/_internal/jobs/host_requirements.py
+++ b/src/robinthread/_internal/jobs/host_requirements.py
@@ -1,7 +1,8 @@
-"""On which hosts tasks would find room that not every host of a pool has.
+"""The hosts that a pool needs for waiting tasks that do not fit on every host.
 
-Room in sum is not room on a host: a task may be too wide for what lasting tasks leave
-free, be kept off by a label, or share a host with too few of its like.
+Enough free resources in total do not mean that a task fits on a host: it may need more than
+lasting tasks leave free on any host, require a label, or limit how many tasks of its step
+share a host.
 """
 
 import math
@@ -18,31 +19,31 @@
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
-# Most steps that are looked at, the widest first: each is compared with every host.  What
-# is left out counts once these have begun.
+# At most this many steps are considered, the largest first, since each is compared with every
+# host.  The others are considered once these have started.
 STEPS_MAX: Final = 20
-# Shares of a host's time below this are what rounding leaves.
+# Task counts and shares of a host's time below this are rounding errors.
 SHARE_MIN: Final = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class StepDemand:
-    """A step of which tasks wait, and how many should run at a time."""
+    """A step with waiting tasks, and how many of them should run in parallel."""
 
     waiting: WaitingStep
     parallel_count: float
 
     @property
     def spec(self) -> StepSpec:
-        """Return what the step's tasks are like."""
+        """Return the specification of the step."""
         return self.waiting.spec
 
 
 @dataclass(frozen=True, slots=True)
 class MissingHosts:
-    """Hosts that a pool lacks: how many, with what room at least, and which label.
+    """Hosts that a pool lacks: their number, minimum capacity and required label ("" for any).
 
-    ``is_lasting`` tells whether they are for lasting tasks or for such as end.
+    ``is_lasting`` tells whether they are needed for lasting tasks.
     """
 
     count: int
@@ -53,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HostRequirements:
-    """The pool's hosts that tasks wait for which do not fit on all, and hosts it lacks.
+    """The pool's hosts that are needed by tasks that do not fit everywhere, and missing hosts.
 
-    ``separate_host_count`` of the hosts are needed by tasks that end and carry no lasting ones.
+    ``separate_host_count`` of the hosts run no lasting tasks and are needed by tasks that end.
     """
 
     host_ids: frozenset[str] = frozenset()
@@ -64,7 +65,11 @@
 
 
 class _HostAllocation:
-    """What a host has for tasks that wait: its room beside lasting ones, and its time."""
+    """What a host still offers to waiting tasks.
+
+    ``free`` is its capacity beside lasting tasks, and ``share`` the share of its time that is not
+    allocated to tasks that end.
+    """
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -75,7 +80,7 @@
 
 @dataclass
 class _Shortage:
-    """Hosts that are missing, as a real number."""
+    """The number of missing hosts, not rounded, and the minimum capacity of each."""
 
     hosts: float = 0.0
     resources: Resources = field(default=NO_RESOURCES)
@@ -84,11 +89,11 @@
 def find_host_requirements(
     pool: PoolJobs, demands: Iterable[StepDemand], now_s: float
 ) -> HostRequirements:
-    """Return the hosts for tasks that do not fit on every host.
+    """Return the hosts that are needed for tasks that do not fit on every host.
 
-    What ends leaves its room to others: a host that is full now counts by what it has
-    beside its lasting tasks.  Hosts that are being emptied count after all others, and
-    those that are still awaited as if they answered.
+    Tasks that end free their resources, so a host counts by its capacity beside lasting tasks,
+    even if it is full now.  Hosts that are being vacated are used last.  Hosts whose first
+    response is still expected count as if they responded.
     """
     hosts = [*get_usable_or_vacating_hosts(pool, now_s), *_list_awaited(pool, now_s)]
     serving = [host for host in hosts if not host.is_vacating(now_s)]
@@ -143,7 +148,10 @@
 
 
 def _get_step_order(step: StepSpec, capacity: Resources) -> tuple[bool, float]:
-    """Order steps: those that keep their room first, then the widest."""
+    """Return a sort key for steps, in descending order: lasting ones, then by size.
+
+    The size is the largest share that a task takes of any resource in ``capacity``.
+    """
     shares = (
         step.resources.cpu_millicores / max(1, capacity.cpu_millicores),
         step.resources.memory_mb / max(1, capacity.memory_mb),
@@ -153,14 +161,17 @@
 
 
 def _get_host_order(host: Host, now_s: float) -> tuple[bool, int, int, str]:
-    """Order hosts: those first that stay in any case, and the roomiest that do not."""
+    """Return a sort key for hosts: those that stay first, those with most lasting tasks and runs.
+
+    Of the hosts that are being vacated, the one with most free processor time comes first.
+    """
     if host.is_vacating(now_s):
         return (True, 0, -host.free.cpu_millicores, host.id)
     return (False, -host.lasting_count, -len(host.runs), host.id)
 
 
 def _allocate(demand: StepDemand, allocations: Sequence[_HostAllocation]) -> float:
-    """Give a step's tasks room, and note where; return how many are left."""
+    """Allocate a step's tasks to hosts; return how many tasks found no host."""
     step, request, remaining = demand.spec, demand.spec.resources, demand.parallel_count
     counts = _count_lasting_runs(demand.waiting)
     for allocation in allocations:
@@ -185,13 +196,13 @@
 
 
 def _count_slots(step: StepSpec, capacity: Resources, present_count: int = 0) -> int:
-    """Return how many tasks of a step fit in a room beside those that stay there."""
+    """Return how many tasks of a step fit into a capacity, given how many are present already."""
     limit = step.per_host_max - present_count if step.per_host_max else step.task_count
     return max(0, min(limit, capacity.count(step.resources)))
 
 
 def _count_lasting_runs(waiting: WaitingStep) -> Counter[str]:
-    """Count by host the runs of a step that stay."""
+    """Count a lasting step's runs by host; empty if the step has no limit per host."""
     if not (waiting.spec.is_lasting and waiting.spec.per_host_max):
         return Counter()
     tasks = waiting.job.get_tasks(waiting.occurrence, waiting.number)
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -1,4 +1,4 @@
-"""Which host suits a waiting task, and which task goes first."""
+"""Choice of a host for a waiting task, and the order in which waiting tasks are placed."""
 
 from collections.abc import Collection, Iterable, Iterator
 
@@ -13,16 +13,16 @@
 
 
 def choose_host(pool: PoolJobs, task: Task, hosts: Iterable[Host], now_s: float) -> Host | None:
-    """Return the best of the usable ``hosts`` that may run a task."""
+    """Return the best of the usable ``hosts`` that may run a task, or None if none may."""
     fitting = iter_fitting(pool, task, hosts, now_s)
     return max(fitting, key=lambda host: _get_host_rank(host, task), default=None)
 
 
 def is_still_best_host(task: Task, last: Task, host: Host) -> bool:
-    """Tell whether the host that was best for the last task is so for the next one.
+    """Tell whether the host that was chosen for the ``last`` task is the best for ``task`` too.
 
-    Hosts are filled one after the other, so for tasks of one step the same host stays best
-    while it has room.  Tasks that last are spread instead.
+    Hosts are filled one after the other, so the same host stays best for the tasks of a step
+    while it has capacity.  Lasting tasks are spread instead.
     """
     return (
         task.key.step_key == last.key.step_key
@@ -34,7 +34,7 @@
 
 
 def iter_fitting(pool: PoolJobs, task: Task, hosts: Iterable[Host], now_s: float) -> Iterator[Host]:
-    """Iterate over those of the usable ``hosts`` that may run a task now."""
+    """Iterate over those of the usable ``hosts`` that can run a task now."""
     job = pool.jobs[task.key.job_id]
     return (
         host
@@ -46,9 +46,10 @@
 
 
 def get_usable_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
-    """Return the hosts that may take work, but for those that suspects are tried on.
+    """Return the hosts that accept work, without those that are reserved for trials of suspects.
 
-    Where more than half seem unwell, it is the jobs that fail: all are used.
+    Paused hosts are left out unless they are the majority, which indicates that the jobs fail
+    and not the hosts.
     """
     if not pool.are_capacities_known:
         return []
@@ -60,7 +61,7 @@
 
 
 def get_usable_or_vacating_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
-    """Return the hosts that may take work, and those that could were they not emptied."""
+    """Return the hosts that accept work, and those that would if they were not being vacated."""
     doubted = list_unresponsive(pool, now_s)
     hosts = [host for host in pool.hosts.values() if host.is_eligible() and host.id not in doubted]
     return _prefer_healthy(hosts, now_s)
@@ -72,7 +73,7 @@
 
 
 def may_run(pool: PoolJobs, job: Job, task: Task, host: Host, now_s: float) -> bool:
-    """Tell whether a host has the label and the ticket that a task asks for."""
+    """Tell whether a host has the label that a task requires and, with advice, a valid ticket."""
     step = task.step
     if step.required_label and step.required_label not in host.record.labels:
         return False
@@ -82,7 +83,7 @@
 
 
 def allows_another_run(task: Task, host: Host) -> bool:
-    """Tell whether a host may carry one more task of a step, and no copy of its own."""
+    """Tell whether a host may run a task without a second run of it or too many of its step."""
     if any(run.host_id == host.id for run in task.runs):
         return False
     limit = task.step.per_host_max
@@ -90,29 +91,30 @@
 
 
 def get_future_capacity(pool: PoolJobs, host: Host) -> Resources:
-    """Return the room that a host has once all that ends by itself has ended."""
+    """Return the free capacity that a host will have once its runs of tasks that end have ended."""
     ending = (run for run in host.runs.values() if not run.is_lasting)
     ending_resources = (pool.jobs[run.task.job_id].get_task(run.task).resources for run in ending)
     return sum(ending_resources, start=host.free)
 
 
 def count_step_runs(task: Task, host: Host) -> int:
-    """Count the runs of a task's step that take room on a host."""
+    """Count the runs of a task's step that use resources on a host."""
     step_key = (task.key.job_id, task.key.occurrence, task.key.step)
     return sum((key.job_id, key.occurrence, key.step) == step_key for key, _number in host.runs)
 
 
 def sort_waiting(pool: PoolJobs, now_ms: int) -> list[Task]:
-    """Order all waiting tasks."""
+    """Return all waiting tasks in the order of ``sort_tasks``."""
     return sort_tasks(pool, pool.waiting.values(), now_ms)
 
 
 def sort_tasks(pool: PoolJobs, tasks: Collection[Task], now_ms: int) -> list[Task]:
-    """Order tasks: urgent queues first, then jobs that can be on time.
+    """Return tasks in the order of placement.
 
-    Of these the one that can wait least goes first.  A job that will be late earns
-    little more by being done sooner, and would make others late as well.  What a workspace
-    handed in beyond its share comes after all that.
+    More urgent queues come first, within a queue's priority lasting jobs, then jobs that can be
+    on time, the one with least slack first.  Late jobs come after these: they gain little from
+    being done sooner, and would delay other jobs.  Jobs that a workspace submitted beyond its
+    share come last.
     """
     order = {
         occurrence_key: _get_occurrence_rank(pool, occurrence_key, now_ms)
@@ -144,10 +146,10 @@
 
 
 def _get_host_rank(host: Host, task: Task) -> tuple[bool, bool, int, float]:
-    """Rank hosts for a task.
+    """Return a host's rank for a task; the highest rank is best.
 
-    Tasks that end are packed, so that hosts fall empty and can leave the pool;
-    those that last are spread, so that few are lost with a host.
+    Tasks that end are packed onto few hosts, so that other hosts become empty and can leave the
+    pool.  Lasting tasks are spread, so that the loss of a host affects few of them.
     """
     step: StepSpec = task.step
     is_near = not step.near_rack or host.record.rack == step.near_rack
--- a/src/robinthread/_internal/jobs/resource_vector.py
+++ b/src/robinthread/_internal/jobs/resource_vector.py
@@ -1,4 +1,4 @@
-"""Room over time."""
+"""Resources as real numbers, for forecasts and averages."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceVector:
-    """Room as real numbers, or room times seconds: thousandths of a core, MB, accelerators."""
+    """Amounts of thousandths of a core, MB and accelerators, or these times seconds."""
 
     cpu: float = 0.0
     memory: float = 0.0
@@ -19,17 +19,17 @@
         )
 
     def scale(self, factor: float) -> "ResourceVector":
-        """Return the work times a factor."""
+        """Return all amounts multiplied by a factor."""
         return ResourceVector(self.cpu * factor, self.memory * factor, self.gpu * factor)
 
     def max(self, other: "ResourceVector") -> "ResourceVector":
-        """Return the greater of each kind."""
+        """Return the larger amount of each resource."""
         return ResourceVector(
             max(self.cpu, other.cpu), max(self.memory, other.memory), max(self.gpu, other.gpu)
         )
 
     def round(self) -> Resources:
-        """Return the nearest room in whole numbers."""
+        """Return the amounts rounded to whole numbers."""
         return Resources(round(self.cpu), round(self.memory), round(self.gpu))
 
 
@@ -37,5 +37,5 @@
 
 
 def as_vector(resources: Resources) -> ResourceVector:
-    """Return a room as real numbers."""
+    """Convert resources to real numbers."""
     return ResourceVector(resources.cpu_millicores, resources.memory_mb, resources.gpu_count)
--- a/src/robinthread/_internal/jobs/scheduling.py
+++ b/src/robinthread/_internal/jobs/scheduling.py
@@ -1,4 +1,4 @@
-"""Placing all waiting tasks that fit somewhere."""
+"""The scheduling pass: places all waiting tasks that fit on a host."""
 
 from collections.abc import Collection, Iterator
 
@@ -19,15 +19,16 @@
 
 
 def place_waiting(pool: PoolJobs, now_s: float, now_ms: int) -> int:
-    """Place the tasks that fit somewhere, most urgent first; return how many.
+    """Place the waiting tasks that fit on a host, most urgent first; return how many.
 
-    In a full pool this costs a look at each host and each waiting task, no more: hosts
-    without room for the smallest task are left out, and of a step that found no host no
-    other task is tried.  Tasks of a step follow each other to a host until it is full.
-    A host that is kept for a lasting task gets none that comes after it.  Lasting tasks
-    that are overdue come before all others, as far as the keeper takes them.  Suspects of
-    having crashed their hosts are started apart from all these, and first.  A workspace whose
-    share of its limit is taken begins nothing, and no host is kept for it.
+    Tasks that are suspected of crashing hosts are placed first, on hosts of their own.  Overdue
+    lasting tasks come next, as far as ``CapacityReserver`` allows.  A host that is reserved for a
+    lasting task gets no task that comes later in the order.  Tasks of a workspace that has used
+    up its share of its limit are not placed, and no host is reserved for them.
+
+    In a full pool each host and each waiting task is visited only once: hosts without capacity
+    for the smallest task are skipped, and so are the other tasks of a step once one has found no
+    host.  Tasks of a step are placed on the same host until it is full.
     """
     pool.workspaces.held_back.clear()
     if not pool.waiting:
@@ -47,7 +48,7 @@
         if not hosts:
             break
         if task.key not in pool.waiting or task.key in pool.reserved_host_ids:
-            # It has been placed, with its gang or as overdue, or a host is kept for it.
+            # Already placed, with its gang or as overdue, or a host is reserved for it.
             continue
         if pool.is_withheld(task) or not pool.fits_workspace_limit(task):
             continue
@@ -87,9 +88,10 @@
 def _iter_in_order(
     pool: PoolJobs, reserver: CapacityReserver, usable: list[Host], hosts: list[Host], now_ms: int
 ) -> Iterator[Task]:
-    """Iterate over the overdue tasks, then over all in their usual order while hosts are left.
+    """Iterate over the overdue tasks, then over all waiting tasks in order if hosts are left.
 
-    Putting all in order costs most of a look, and is spared where every host with room is kept.
+    Sorting is the largest cost of a pass, so it is skipped if all hosts with capacity are
+    reserved.
     """
     yield from reserver.iter_overdue(usable)
     if hosts:
@@ -97,7 +99,7 @@
 
 
 def _get_smallest_request(tasks: Collection[Task]) -> Resources:
-    """Return, of each kind of room, the least that any of the tasks takes."""
+    """Return the smallest amount of each resource that any of the tasks requests."""
     requests = [task.resources for task in tasks]
     return Resources(
         min(request.cpu_millicores for request in requests),
--- a/src/robinthread/_internal/jobs/waiting_steps.py
+++ b/src/robinthread/_internal/jobs/waiting_steps.py
@@ -1,4 +1,4 @@
-"""Which steps have tasks that wait for a host."""
+"""The steps that have tasks waiting for a host."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingStep:
-    """A step of an occurrence of a job, and how many of its tasks wait.
+    """A step of an occurrence of a job, and how many of its tasks wait for a host.
 
-    ``copy_count`` of them run already and wait for a second host.
+    ``copy_count`` of them have a run already and wait for a host for a second one.
     """
 
     job: Job
@@ -23,12 +23,12 @@
 
     @property
     def spec(self) -> StepSpec:
-        """Return what the step's tasks are like."""
+        """Return the specification of the step."""
         return self.job.spec.steps[self.number]
 
 
 def list_waiting_steps(pool: PoolJobs) -> list[WaitingStep]:
-    """Return the steps of which tasks wait: tasks of a step are alike."""
+    """Group the waiting tasks by step; the tasks of a step are alike."""
     keys = [(key.job_id, key.occurrence, key.step) for key in pool.waiting]
     copies = Counter(
         (key.job_id, key.occurrence, key.step) for key, task in pool.waiting.items() if task.runs
--- a/src/robinthread/_internal/jobs/workspace_limiter.py
+++ b/src/robinthread/_internal/jobs/workspace_limiter.py
@@ -1,4 +1,4 @@
-"""What workspaces take in one pool, and what they may take there."""
+"""Usage of workspaces in one pool, and the shares of their limits that bound it."""
 
 from collections.abc import Collection, Mapping
 from typing import Final
@@ -11,19 +11,21 @@
     WorkspaceUsage,
 )
 
-# A workspace is told of that takes more than this part of its share here: before it needs more.
+# A workspace that uses more than this fraction of its share in the pool is reported to the
+# steward, so that its share can grow before it is used up.
 REPORTED_FROM_FRACTION: Final = 0.5
-# Of a limit: shares are sums, and a sum is to hold all of its parts.
+# Tolerance, as a fraction of the limit, for rounding errors of shares, which are sums: a share
+# must be large enough for all parts that it is the sum of.
 ROUNDING_TOLERANCE: Final = 1e-9
 
 
 class WorkspaceLimiter:
-    """Room that workspaces' runs take in a pool, and the share of its limit that each may take.
+    """Tracks the resources that workspaces' runs use in a pool, and enforces their shares.
 
-    All that may be running counts: what was recorded before it was sent, also by earlier
-    owners, until its end is known.  ``held_back`` are the workspaces whose tasks would have
-    begun in the last look, with what the first of them takes.  ``default_share`` may be used
-    where no steward has told any share.
+    Every run that may be running counts: from the time it was recorded, before it was sent, also
+    by earlier owners, until its end is known.  ``held_back`` maps the workspaces whose tasks were
+    not started in the last scheduling pass, for lack of a share, to the resources of the first
+    such task.  ``default_share`` applies until a steward has sent shares.
     """
 
     def __init__(self) -> None:
@@ -35,32 +37,33 @@
         self.default_share = 0.0
 
     def set_limits(self, config: FleetConfig, lowered_in: Mapping[str, int]) -> None:
-        """Take the limits in force, and the versions in which limits last fell."""
+        """Set the limits in force, and the configuration versions that last lowered a limit."""
         self._lowered_in = lowered_in
         self._limits = config.limits
 
     def record_start(self, workspace: str, resources: Resources) -> None:
-        """Note that a run may begin from now on."""
+        """Count the resources of a run that may start from now on."""
         if workspace:
             self._used[workspace] = self.get_used(workspace) + resources
 
     def record_end(self, workspace: str, resources: Resources) -> None:
-        """Note that a run has surely ended, or never began and never will."""
+        """Stop counting the resources of a run that has certainly ended or will never start."""
         if workspace:
             self._used[workspace] = self.get_used(workspace) - resources
 
     def get_used(self, workspace: str) -> Resources:
-        """Return what a workspace takes here."""
+        """Return the resources that a workspace uses in this pool."""
         return self._used.get(workspace, NO_RESOURCES)
 
     def get_limit(self, workspace: str) -> Resources | None:
-        """Return what a workspace may take in all pools, or None where nothing limits it."""
+        """Return a workspace's limit over all pools, or None if it has no limit."""
         return self._limits.get(workspace)
 
     def get_share(self, workspace: str) -> float:
-        """Return the share of a workspace's limit that it may take here.
+        """Return the share of a workspace's limit that it may use in this pool.
 
-        One from before the limit fell says nothing: other pools may hold more than all of it.
+        A share that was allocated before the limit was lowered is void, so it counts as 0: other
+        pools may use more than the whole new limit.
         """
         table = self._state.table
         if table is None:
@@ -70,7 +73,7 @@
         return table.get(workspace)
 
     def has_capacity(self, workspace: str, resources: Resources) -> bool:
-        """Tell whether a workspace may begin what takes so much room."""
+        """Tell whether a workspace's share allows it to start a run with these resources."""
         limit = self._limits.get(workspace)
         if limit is None:
             return True
@@ -79,14 +82,14 @@
         ) + ROUNDING_TOLERANCE
 
     def record_held_back(self, workspace: str, resources: Resources) -> None:
-        """Note that something is not begun for want of a share."""
+        """Record the first task of a workspace that is not started for lack of a share."""
         self.held_back.setdefault(workspace, resources)
 
     def apply_order(self, order: ShareOrder | None) -> ShareState:
-        """Take shares from the steward; return those in force.
+        """Apply an order of shares from the steward; return the shares in force.
 
-        None of an earlier steward counts once a later one was heard, nor any that was
-        overtaken by a newer one.
+        Orders of an earlier steward than the last one, and orders that were overtaken by a newer
+        one, are ignored.
         """
         if order is not None and (order.token, order.number) > (
             self._state.token,
@@ -97,9 +100,9 @@
         return self._state
 
     def list_usage(self, waiting: Mapping[str, Resources]) -> tuple[WorkspaceUsage, ...]:
-        """Tell of the workspaces that are near their share or whose share is a set one.
+        """Return the usage of the workspaces in ``list_reported``, for the steward.
 
-        ``waiting`` is what the tasks that wait would take, by workspace.
+        ``waiting`` are the resources that waiting tasks would use, by workspace.
         """
         return tuple(
             WorkspaceUsage(
@@ -112,7 +115,7 @@
         )
 
     def get_used_fractions(self) -> dict[str, float]:
-        """Return which part of its limit each workspace that has one takes here."""
+        """Return the fraction of its limit that each limited workspace uses in this pool."""
         return {
             name: self._used[name].get_utilization(limit)
             for name, limit in self._limits.items()
@@ -120,7 +123,11 @@
         }
 
     def list_reported(self) -> Collection[str]:
-        """List the workspaces that the steward must hear of."""
+        """List the limited workspaces whose usage is reported to the steward.
+
+        These are the ones that were held back, that have a share of their own, or that use more
+        than ``REPORTED_FROM_FRACTION`` of their share.
+        """
         table = self._state.table
         named = set(self.held_back) if table is None else {*self.held_back, *table.shares}
         near = {
