--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -94,11 +94,11 @@
         """Return the sizes that the pools may have where there are machines of ``room``."""
         if not self._policy.shares_when_short:
             return wanted
-        needs = {
+        tiers = {
             pool.name: get_host_tiers(pool.report, wanted[pool.name], capacity)
             for pool in view.pools
         }
-        return apportion_hosts(wanted, needs, _count_all(view))
+        return apportion_hosts(wanted, tiers, _count_all(view))
 
     def _choose_vacating(
         self,
@@ -118,8 +118,8 @@
         serving = _count_serving(pool, vacating, view.leaving)
         if serving < size.keep_count:
             # Hosts that are still here serve sooner than any that are fetched.
-            kept = sorted(vacating - departing, key=lambda name: (name in pending, name))
-            vacating -= frozenset(kept[: size.keep_count - serving])
+            retained = sorted(vacating - departing, key=lambda name: (name in pending, name))
+            vacating -= frozenset(retained[: size.keep_count - serving])
         spare = _count_serving(pool, vacating, view.leaving) - size.keep_count
         if spare <= 0:
             self._surplus_since_s.pop(pool.name, None)
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -36,8 +36,11 @@
     def take_for(self, shortages: Iterable[ShortageReport]) -> list[str]:
         """Take machines that have what a pool lacks, as far as there are any."""
         taken: list[str] = []
-        for lack in shortages:
-            taken += self._take(lambda machine, lack=lack: covers(machine, lack), lack.count)  # type: ignore[misc]
+        for shortage in shortages:
+            taken += self._take(
+                lambda machine, shortage=shortage: covers(machine, shortage),  # type: ignore[misc]
+                shortage.count,
+            )
         return taken
 
     def _take(self, is_suitable: Callable[[Machine], bool], count: int | None = None) -> list[str]:
@@ -55,17 +58,19 @@
     Each counts for one host of one lack; what fewest of them supply is served first.
     """
     unassigned = list(arriving)
-    left: list[ShortageReport] = []
-    for lack in sorted(
-        shortages, key=lambda lack: sum(covers(machine, lack) for machine in unassigned)
+    unmet: list[ShortageReport] = []
+    for shortage in sorted(
+        shortages, key=lambda shortage: sum(covers(machine, shortage) for machine in unassigned)
     ):
-        matching = [machine for machine in unassigned if covers(machine, lack)][: lack.count]
+        matching = [machine for machine in unassigned if covers(machine, shortage)][
+            : shortage.count
+        ]
         unassigned = [machine for machine in unassigned if machine not in matching]
-        left.append(msgspec.structs.replace(lack, count=lack.count - len(matching)))
-    return tuple(left)
+        unmet.append(msgspec.structs.replace(shortage, count=shortage.count - len(matching)))
+    return tuple(unmet)
 
 
-def covers(machine: Machine, lack: ShortageReport) -> bool:
+def covers(machine: Machine, shortage: ShortageReport) -> bool:
     """Tell whether a machine has the room and the label that a pool lacks."""
-    has_label = not lack.label or lack.label in (machine.kind, machine.rack)
-    return has_label and Resources(*lack.resources).fits_in(machine.capacity)
+    has_label = not shortage.label or shortage.label in (machine.kind, machine.rack)
+    return has_label and Resources(*shortage.resources).fits_in(machine.capacity)
