--- a/src/robinthread/_internal/fleet/__init__.py
+++ b/src/robinthread/_internal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's machines: how many a pool needs, who is due for upkeep, what is ordered."""
+"""Planning for the fleet's machines: pool sizes, upkeep, and the orders that follow from them."""
--- a/src/robinthread/_internal/fleet/ended_incarnations.py
+++ b/src/robinthread/_internal/fleet/ended_incarnations.py
@@ -1,22 +1,24 @@
-"""Hosts that have ended by what the lists of machines show."""
+"""Hosts that have ended according to the lists of machines."""
 
 from collections.abc import Mapping
 from typing import Final
 
 from robinthread._internal.models.machine import Machine, MachineState
 
-# How long a host that has ended is told to its pool's owner.  An owner that is lost with the
-# host is replaced within some 4 s; a host that is lost is first missed some 2 s later.
+# How long an ended host is reported to its pool's owner.  This must exceed the time until an
+# owner that is lost with the host is replaced, about 4 s, and the time until a lost host is first
+# found missing, about 2 s more.
 REPORTED_FOR_S: Final = 12.0
 
 
 class EndedIncarnations:
-    """Tells which hosts have ended, each a life of a machine that an earlier list showed.
+    """Finds the hosts that have ended: incarnations of machines that only an earlier list shows.
 
-    A machine that is listed without a host, with another one, or no more has ended the one that
-    it was, however silent that is.  A host that is only cut off stays listed.  Hosts that ended
-    by an order, of which owners have emptied them before, are not told, nor those that are listed
-    again: another life is up under their id.  Times are of any one steady clock, in seconds.
+    If a machine is listed without a host or with another one, or is not listed any more, its
+    previous host has ended, even if nothing else indicates it.  A host that is only cut off stays
+    listed.  Hosts that ended by an order are left out, since their owners have vacated them
+    before, and so are hosts that are listed again, since another incarnation is up under their
+    id.  Times are in seconds of a monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -24,7 +26,7 @@
         self._ended: dict[str, tuple[float, str]] = {}
 
     def record_listing(self, machines: Mapping[str, Machine], now_s: float) -> None:
-        """Take in a list of machines."""
+        """Compare a list of machines with the previous one."""
         for host_id, listed in self._listed.items():
             machine = machines.get(listed.name)
             if machine is None or machine.host_id != host_id:
@@ -44,7 +46,7 @@
         }
 
     def list_for_pool(self, pool: str) -> tuple[str, ...]:
-        """Return the hosts of a pool that have ended of late."""
+        """Return the ids of a pool's hosts that ended within the last ``REPORTED_FOR_S``."""
         return tuple(
             host_id for host_id, (_at_s, ended_pool) in self._ended.items() if ended_pool == pool
         )
--- a/src/robinthread/_internal/fleet/fleet_view.py
+++ b/src/robinthread/_internal/fleet/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the steward decides on."""
+"""The planner's input, a view of the fleet, and its output, a plan with orders."""
 
 from dataclasses import dataclass, field
 
@@ -9,11 +9,12 @@
 
 @dataclass(frozen=True)
 class WaveView:
-    """A maintenance wave: what is left of it and how many may begin now.
+    """A maintenance wave: its remaining upkeep, and how many machines may start upkeep now.
 
-    Of its ``machines``, ``pending`` are those whose upkeep has not begun, and ``down`` those that
-    are down or may be, the latter ``unconfirmed``.  Of the pending ones, an earlier steward ordered
-    the ``unsettled``: they count as down, and may be ordered all the same, which settles them.
+    Of its ``machines``, ``pending`` are those whose upkeep has not started.  ``down`` are those
+    that are down or may be; the latter are ``unconfirmed``.  ``unsettled`` are pending machines
+    whose upkeep an earlier steward ordered: they count as down, and may be ordered again, which
+    settles them.  The wave ends in ``left_s`` seconds.
     """
 
     number: int
@@ -27,19 +28,19 @@
 
     @property
     def free_slots(self) -> int:
-        """Return how many machines beside the unsettled ones may begin their upkeep now."""
+        """Return how many machines may start upkeep now, in addition to the unsettled ones."""
         return max(0, self.at_once_max - len(self.down | self.unsettled))
 
 
 @dataclass(frozen=True)
 class PoolView:
-    """A pool, its owner's report, and its machines.
+    """A pool, its owner's report, and its machines by name.
 
-    The report may be older than the list of machines: only ``hosts`` that the
-    list still shows as up are there.
+    The report may be older than the list of machines, so ``hosts`` are only those that the list
+    still shows as up.
 
-    ``arriving`` are machines that will serve soon: they move here, come back
-    from upkeep, or their host has not been heard of yet.
+    ``arriving`` are machines that will serve soon: they are moving to the pool or returning from
+    upkeep, or their host is up but not yet reported by the pool's owner.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
     @property
     def hosts(self) -> tuple[HostStatus, ...]:
-        """Return the standing of the hosts that are still lives of their machines."""
+        """Return the status of the hosts that are the current incarnations of their machines."""
         return tuple(host for host in self.report.hosts if self._is_current(host))
 
     def _is_current(self, host: HostStatus) -> bool:
@@ -63,11 +64,11 @@
 
 @dataclass(frozen=True)
 class FleetView:
-    """All that a decision rests on.
+    """All input of one planning step.
 
-    ``reserve`` are the machines that are off and free to be ordered, and
-    ``ordered`` those that are to get no order now; of these, ``leaving`` may not stay where
-    they are.  The hosts of ``silent_halls`` do not answer.
+    ``reserve`` are the machines of the reserve pool, which are off.  ``ordered`` are machines
+    that must get no order now, since one is under way, or was given or failed recently; of
+    these, ``leaving`` may not stay in their pools.  The hosts of ``silent_halls`` do not respond.
     """
 
     pools: tuple[PoolView, ...]
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True)
 class UpkeepOrder:
-    """Begin a machine's upkeep for a wave."""
+    """Start a machine's upkeep for a wave."""
 
     machine: str
     wave: int
@@ -97,9 +98,9 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """What to order now, which machines each pool is to empty, and its size.
+    """The orders to give now, the machines that each pool should vacate, and the pools' sizes.
 
-    ``sizes`` are what the pools need, ``shares`` what they may have of it.
+    ``sizes`` are the sizes that the pools need, ``shares`` those that they may have.
     """
 
     orders: tuple[MoveOrder | UpkeepOrder, ...] = ()
--- a/src/robinthread/_internal/fleet/host_apportionment.py
+++ b/src/robinthread/_internal/fleet/host_apportionment.py
@@ -1,4 +1,4 @@
-"""Sharing machines out among pools that want more than there are."""
+"""Apportioning of hosts among pools that need more than there are."""
 
 import math
 from collections.abc import Mapping
@@ -7,23 +7,24 @@
 
 from robinthread._internal.fleet.sizing import HostTiers, PoolSize
 
-# A pool gives machines up where it has so much more than its share.  Shares follow arrivals,
-# which vary by chance by some tenth from one second to the next, and a machine that moves
-# serves nobody for 1.5 s.
+# A pool may keep this fraction more hosts than its share before it releases machines.  Shares
+# follow the arrivals of jobs, which vary at random by about a tenth from one second to the next,
+# and a machine that moves serves no pool for 1.5 s.
 SLACK_SHARE: Final = 0.1
 
 
 def apportion_hosts(
     sizes: Mapping[str, PoolSize], tiers: Mapping[str, HostTiers], host_count: int
 ) -> dict[str, PoolSize]:
-    """Return the pools' sizes, each no larger than its share where hosts are short.
+    """Return the pools' sizes, each limited to a share of ``host_count`` if hosts are short.
 
-    The load that this answers: queues whose demand comes in turns, each of which asks for more
-    hosts than there are.  Without shares the pool whose turn is over keeps its hosts for a
-    backlog that is late already, and the next one waits for its first machines for 4 to 8 s.
+    This is for queues whose demand peaks in turns, each of which needs more hosts than there
+    are.  Without shares, a pool keeps its hosts after its peak for a backlog that is late
+    already, and the next pool waits 4 to 8 s for its first machines.
 
-    What lasts comes first, then what jobs that can be on time need, then what late ones need;
-    hosts that do not suffice for a rank are divided in proportion to what the pools need there.
+    Hosts for lasting tasks come first, then those for jobs that can be on time, then those for
+    late jobs.  If the hosts do not suffice for a tier, they are divided in proportion to the
+    pools' needs in that tier.
     """
     if sum(size.keep_count for size in sizes.values()) <= host_count:
         return dict(sizes)
@@ -46,7 +47,7 @@
 
 
 def _divide_proportionally(wanted: Mapping[str, int], count: int) -> dict[str, int]:
-    """Divide hosts in proportion to what is wanted, whole ones by the largest remainder."""
+    """Divide ``count`` hosts in proportion to ``wanted``, by the largest-remainder method."""
     total = sum(wanted.values())
     if total <= count:
         return dict(wanted)
--- a/src/robinthread/_internal/fleet/machine_calls.py
+++ b/src/robinthread/_internal/fleet/machine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's machines, as the steward uses them."""
+"""The platform's interface for machines, as the steward uses it."""
 
 from typing import Protocol
 
@@ -6,17 +6,17 @@
 
 
 class MachineCalls(Protocol):
-    """Orders for machines; each raises ``MachineError`` and ends in a bounded time.
+    """Calls for machines; each ends within a bounded time and raises ``MachineError`` on failure.
 
-    ``holder`` names who gives the order and ``token`` fences older holders.
-    Giving an order again that was carried out changes nothing.
+    ``holder`` names the process that gives the order, and ``token`` is its fencing token, which
+    shuts out older holders.  Orders are idempotent.
     """
 
     async def list_machines(self) -> tuple[Machine, ...]:
         """List all machines."""
 
     async def move(self, machine: str, pool: str, holder: str, token: int) -> None:
-        """Move a machine to a pool; everything on it ends at once."""
+        """Move a machine to a pool; all that runs on it ends at once."""
 
     async def begin_upkeep(self, machine: str, wave: int, holder: str, token: int) -> None:
-        """Begin a machine's upkeep for a wave; everything on it ends at once."""
+        """Start a machine's upkeep for a wave; all that runs on it ends at once."""
--- a/src/robinthread/_internal/fleet/machine_errors.py
+++ b/src/robinthread/_internal/fleet/machine_errors.py
@@ -1,25 +1,25 @@
-"""How an order for a machine may fail."""
+"""Errors of calls and orders for machines."""
 
 
 class MachineError(Exception):
-    """An order for a machine failed."""
+    """Base class: a call or an order for a machine failed."""
 
 
 class MachineNoAnswerError(MachineError):
-    """No answer came: the order may have been carried out, or may be later."""
+    """There was no response: the order may have been carried out, or still may be."""
 
 
 class MachineRefusedError(MachineError):
-    """Nothing was done; the order may be given again later."""
+    """The order was rejected and had no effect; it may be given again later."""
 
 
 class MachineBusyError(MachineRefusedError):
-    """The machine is not up, or it leaves."""
+    """The machine is not up, or it is leaving its pool."""
 
 
 class MachineFencedError(MachineError):
-    """A newer holder's token has been seen for the machine."""
+    """The platform has seen a newer fencing token for the machine."""
 
 
 class MachineMisfitError(MachineError):
-    """There is no such machine, or it does not fit the pool or the wave."""
+    """The machine does not exist, or does not match the pool or the wave."""
--- a/src/robinthread/_internal/fleet/new_machines.py
+++ b/src/robinthread/_internal/fleet/new_machines.py
@@ -1,21 +1,21 @@
-"""Machines that are up so newly that their pool has not heard of them."""
+"""Machines that came up recently and are not yet reported by their pool's owner."""
 
 from collections.abc import Container, Iterable
 from typing import Final
 
 from robinthread._internal.models.machine import Machine, MachineState
 
-# How long a machine that is up may take to show in its pool: an entry in the store
-# and a first look at it.
+# A new machine should appear in its pool's report within this time: its host writes an entry to
+# the store, and the pool's owner polls the entry and the host for the first time.
 FIRST_REPORT_MAX_S: Final = 3.0
 
 
 class NewMachines:
-    """Tells the machines that have just come up from those whose host is lost.
+    """Distinguishes machines that have just come up from machines whose host is lost.
 
-    Both are up in the list of machines, and their pool names no host of theirs.  A host is no
-    newcomer once its pool has named it, nor where it was up in the first list of machines:
-    it was there before.  What was ordered shortly before the first list may just have come up.
+    Both are up in the list of machines, while their pool's owner reports no host of theirs.  A
+    machine is not new if its owner has reported its host, or if the host was up in the first
+    list of machines, except if an order shortly before that list may just have brought it up.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         self._new_since_s: dict[tuple[str, str], float] = {}
 
     def record_listing(self, machines: Iterable[Machine], ordered: Container[str]) -> None:
-        """Take in a list of machines; ``ordered`` are those that may just have come up."""
+        """Process a list of machines; those in ``ordered`` may just have come up."""
         incarnations = {(machine.name, machine.host_id): machine for machine in machines}
         if not self._has_listing:
             self._has_listing = True
@@ -33,7 +33,7 @@
                 for machine in incarnations.values()
                 if machine.state is MachineState.UP and machine.name not in ordered
             }
-        # The reserve's machines are up without a host.
+        # Machines of the reserve are up without a host, so their host id is "".
         self._known_hosts &= {host_id for _name, host_id in incarnations if host_id}
         self._new_since_s = {
             incarnation: since_s
@@ -42,15 +42,15 @@
         }
 
     def record_reported_hosts(self, host_ids: Iterable[str]) -> None:
-        """Note which hosts a pool's owner names."""
+        """Record the hosts that a pool's owner reports."""
         self._known_hosts.update(host_ids)
 
     def is_reported(self, machine: Machine) -> bool:
-        """Tell whether a pool has named a machine's host, or was to have before this steward."""
+        """Tell whether a machine's host was reported by an owner or was up in the first list."""
         return machine.host_id in self._known_hosts
 
     def is_new(self, machine: Machine, now_s: float) -> bool:
-        """Tell whether a machine is up so newly that its pool has not heard of it."""
+        """Tell whether a machine is up and its host may still be reported in time."""
         if machine.state is not MachineState.UP or machine.host_id in self._known_hosts:
             return False
         since_s = self._new_since_s.setdefault((machine.name, machine.host_id), now_s)
--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -1,9 +1,8 @@
-"""What to order for the fleet's machines.
+"""The fleet planner, which decides the orders for the fleet's machines.
 
-A pool gets hosts from the reserve, whose machines are off and cost nothing, as
-soon as its tasks need them.  It gives back what it has not needed for a while.
-Upkeep is done in the reserve wherever a machine passes through it, and in a
-pool only for what would be late otherwise.
+A pool gets hosts from the reserve, whose machines are off and cost nothing, as soon as its tasks
+need them.  It returns hosts that it has not needed for a while.  Upkeep is done in the reserve
+when a machine passes through it, and in a pool only if it would be late otherwise.
 """
 
 import math
@@ -33,26 +32,32 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
 
-# How long a pool must have had hosts to spare.  A move costs about as much as 1.1 s
-# of a host, and to fetch the host again costs another and 1.5 s of waiting.
+# A pool releases hosts after it has had spare ones for this time.  A move costs about as much as
+# 1.1 s of a host; fetching the host again costs a second move and 1.5 s of waiting.
 SURPLUS_HOLD_S: Final = 0.4
-# How long a machine takes to be emptied and kept up, at the end of a wave.
+# Time to vacate a machine and do its upkeep.  A wave that has less time left than all its rounds
+# of upkeep and one more take is short of time.
 UPKEEP_ROUND_S: Final = 6.0
 
 
 class FleetPlanner:
-    """Plans over time: it remembers since when each pool has had hosts to spare."""
+    """Plans the orders for machines, step by step.
+
+    It keeps state between steps: since when each pool has had spare hosts, and which machines the
+    pools are vacating.
+    """
 
     def __init__(self, policy: FleetPolicy) -> None:
         self._policy = policy
         self._surplus_since_s: dict[str, float] = {}
         self._vacating: dict[str, frozenset[str]] = {}
-        # Those of them that only an order has leave; it may be another steward's, and over soon.
+        # The vacating machines that leave only because of an order under way.  The order may be
+        # an earlier steward's and end soon, so they are chosen again in each step.
         self._leaving_by_order: dict[str, frozenset[str]] = {}
         self._is_short = False
 
     def plan(self, view: FleetView, now_s: float) -> FleetPlan:
-        """Return the orders to give now."""
+        """Return the plan for the current view of the fleet: orders, vacating machines, sizes."""
         pending = frozenset().union(*(wave.pending for wave in view.waves))
         capacity = _get_largest_capacity(view)
         wanted = {pool.name: get_pool_size(pool.report, capacity) for pool in view.pools}
@@ -61,7 +66,8 @@
         slots = UpkeepSlots(view.waves)
         orders: list[MoveOrder | UpkeepOrder] = []
         if self._policy.upkeep_first:
-            # A machine that a pool takes unkept may not pass through the reserve in time again.
+            # A machine that moves to a pool before its upkeep may not be back in the reserve in
+            # time.
             orders += _order_upkeep(view, reserve, slots)
         self._is_short = any(
             _count_missing(
@@ -91,7 +97,7 @@
     def _apportion(
         self, view: FleetView, wanted: dict[str, PoolSize], capacity: Resources
     ) -> dict[str, PoolSize]:
-        """Return the sizes that the pools may have where there are machines of ``room``."""
+        """Return the sizes that the pools may have, for machines of a ``capacity``."""
         if not self._policy.shares_when_short:
             return wanted
         tiers = {
@@ -108,7 +114,10 @@
         size: PoolSize,
         now_s: float,
     ) -> frozenset[str]:
-        """Return the machines that a pool is to empty, none of which a waiting task needs."""
+        """Return the machines that a pool should vacate.
+
+        Machines that waiting tasks need are vacated only for an order or for upkeep.
+        """
         present = {host.machine: host for host in pool.hosts if host.is_usable}
         departing = frozenset(name for name in present if name in view.leaving)
         needed = frozenset(name for name, host in present.items() if host.is_needed)
@@ -117,7 +126,7 @@
         vacating = chosen & present.keys() - needed
         serving = _count_serving(pool, vacating, view.leaving)
         if serving < size.keep_count:
-            # Hosts that are still here serve sooner than any that are fetched.
+            # Hosts that are still in the pool serve sooner than hosts that are fetched.
             retained = sorted(vacating - departing, key=lambda name: (name in pending, name))
             vacating -= frozenset(retained[: size.keep_count - serving])
         spare = _count_serving(pool, vacating, view.leaving) - size.keep_count
@@ -137,7 +146,10 @@
         )
 
     def _get_hold_s(self) -> float:
-        """Return how long a pool's spare machines stay in case it needs them again."""
+        """Return how long spare machines stay in a pool that may need them again.
+
+        That is 0 s if another pool is short of machines and machines move directly.
+        """
         return 0.0 if self._is_short and self._policy.moves_directly else SURPLUS_HOLD_S
 
     def _choose_for_upkeep(
@@ -149,16 +161,16 @@
         size: PoolSize,
         is_replaceable: bool,
     ) -> frozenset[str]:
-        """Return the machines to empty for their upkeep, though the pool needs them.
+        """Return the machines that a pool should vacate for upkeep, although it needs them.
 
-        One at a time where others can replace it; what would be late otherwise, as
-        many as may be down at once, shared out among the pools.
+        Normally that is one machine at a time, if others can replace it.  For waves that are
+        short of time it is as many as may be down at once, divided among the pools.
         """
         due = [host for host in pool.hosts if host.is_usable and host.machine in pending]
         due.sort(key=lambda host: _get_leaving_order(host, pending))
         unsettled = frozenset().union(*(wave.unsettled for wave in view.waves))
         if chosen := frozenset(host.machine for host in due if host.machine in unsettled):
-            # Each takes a place in its wave until it is ordered.
+            # Each of them occupies a slot of its wave until it is ordered again.
             return chosen
         started_count = len(vacating & pending)
         urgent_waves = [wave for wave in view.waves if _is_short_of_time(wave)]
@@ -181,11 +193,11 @@
         slots: UpkeepSlots,
         shortages: Counter[str],
     ) -> list[MoveOrder | UpkeepOrder]:
-        """Order the machines that have been emptied: to another pool, the reserve, or upkeep.
+        """Return orders for vacated machines: a move to another pool or the reserve, or upkeep.
 
-        Where the pool can do without a machine its upkeep is done in the reserve,
-        which costs nothing.  ``shortages`` counts the machines that each pool lacks, down with
-        each order.
+        If the pool can spare a machine that is due, its upkeep is done in the reserve, which
+        costs nothing.  ``shortages`` is the number of machines that each pool lacks; each order
+        lowers it.
         """
         orders: list[MoveOrder | UpkeepOrder] = []
         for pool in view.pools:
@@ -207,7 +219,10 @@
         return orders
 
     def _choose_target(self, view: FleetView, pool: PoolView, shortages: Counter[str]) -> str:
-        """Return where a machine goes that a pool has emptied: where most are lacking."""
+        """Return the pool that a vacated machine moves to: the one that lacks the most machines.
+
+        That is the reserve if no pool lacks machines, or if machines do not move directly.
+        """
         others = Counter(
             {name: shortage for name, shortage in shortages.items() if name != pool.name}
         )
@@ -228,7 +243,7 @@
 
 
 def _order_upkeep(view: FleetView, reserve: Reserve, slots: UpkeepSlots) -> Iterable[UpkeepOrder]:
-    """Order the reserve's machines that are due, those first that may have begun."""
+    """Order upkeep for the reserve's machines that are due, unsettled ones first."""
     for wave in view.waves:
         for due in (wave.unsettled, wave.pending - wave.unsettled):
             for machine in reserve.take_due(due, slots.allocate):
@@ -244,9 +259,9 @@
 
 
 def _count_awaited(view: FleetView, pool: PoolView) -> int:
-    """Return how many hosts need no replacement, though their pool has not heard them yet.
+    """Return how many hosts are expected to respond soon, and so need no replacement.
 
-    None is let go on their account before they are heard.
+    They do not count as serving, so the pool releases no host because of them before they respond.
     """
     return sum(
         host.is_awaited
@@ -259,7 +274,7 @@
 def _count_missing(
     view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], capacity: Resources
 ) -> int:
-    """Return how many hosts a pool lacks that any machine of ``room`` could be."""
+    """Return how many hosts a pool lacks that any machine of a ``capacity`` could provide."""
     shortages = list_unmet_shortages(pool.report.shortages, pool.arriving)
     missing = sum(
         shortage.count
@@ -271,7 +286,7 @@
 
 
 def _count_all(view: FleetView) -> int:
-    """Return how many hosts the pools could have together."""
+    """Return how many hosts all pools could have together, with the free ones of the reserve."""
     serving = sum(_count_serving(pool, frozenset(), view.leaving) for pool in view.pools)
     awaited = sum(_count_awaited(view, pool) for pool in view.pools)
     return serving + awaited + _count_free(view)
@@ -282,7 +297,7 @@
 
 
 def _get_leaving_order(host: HostStatus, pending: frozenset[str]) -> tuple[bool, int, int, str]:
-    """Order hosts to leave: due for upkeep, nothing lasting, little that runs."""
+    """Return a sort key for hosts to release: due for upkeep, few lasting tasks, few runs first."""
     return (host.machine not in pending, host.lasting_count, host.run_count, host.machine)
 
 
--- a/src/robinthread/_internal/fleet/pool_report.py
+++ b/src/robinthread/_internal/fleet/pool_report.py
@@ -1,4 +1,4 @@
-"""What a pool's owner tells the steward."""
+"""Messages between the steward and the owners of pools: report requests and pool reports."""
 
 import msgspec
 
@@ -10,10 +10,11 @@
 
 
 class FleetReportRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a pool's owner how it stands; it is to empty the machines in ``vacate``.
+    """Requests the status of a pool from its owner, with instructions to the owner.
 
-    The hosts in ``ended`` have surely ended.  ``shares`` are those of workspaces' limits that it
-    may give out; none where no workspace has a limit.
+    The owner vacates the machines in ``vacate``.  ``expects_hosts`` announces a machine that is
+    about to come up in the pool.  The hosts in ``ended`` have certainly ended.  ``shares`` are
+    the pool's shares of workspaces' limits, None if no workspace has a limit.
     """
 
     pool: str
@@ -24,14 +25,13 @@
 
 
 class HostStatus(msgspec.Struct, frozen=True, array_like=True):
-    """One host of a pool.
-
-    ``is_usable`` tells whether it answers and takes work, or would if it were
-    not to be emptied.  ``is_vacating`` confirms that it gets no new work.
-    ``is_needed`` tells that tasks wait for it which do not fit on every host.
-    ``is_awaited`` tells that its owner has not heard it yet, and expects to.
-    ``host_started_at_ms``
-    tells which life of the host it is, where that is known.
+    """The status of one host of a pool.
+
+    ``is_usable``: it responds and accepts work, or would if it were not being vacated.
+    ``is_vacating``: confirms that it gets no new work.
+    ``is_needed``: tasks that do not fit on every host wait for it.
+    ``is_awaited``: it has not responded to its owner yet, and is expected to.
+    ``host_started_at_ms``: the start time of this incarnation of the host, None if unknown.
     """
 
     machine: str
@@ -46,10 +46,10 @@
 
 
 class ShortageReport(msgspec.Struct, frozen=True, array_like=True):
-    """Hosts that a pool lacks for tasks that fit on none that it has.
+    """Hosts that a pool lacks for tasks that fit on none of its hosts.
 
-    They need at least ``resources`` and, unless it is "", the label.  ``is_lasting`` tells
-    whether the tasks last or end.
+    Each needs at least ``resources`` and, unless it is "", the label.  ``is_lasting`` tells
+    whether the tasks are lasting.
     """
 
     count: int
@@ -59,14 +59,15 @@
 
 
 class PoolReport(msgspec.Struct, frozen=True, array_like=True):
-    """How a pool stands: the room to fetch and to keep hosts for, and its hosts.
-
-    Rooms are thousandths of a core, MB and accelerators.  ``hosts_min`` hosts are
-    needed for tasks that may not share one.  ``lasting_resources`` is the part of the room that
-    lasting tasks take.  ``separate_host_count`` hosts that carry none are needed by tasks that end.
-    ``urgent_resources`` is the room to keep without jobs that can no longer be on time; an older
-    process does not tell.  ``share_state`` are the shares in force once the question was taken
-    in, and ``workspaces`` those whose use the steward must know.
+    """The status report of a pool: the resources that it needs, and its hosts.
+
+    Resources are thousandths of a core, MB and accelerators.  ``fetch_resources`` are those to
+    fetch hosts for, and ``keep_resources`` those to keep hosts for.  ``urgent_resources`` are the
+    latter without jobs that can no longer be on time, None from a process of an older version.
+    ``lasting_resources`` is the part that lasting tasks use.  At least ``hosts_min`` hosts are
+    needed for tasks that may not share a host.  ``separate_host_count`` hosts without lasting
+    tasks are needed by tasks that end.  ``share_state`` are the shares in force after the request
+    was processed, and ``workspaces`` the usage of those that the steward must know about.
     """
 
     is_owner: bool
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -1,4 +1,4 @@
-"""The machines of the reserve that are still free in a plan."""
+"""The machines of the reserve that a plan may still order."""
 
 from collections.abc import Callable, Iterable
 from itertools import islice
@@ -12,7 +12,10 @@
 
 
 class Reserve:
-    """The free machines, those last whose hall is silent or that are due."""
+    """The free machines in order of preference.
+
+    Machines of silent halls come last, and before these the machines that are due for upkeep.
+    """
 
     def __init__(self, view: FleetView, pending: frozenset[str]) -> None:
         free = [machine for machine in view.reserve if machine.name not in view.ordered]
@@ -26,15 +29,15 @@
         )
 
     def take(self, count: int) -> list[str]:
-        """Take up to ``count`` machines."""
+        """Remove up to ``count`` machines from the reserve and return their names."""
         return self._take(lambda machine: True, count)
 
     def take_due(self, due: frozenset[str], allocate_slot: Callable[[str], bool]) -> list[str]:
-        """Take those of the machines in ``due`` for which ``allocate_slot`` finds a place."""
+        """Take the machines in ``due`` for which ``allocate_slot`` returns True."""
         return self._take(lambda machine: machine.name in due and allocate_slot(machine.name))
 
     def take_for(self, shortages: Iterable[ShortageReport]) -> list[str]:
-        """Take machines that have what a pool lacks, as far as there are any."""
+        """Take machines that cover a pool's shortages, as far as the reserve has any."""
         taken: list[str] = []
         for shortage in shortages:
             taken += self._take(
@@ -53,9 +56,10 @@
 def list_unmet_shortages(
     shortages: Iterable[ShortageReport], arriving: Iterable[Machine]
 ) -> tuple[ShortageReport, ...]:
-    """Return what a pool lacks beside the machines that arrive.
+    """Return a pool's shortages that its arriving machines do not cover.
 
-    Each counts for one host of one lack; what fewest of them supply is served first.
+    Each machine counts for one host of one shortage.  Shortages that the fewest machines cover
+    are assigned first.
     """
     unassigned = list(arriving)
     unmet: list[ShortageReport] = []
@@ -71,6 +75,6 @@
 
 
 def covers(machine: Machine, shortage: ShortageReport) -> bool:
-    """Tell whether a machine has the room and the label that a pool lacks."""
+    """Tell whether a machine has the capacity and the label that a pool lacks."""
     has_label = not shortage.label or shortage.label in (machine.kind, machine.rack)
     return has_label and Resources(*shortage.resources).fits_in(machine.capacity)
--- a/src/robinthread/_internal/fleet/share_allocation.py
+++ b/src/robinthread/_internal/fleet/share_allocation.py
@@ -1,9 +1,10 @@
-"""Dealing out the limits of workspaces over pools.
+"""Allocation of workspaces' limits to pools.
 
-Answers a limit that binds the sum over pools whose owners are at different nodes: each may let
-a workspace take a share of its limit, and the shares of all pools, or what is taken beyond
-them, never come to more than the limit.  Load moves between pools within a second, so shares
-follow it; a part of each is never lent, so that a pool's first jobs begin without asking.
+A limit applies to the sum over all pools, but the owners of the pools are on different nodes.
+Each owner may let a workspace use a share of its limit, and the shares of all pools, or the
+usage where it is larger, never add up to more than the limit.  Load moves between pools within a
+second, so the shares follow it.  A part of each share is reserved for its pool and never lent to
+another one, so that a pool's first jobs start without a request to the steward.
 """
 
 from collections.abc import Mapping
@@ -12,16 +13,18 @@
 
 from robinthread._internal.models.fleet_config import FleetConfig
 
-# Halvings of the level to which shares are filled: finer than a task's part of any limit.
+# Bisection steps for the common level of shares.  The result is more precise than the fraction of
+# any limit that a single task uses.
 LEVEL_STEPS: Final = 24
 
 
 @dataclass(frozen=True, slots=True)
 class PoolUsage:
-    """A workspace in one pool, in shares of its limit.
+    """A workspace's usage in one pool, as fractions of its limit.
 
-    ``bound`` is the most that the pool may let it take by what it was told.  ``held_back`` is
-    what the most urgent start takes that waits for a larger share, 0 where none does.
+    ``used`` is the usage of its runs, and ``waiting`` that of its waiting tasks if they ran.
+    ``held_back`` is that of its most urgent task that waits for a larger share, 0 for none.
+    ``bound`` is the largest share that the pool's owner may act on, from its orders so far.
     """
 
     used: float
@@ -31,24 +34,25 @@
 
     @property
     def held(self) -> float:
-        """Return what the pool may hold of the limit now."""
+        """Return the largest fraction of the limit that may be in use in the pool now."""
         return max(self.used, self.bound)
 
 
 def get_reserved_share(kept_share: float, config: FleetConfig) -> float:
-    """Return the share of each limit that every pool keeps: that part is never lent."""
+    """Return the share of each limit that is reserved for every pool and never lent to others."""
     return kept_share / max(1, len(config.list_working_pools()))
 
 
 def allocate_shares(
     usages: Mapping[str, PoolUsage], available: float, reserved: float
 ) -> dict[str, float]:
-    """Return the share that each pool should have, of ``available`` in all.
+    """Return the target share of each pool, of ``available`` in total.
 
-    Pools get what they take and want, up to a common level, and ``reserved`` at least where that
-    level allows; what is left over is dealt out evenly, to pools that want more if there are
-    any.  A share below what a pool takes stops its starts.  Where none wants more than an even
-    share, each has that.
+    If no pool needs more than an even share, each gets an even share.  Otherwise a pool gets the
+    sum of its used and waiting fractions, at least ``reserved``, up to a level that is common to
+    all pools.  The rest is split evenly among the pools with a held-back task, or among all if
+    there are none; pools that use more than their share get nothing of it.  A pool whose share is
+    below its usage starts nothing.
     """
     even = available / len(usages)
     if all(usage.used + usage.waiting <= even and not usage.held_back for usage in usages.values()):
@@ -72,9 +76,10 @@
 def find_next_shares(
     usages: Mapping[str, PoolUsage], targets: Mapping[str, float], available: float
 ) -> dict[str, float]:
-    """Return what each pool may be told now: shares rise only by what no pool may hold any more.
+    """Return the shares to send to the pools now, on the way to ``targets``.
 
-    A pool that is to have less holds on to it until it has confirmed that it heard so.
+    A share rises only by what no pool may hold any more.  A pool whose share is lowered may hold
+    the old share until it has confirmed the new one.
     """
     free = available - sum(usage.held for usage in usages.values())
     next_shares: dict[str, float] = {}
@@ -91,7 +96,10 @@
 def _find_level(
     usages: Mapping[str, PoolUsage], wanted: Mapping[str, float], available: float
 ) -> float:
-    """Return the highest level up to which all wants can be met."""
+    """Return the highest level at which the wanted shares, capped at it, fit in ``available``.
+
+    A pool that uses more than that counts with its usage.
+    """
 
     def fits(level: float) -> bool:
         held = (max(usage.used, min(wanted[pool], level)) for pool, usage in usages.items())
@@ -109,10 +117,11 @@
 def _allow_one_start(
     usages: Mapping[str, PoolUsage], shares: dict[str, float], available: float, reserved: float
 ) -> dict[str, float]:
-    """Let a pool in which nothing runs begin one task where its share lets none begin.
+    """Raise the share of a pool without runs if it is too small to start a single task.
 
-    A limit of a few tasks' size, split evenly, leaves each pool less than one task takes.  Even
-    what is never lent goes to such a task where it is as large as nearly all of the limit.
+    If the limit is the size of a few tasks, an even split leaves each pool less than one task
+    needs.  The shares of the other pools are lowered to their usage or the reserved share.  For a
+    task of nearly the size of the limit, the reserved shares are used as well.
     """
     starving = [
         pool
--- a/src/robinthread/_internal/fleet/silent_halls.py
+++ b/src/robinthread/_internal/fleet/silent_halls.py
@@ -1,4 +1,4 @@
-"""Which data halls seem to be cut off."""
+"""Detection of data halls that seem to be cut off."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -7,7 +7,7 @@
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.models.machine import Machine
 
-# So many hosts of a hall must be out of reach, and more than answer.
+# A hall is silent if at least this many of its hosts, and more than are usable, are unreachable.
 SILENT_HOSTS_MIN: Final = 2
 
 
@@ -16,7 +16,7 @@
 ) -> frozenset[str]:
     """Return the halls most of whose hosts cannot be used by the owners of their pools.
 
-    A host that is still awaited tells nothing of its hall.
+    Hosts whose first response is still expected do not count.
     """
     silent: Counter[str] = Counter()
     usable: Counter[str] = Counter()
--- a/src/robinthread/_internal/fleet/sizing.py
+++ b/src/robinthread/_internal/fleet/sizing.py
@@ -1,4 +1,4 @@
-"""How many hosts a pool needs."""
+"""Calculation of the number of hosts that a pool needs."""
 
 import math
 from dataclasses import dataclass
@@ -7,18 +7,18 @@
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.models.resources import Resources
 
-# Share of a host's room that tasks of mixed sizes fill in practice.
+# Share of a host's capacity that tasks of mixed sizes fill in practice.
 FILL_SHARE: Final = 1.0
-# Hosts of a pool that has nothing to do: one may fail, and the next job should not
-# wait for a move.
+# The minimum number of hosts of a pool, even without work: one host may fail, and the next job
+# should not wait until a machine has moved to the pool.
 HOSTS_MIN: Final = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PoolSize:
-    """Hosts below which a pool fetches more, and above which it lets some go.
+    """The number of hosts below which a pool fetches more, and above which it releases some.
 
-    ``shortage_count`` hosts are to come in any case, for tasks that fit on none that is there.
+    ``shortage_count`` hosts are fetched in any case, for tasks that fit on none of its hosts.
     """
 
     fetch_count: int
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostTiers:
-    """Hosts that a pool needs, each count within the next one.
+    """The number of hosts that a pool needs by tier; each tier includes the previous one.
 
-    ``minimum_count`` for what lasts, ``urgent_count`` with jobs that can be on time, and
-    ``wanted_count`` with all others.
+    ``minimum_count`` is for lasting tasks, ``urgent_count`` adds jobs that can be on time, and
+    ``wanted_count`` adds all other jobs.
     """
 
     minimum_count: int
@@ -40,11 +40,11 @@
 
 
 def get_pool_size(report: PoolReport, capacity: Resources) -> PoolSize:
-    """Return how many hosts of ``capacity`` a pool needs.
+    """Return how many hosts of a ``capacity`` a pool needs.
 
-    Room in sum is not room on a host: the hosts that tasks need which do not fit beside
-    lasting ones are kept on top of those that the lasting ones need, and what carries
-    lasting tasks is kept while hosts are missing for more of these.
+    The sum of resources is not enough, since each task must fit on one host.  Hosts for tasks
+    that do not fit beside lasting tasks are kept in addition to the hosts for the lasting tasks.
+    Hosts that run lasting tasks are kept while the pool lacks hosts for more lasting tasks.
     """
     fetch_count = max(report.hosts_min, _count_hosts(report.fetch_resources, capacity))
     keep_count = max(
@@ -57,7 +57,7 @@
 
 
 def get_host_tiers(report: PoolReport, size: PoolSize, capacity: Resources) -> HostTiers:
-    """Return how many hosts of ``capacity`` a pool of such a size needs, by what for."""
+    """Return how many hosts of a ``capacity`` a pool of the given size needs, by tier."""
     urgent_resources = (
         report.keep_resources if report.urgent_resources is None else report.urgent_resources
     )
@@ -71,7 +71,7 @@
 
 
 def _count_minimum(report: PoolReport, capacity: Resources) -> int:
-    """Return how many hosts a pool needs for its lasting tasks."""
+    """Return how many hosts a pool needs for its lasting tasks, at least ``HOSTS_MIN``."""
     carrying_count = sum(
         host.is_usable and not host.is_vacating and host.lasting_count > 0 for host in report.hosts
     )
@@ -81,7 +81,7 @@
 
 
 def _count_lasting_and_separate(report: PoolReport, capacity: Resources) -> int:
-    """Return how many hosts are needed for lasting tasks, and beside these for wide ones."""
+    """Return how many hosts lasting tasks need, plus hosts for tasks that need separate ones."""
     shortage_count = sum(shortage.count for shortage in report.shortages)
     separate_host_count = (
         report.separate_host_count + shortage_count - _count_lasting_shortage(report)
--- a/src/robinthread/_internal/fleet/upkeep_slots.py
+++ b/src/robinthread/_internal/fleet/upkeep_slots.py
@@ -1,4 +1,4 @@
-"""The places that maintenance waves have for upkeep within one plan."""
+"""Allocation of the upkeep slots of maintenance waves within one plan."""
 
 from collections.abc import Sequence
 
@@ -6,12 +6,12 @@
 
 
 class UpkeepSlots:
-    """Gives each place away once, whoever asks: the reserve, pools, or another wave.
+    """Allocates each slot once, among the reserve, the pools and all waves.
 
-    The load that this answers: waves that are short of time, which take machines from pools and
-    the reserve in one look at the fleet.  Where both were given all free places, one look
-    began 7 where 4 may be down.  A machine takes a place in every wave that it is in, for none
-    of these may have more down than its bound, whatever the upkeep is for.
+    Waves that are short of time take machines from pools and from the reserve in the same plan.
+    When each of the two could use all free slots, one plan started the upkeep of 7 machines
+    where 4 may be down.  A machine takes a slot in every wave that contains it, since no wave may
+    have more machines down than its bound, even if the upkeep is for another wave.
     """
 
     def __init__(self, waves: Sequence[WaveView]) -> None:
@@ -20,9 +20,10 @@
         self._counted = {wave.number: set(wave.down | wave.unsettled) for wave in waves}
 
     def allocate(self, machine: str) -> bool:
-        """Take the places for a machine's upkeep; return False, and take none, where one lacks.
+        """Allocate the slots for a machine's upkeep in all of its waves, or none; tell whether.
 
-        What may have begun already is counted, and takes the place of its own order.
+        A machine whose upkeep may have started already is counted, and its order takes the slot
+        that is counted for it.
         """
         waves = [wave for wave in self._waves if machine in wave.machines]
         if not all(self._has_slot(wave, machine) for wave in waves):
