--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -35,8 +35,8 @@
 # A pool releases hosts after it has had spare ones for this time.  A move costs about as much as
 # 1.1 s of a host; fetching the host again costs a second move and 1.5 s of waiting.
 SURPLUS_HOLD_S: Final = 0.4
-# Time to vacate a machine and do its upkeep.  A wave that has less time left than all its rounds
-# of upkeep and one more take is short of time.
+# Time to vacate a machine and do its upkeep near the end of a wave.  A wave is short of time if
+# less is left than for all its remaining rounds of upkeep and one more.
 UPKEEP_ROUND_S: Final = 6.0
 
 
@@ -196,8 +196,8 @@
         """Return orders for vacated machines: a move to another pool or the reserve, or upkeep.
 
         If the pool can spare a machine that is due, its upkeep is done in the reserve, which
-        costs nothing.  ``shortages`` is the number of machines that each pool lacks; each order
-        lowers it.
+        costs nothing.  ``shortages`` is the number of machines that each pool lacks; each direct
+        move to a pool lowers it.
         """
         orders: list[MoveOrder | UpkeepOrder] = []
         for pool in view.pools:
