--- a/tests/unit/test_capacity_reservation.py
+++ b/tests/unit/test_capacity_reservation.py
@@ -19,7 +19,7 @@
 PLAIN = StepSpec(2, cpu_millicores=2_000)
 
 
-class KeptHostTest(TestCase):
+class ReservedHostTest(TestCase):
     def setUp(self) -> None:
         """Have a task that ends keep a lasting one off the only host."""
         super().setUp()
@@ -45,8 +45,8 @@
         self.assertEqual(3, place_waiting(self.pool, 0.0, 0))
         self.assertEqual(1, len(list(self.lasting.iter_running())))
 
-    def test_gang_does_not_go_there(self) -> None:
+    def test_gang_is_not_placed_on_a_reserved_host(self) -> None:
         self._check(GANG)
 
-    def test_plain_tasks_do_not_go_there(self) -> None:
+    def test_other_tasks_are_not_placed_on_a_reserved_host(self) -> None:
         self._check(PLAIN)
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -13,7 +13,7 @@
 LEAD_S = 1.8
 
 
-def read_late_cores(policy: DemandPolicy, waited_ms: int) -> float:
+def forecast_cores(policy: DemandPolicy, waited_ms: int) -> float:
     """Return for how many cores hosts are asked while one job has waited so long."""
     jobs = PoolJobs()
     spec = JobSpec("0" * 16, "queue", "pool", "", (STEP,), accepted_at_ms=1_000)
@@ -24,9 +24,9 @@
 
 
 class LateJobsTest(TestCase):
-    def test_job_in_time_counts_whole(self) -> None:
-        self.assertEqual(2.0, read_late_cores(DemandPolicy(late_share=0.25), 0))
+    def test_job_on_time_counts_in_full(self) -> None:
+        self.assertEqual(2.0, forecast_cores(DemandPolicy(late_share=0.25), 0))
 
-    def test_late_job_counts_by_its_share(self) -> None:
-        self.assertEqual(0.5, read_late_cores(DemandPolicy(late_share=0.25), 5_000))
-        self.assertEqual(2.0, read_late_cores(DemandPolicy(late_share=1.0), 5_000))
+    def test_late_job_counts_with_the_late_share(self) -> None:
+        self.assertEqual(0.5, forecast_cores(DemandPolicy(late_share=0.25), 5_000))
+        self.assertEqual(2.0, forecast_cores(DemandPolicy(late_share=1.0), 5_000))
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -48,20 +48,20 @@
     host.record_draining(2.0, now_s)
 
 
-class LastingTest(TestCase):
-    def test_tasks_leave_one_after_the_other(self) -> None:
+class LastingTasksTest(TestCase):
+    def test_tasks_are_stopped_one_after_the_other(self) -> None:
         pool = make_pool(LASTING, hosts=4, used_hosts=3)
         pool.hosts["h0"].vacating_until_s = 10.0
         self.assertEqual(1, len(evacuate(pool, now_s=1.0)))
         self.assertEqual(0, len(evacuate(pool, now_s=1.1)))
 
-    def test_tasks_on_a_silent_host_count_as_away(self) -> None:
+    def test_tasks_on_a_silent_host_count_as_not_running(self) -> None:
         pool = make_pool(LASTING, hosts=4, used_hosts=3)
         pool.hosts["h0"].vacating_until_s = 10.0
         pool.hosts["h1"].contact = HostContact.SILENT
         self.assertEqual([], evacuate(pool, now_s=1.0))
 
-    def test_tasks_that_an_earlier_owner_may_have_stopped_count_as_away(self) -> None:
+    def test_tasks_that_an_earlier_owner_may_have_stopped_count_as_not_running(self) -> None:
         pool = make_pool(LASTING, hosts=4, used_hosts=3)
         pool.hosts["h0"].vacating_until_s = 10.0
         pool.hosts["h1"].foreign_stops_over_at_s = 2.0
@@ -76,7 +76,7 @@
         2, cpu_millicores=1000, is_lasting=True, not_running_max=1, has_not_running_limit=True
     )
 
-    def test_sound_host_keeps_its_task_while_another_leaves_a_draining_one(self) -> None:
+    def test_task_stays_on_its_host_while_another_leaves_a_draining_host(self) -> None:
         for draining, vacating in (("h0", "h1"), ("h1", "h0")):
             pool = make_pool(self.STEP, hosts=4, used_hosts=2)
             drain(pool.hosts[draining], 4_000, now_s=0.0)
@@ -84,7 +84,7 @@
             self.assertEqual([draining], [run.host_id for run in evacuate(pool, now_s=1.0)])
             self.assertEqual([], evacuate(pool, now_s=1.1))
 
-    def test_task_leaves_a_draining_host_once_another_has_ended_on_a_sound_one(self) -> None:
+    def test_task_leaves_a_draining_host_after_another_has_ended(self) -> None:
         pool = make_pool(self.STEP, hosts=4, used_hosts=2)
         pool.hosts["h0"].vacating_until_s = 10.0
         (run,) = evacuate(pool, now_s=1.0)
@@ -93,7 +93,7 @@
         pool.end_run(run, RunEnd.STOPPED, "", 0)
         self.assertEqual(["h1"], [left.host_id for left in evacuate(pool, now_s=1.3)])
 
-    def test_it_waits_no_longer_than_its_host_may_stay(self) -> None:
+    def test_task_is_stopped_before_its_host_may_leave(self) -> None:
         pool = make_pool(self.STEP, hosts=4, used_hosts=2)
         pool.hosts["h0"].vacating_until_s = 10.0
         evacuate(pool, now_s=1.0)
@@ -104,25 +104,25 @@
 class DrainingTest(TestCase):
     STEP = StepSpec(2, cpu_millicores=1000, estimate_ms=10_000, keeps_checkpoints=True)
 
-    def test_task_that_would_not_end_in_time_leaves_late_with_its_checkpoint(self) -> None:
+    def test_task_that_would_not_end_in_time_is_stopped_late_with_its_checkpoint(self) -> None:
         pool = make_pool(self.STEP, hosts=2, used_hosts=1)
         drain(pool.hosts["h0"], 4_000, now_s=0.0)
         self.assertEqual([], evacuate(pool, now_s=2.0))
         self.assertEqual(2, len(evacuate(pool, now_s=3.5)))
 
-    def test_task_about_to_end_is_left_alone(self) -> None:
+    def test_task_about_to_end_is_not_stopped(self) -> None:
         pool = make_pool(self.STEP, hosts=2, used_hosts=1)
         drain(pool.hosts["h0"], 4_000, now_s=0.0)
         for run in pool.hosts["h0"].runs.values():
             run.progress_percent = 99
         self.assertEqual([], evacuate(pool, now_s=3.5))
 
-    def test_task_stays_where_no_other_host_has_room(self) -> None:
+    def test_task_is_not_stopped_if_no_other_host_has_capacity(self) -> None:
         pool = make_pool(self.STEP, hosts=1, used_hosts=1)
         drain(pool.hosts["h0"], 4_000, now_s=0.0)
         self.assertEqual([], evacuate(pool, now_s=3.5))
 
-    def test_work_that_cannot_be_kept_is_not_stopped(self) -> None:
+    def test_task_without_checkpoints_is_not_stopped(self) -> None:
         step = StepSpec(2, cpu_millicores=1000, estimate_ms=10_000)
         pool = make_pool(step, hosts=2, used_hosts=1)
         drain(pool.hosts["h0"], 4_000, now_s=0.0)
--- a/tests/unit/test_gang_placement.py
+++ b/tests/unit/test_gang_placement.py
@@ -27,30 +27,30 @@
 
 
 class GangPlacementTest(TestCase):
-    def test_one_rack_is_taken_where_it_has_the_room(self) -> None:
+    def test_one_rack_is_used_if_it_has_the_capacity(self) -> None:
         step = StepSpec(4, cpu_millicores=6000, is_gang=True, wants_one_rack=True)
         self.assertEqual(["r0"] * 4, choose(step))
 
-    def test_rack_with_the_data_goes_first(self) -> None:
+    def test_rack_with_the_data_is_preferred(self) -> None:
         step = StepSpec(4, cpu_millicores=6000, is_gang=True, wants_one_rack=True, near_rack="r1")
         self.assertEqual(["r1"] * 4, choose(step))
 
-    def test_several_racks_are_taken_where_no_one_has_the_room(self) -> None:
+    def test_several_racks_are_used_if_none_has_the_capacity(self) -> None:
         step = StepSpec(6, cpu_millicores=6000, is_gang=True, wants_one_rack=True)
         racks = choose(step)
         assert racks is not None
         self.assertEqual({"r0", "r1"}, set(racks))
 
-    def test_gang_without_room_for_all_gets_nothing(self) -> None:
+    def test_gang_gets_no_hosts_unless_all_members_fit(self) -> None:
         self.assertIsNone(choose(StepSpec(9, cpu_millicores=6000, is_gang=True)))
 
-    def test_hosts_carry_no_more_than_is_allowed(self) -> None:
+    def test_limit_of_tasks_per_host_is_respected(self) -> None:
         step = StepSpec(4, cpu_millicores=1000, is_gang=True, per_host_max=1)
         racks = choose(step)
         assert racks is not None
         self.assertEqual(["r0", "r0", "r1", "r1"], sorted(racks))
         self.assertIsNone(choose(step, host_count=3))
 
-    def test_label_is_asked_for(self) -> None:
+    def test_required_label_is_respected(self) -> None:
         step = StepSpec(4, cpu_millicores=6000, is_gang=True, required_label="r1")
         self.assertEqual(["r1"] * 4, choose(step))
--- a/tests/unit/test_host_requirements.py
+++ b/tests/unit/test_host_requirements.py
@@ -40,7 +40,7 @@
     place_waiting(pool, 0.0, 0)
 
 
-def read(pool: PoolJobs) -> Demand:
+def forecast(pool: PoolJobs) -> Demand:
     """Return what the pool's tasks need now."""
     return DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
 
@@ -50,45 +50,45 @@
     pool.hosts[host_id].vacating_until_s = 10.0
 
 
-class CalmPoolTest(TestCase):
-    def test_nothing_is_needed_where_nothing_waits(self) -> None:
+class FittingTasksTest(TestCase):
+    def test_no_host_is_needed_without_waiting_tasks(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
-        self.assertEqual(HostRequirements(), read(pool).host_requirements)
+        self.assertEqual(HostRequirements(), forecast(pool).host_requirements)
 
-    def test_tasks_that_fit_on_each_host_are_left_to_the_sum(self) -> None:
+    def test_tasks_that_fit_on_every_host_need_no_particular_host(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, StepSpec(400, cpu_millicores=10_000, estimate_ms=1_000))
         self.assertEqual(397, len(pool.waiting))
-        self.assertEqual(HostRequirements(), read(pool).host_requirements)
+        self.assertEqual(HostRequirements(), forecast(pool).host_requirements)
 
-    def test_copies_ask_for_no_host(self) -> None:
+    def test_copies_need_no_host(self) -> None:
         pool = make_pool(1)
         add_job(pool, StepSpec(1, cpu_millicores=1_000, allows_copies=True, per_host_max=1))
         (task,) = next(iter(pool.jobs.values())).tasks.values()
         pool.request_copy(task)
         self.assertEqual(1, len(pool.waiting))
-        self.assertEqual(HostRequirements(), read(pool).host_requirements)
+        self.assertEqual(HostRequirements(), forecast(pool).host_requirements)
 
 
 class WideTaskTest(TestCase):
-    def test_hosts_are_missing_for_what_fits_beside_no_lasting_task(self) -> None:
+    def test_hosts_are_missing_for_tasks_that_fit_beside_no_lasting_task(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, WIDE)
         # Four tasks of a second, to begin within two: two at a time.
         missing = MissingHosts(2, Resources(13_000, 1_000), "", False)
-        self.assertEqual(HostRequirements(missing=(missing,)), read(pool).host_requirements)
+        self.assertEqual(HostRequirements(missing=(missing,)), forecast(pool).host_requirements)
 
-    def test_a_late_job_asks_for_one_host_at_least(self) -> None:
+    def test_late_job_needs_at_least_one_host(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, WIDE, accepted_at_ms=-60_000)
-        (missing,) = read(pool).host_requirements.missing
+        (missing,) = forecast(pool).host_requirements.missing
         self.assertEqual(1, missing.count)
 
-    def test_host_that_is_full_for_a_while_is_room(self) -> None:
+    def test_host_that_is_full_with_tasks_that_end_counts(self) -> None:
         pool = make_pool(4)
         add_job(pool, LASTING)
         add_job(pool, WIDE)
@@ -97,83 +97,85 @@
         # Three are left, of which one and a half should run at a time.
         missing = MissingHosts(1, Resources(13_000, 1_000), "", False)
         self.assertEqual(
-            HostRequirements(frozenset({bare.id}), 1, (missing,)), read(pool).host_requirements
+            HostRequirements(frozenset({bare.id}), 1, (missing,)), forecast(pool).host_requirements
         )
 
-    def test_host_that_is_being_emptied_is_needed_only_where_no_other_fits(self) -> None:
+    def test_vacating_host_is_needed_only_if_no_other_fits(self) -> None:
         pool = make_pool(5)
         add_job(pool, LASTING)
         bare = sorted(host.id for host in pool.hosts.values() if not host.lasting_count)
         for host_id in bare:
             vacate(pool, host_id)
         add_job(pool, StepSpec(1, cpu_millicores=13_000, estimate_ms=1_000))
-        need = read(pool).host_requirements
-        self.assertEqual(1, len(need.host_ids & set(bare)))
-        self.assertEqual((), need.missing)
+        requirements = forecast(pool).host_requirements
+        self.assertEqual(1, len(requirements.host_ids & set(bare)))
+        self.assertEqual((), requirements.missing)
         pool.hosts[bare[0]].vacating_until_s = 0.0
-        self.assertEqual(frozenset({bare[0]}), read(pool).host_requirements.host_ids)
+        self.assertEqual(frozenset({bare[0]}), forecast(pool).host_requirements.host_ids)
 
-    def test_lasting_tasks_each_take_their_room(self) -> None:
+    def test_each_lasting_task_uses_its_own_resources(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         wide = StepSpec(3, cpu_millicores=1_000, memory_mb=20_000, is_lasting=True)
         add_job(pool, wide, wide, wide)
         # Three found room beside the others; each of the rest fills a host.
-        (missing,) = read(pool).host_requirements.missing
+        (missing,) = forecast(pool).host_requirements.missing
         self.assertEqual(6, missing.count)
 
     def test_gang_needs_all_its_hosts_at_once(self) -> None:
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, StepSpec(4, cpu_millicores=13_000, estimate_ms=500, is_gang=True))
-        (missing,) = read(pool).host_requirements.missing
+        (missing,) = forecast(pool).host_requirements.missing
         self.assertEqual(4, missing.count)
 
 
-class KeptOffTest(TestCase):
-    def test_host_that_carries_as_many_as_it_may_is_no_room(self) -> None:
+class RestrictedTasksTest(TestCase):
+    def test_host_at_its_limit_of_tasks_does_not_count(self) -> None:
         pool = make_pool(2)
         add_job(
             pool, StepSpec(3, cpu_millicores=1_000, memory_mb=1, is_lasting=True, per_host_max=1)
         )
         self.assertEqual(
-            (MissingHosts(1, Resources(1_000, 1), "", True),), read(pool).host_requirements.missing
+            (MissingHosts(1, Resources(1_000, 1), "", True),),
+            forecast(pool).host_requirements.missing,
         )
 
-    def test_host_without_the_label_is_no_room(self) -> None:
+    def test_host_without_the_label_does_not_count(self) -> None:
         pool = make_pool(2)
         lasting = StepSpec(1, cpu_millicores=10_000, is_lasting=True, required_label="r1")
         add_job(pool, lasting)
         add_job(pool, StepSpec(1, cpu_millicores=8_000, required_label="r1"))
         self.assertEqual(
-            (MissingHosts(1, Resources(8_000), "r1", False),), read(pool).host_requirements.missing
+            (MissingHosts(1, Resources(8_000), "r1", False),),
+            forecast(pool).host_requirements.missing,
         )
-        self.assertEqual(frozenset(), read(pool).host_requirements.host_ids)
+        self.assertEqual(frozenset(), forecast(pool).host_requirements.host_ids)
 
     def test_host_that_has_the_label_is_needed(self) -> None:
         pool = make_pool(2)
         add_job(pool, StepSpec(20, cpu_millicores=16_000, required_label="r1", estimate_ms=1_000))
-        self.assertEqual(frozenset({"h1"}), read(pool).host_requirements.host_ids)
+        self.assertEqual(frozenset({"h1"}), forecast(pool).host_requirements.host_ids)
 
 
 class AwaitedHostTest(TestCase):
     """One of three hosts has not been heard yet; each carries a lasting task."""
 
-    def _read(self, wide: StepSpec, leaves_runs: bool) -> Demand:
+    def _forecast(self, wide: StepSpec, leaves_runs: bool) -> Demand:
         pool = make_pool()
         if leaves_runs:
             add_job(pool, LASTING)
         host = pool.hosts["h2"]
         host.contact, host.awaited_until_s = HostContact.NOT_CONTACTED, 1.0
         add_job(pool, wide)
-        return read(pool)
+        return forecast(pool)
 
-    def test_it_counts_by_its_room(self) -> None:
+    def test_it_counts_with_its_capacity(self) -> None:
         step = StepSpec(3, cpu_millicores=13_000, memory_mb=1_000, is_lasting=True, per_host_max=1)
-        need = self._read(step, leaves_runs=False).host_requirements
-        self.assertEqual(((), {"h2"}), (need.missing, need.host_ids))
+        requirements = self._forecast(step, leaves_runs=False).host_requirements
+        self.assertEqual(((), {"h2"}), (requirements.missing, requirements.host_ids))
 
-    def test_it_does_not_count_by_room_that_its_lasting_tasks_take(self) -> None:
+    def test_it_does_not_count_with_resources_of_its_lasting_tasks(self) -> None:
         step = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000, is_lasting=True)
-        (missing,) = self._read(step, leaves_runs=True).host_requirements.missing
+        (missing,) = self._forecast(step, leaves_runs=True).host_requirements.missing
         self.assertEqual(MissingHosts(1, step.resources, "", True), missing)
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -46,14 +46,14 @@
     return job.get_tasks(0, 0)
 
 
-def place(pool: PoolJobs, now_s: float) -> int:
+def place_fitting(pool: PoolJobs, now_s: float) -> int:
     """Place what fits; return how many."""
     return place_waiting(pool, now_s, 1_000)
 
 
-def begin(pool: PoolJobs, tasks: list[Task]) -> list[Run]:
+def start_tasks(pool: PoolJobs, tasks: list[Task]) -> list[Run]:
     """Place lasting tasks, and have their hosts confirm the runs; return these."""
-    place(pool, 0.0)
+    place_fitting(pool, 0.0)
     runs = [task.runs[0] for task in tasks]
     for run in runs:
         run.phase = RunPhase.SENDING
@@ -63,21 +63,21 @@
 
 def lose_runs(pool: PoolJobs, tasks: list[Task]) -> None:
     """Have lasting tasks run, each until a second after the one before it."""
-    runs = begin(pool, tasks)
+    runs = start_tasks(pool, tasks)
     for late_s, run in enumerate(runs):
         pool.hosts[run.host_id].reported_at_s = HEARD_AT_S + late_s
         pool.end_run(run, RunEnd.LAPSED, "", 1_000)
 
 
-def fill(pool: PoolJobs) -> None:
+def fill_with_urgent(pool: PoolJobs) -> None:
     """Fill the pool with urgent tasks, and have as many again wait."""
     for number in range(2 * len(pool.hosts)):
         add_job(pool, 100 + number, URGENT, SMALL)
-    placed = place(pool, HEARD_AT_S)
+    placed = place_fitting(pool, HEARD_AT_S)
     assert placed == 4 * len(pool.hosts)
 
 
-def end_one_on_each(pool: PoolJobs) -> None:
+def end_one_task_on_each_host(pool: PoolJobs) -> None:
     """Have one task end on each host."""
     for host in pool.hosts.values():
         run = next(run for run in host.runs.values() if not run.is_lasting)
@@ -85,107 +85,107 @@
 
 
 class OverdueLastingTest(TestCase):
-    def test_room_is_kept_ahead_of_urgent_tasks_once_it_is_overdue(self) -> None:
+    def test_host_is_reserved_ahead_of_urgent_tasks_once_a_task_is_overdue(self) -> None:
         pool = make_pool(1)
         (lasting,) = add_job(pool, 1, LESS, LARGE)
         lose_runs(pool, [lasting])
-        fill(pool)
-        end_one_on_each(pool)
-        self.assertEqual(1, place(pool, OVERDUE_AT_S - 0.01))
+        fill_with_urgent(pool)
+        end_one_task_on_each_host(pool)
+        self.assertEqual(1, place_fitting(pool, OVERDUE_AT_S - 0.01))
         for _ in range(2):
-            end_one_on_each(pool)
-            self.assertEqual(0, place(pool, OVERDUE_AT_S))
-        end_one_on_each(pool)
-        self.assertEqual(1, place(pool, OVERDUE_AT_S))
+            end_one_task_on_each_host(pool)
+            self.assertEqual(0, place_fitting(pool, OVERDUE_AT_S))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(1, place_fitting(pool, OVERDUE_AT_S))
         self.assertEqual(1, len(lasting.runs))
 
-    def test_task_that_never_ran_has_its_usual_turn(self) -> None:
+    def test_task_that_never_ran_is_placed_in_the_usual_order(self) -> None:
         pool = make_pool(1)
-        fill(pool)
+        fill_with_urgent(pool)
         add_job(pool, 1, LESS, LARGE)
-        end_one_on_each(pool)
-        self.assertEqual(1, place(pool, 10 * OVERDUE_AT_S))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(1, place_fitting(pool, 10 * OVERDUE_AT_S))
 
-    def test_start_that_never_left_is_no_run(self) -> None:
+    def test_start_that_was_never_sent_does_not_count_as_a_run(self) -> None:
         pool = make_pool(1)
         (lasting,) = add_job(pool, 1, LESS, LARGE)
-        place(pool, 0.0)
+        place_fitting(pool, 0.0)
         pool.forget_run(lasting.runs[0])
-        fill(pool)
-        end_one_on_each(pool)
-        self.assertEqual(1, place(pool, 10 * OVERDUE_AT_S))
+        fill_with_urgent(pool)
+        end_one_task_on_each_host(pool)
+        self.assertEqual(1, place_fitting(pool, 10 * OVERDUE_AT_S))
 
-    def test_run_that_was_not_confirmed_does_not_begin_the_wait_anew(self) -> None:
+    def test_unconfirmed_run_does_not_restart_the_wait(self) -> None:
         pool = make_pool(1)
         (lasting,) = add_job(pool, 1, LESS, LARGE)
         lose_runs(pool, [lasting])
-        place(pool, HEARD_AT_S)
+        place_fitting(pool, HEARD_AT_S)
         pool.hosts["h0"].reported_at_s = OVERDUE_AT_S
         pool.end_run(lasting.runs[0], RunEnd.LAPSED, "", 1_000)
         self.assertEqual(HEARD_AT_S, lasting.ran_until_s)
 
-    def test_those_longest_without_a_run_go_first_and_leave_half_of_the_hosts(self) -> None:
+    def test_least_recently_run_tasks_come_first_and_leave_half_of_the_hosts(self) -> None:
         pool = make_pool(4)
         tasks = [add_job(pool, number, LESS, LARGE)[0] for number in (1, 2, 3, 4)]
         lose_runs(pool, tasks)
-        fill(pool)
-        end_one_on_each(pool)
-        self.assertEqual(2, place(pool, OVERDUE_AT_S + 10))
+        fill_with_urgent(pool)
+        end_one_task_on_each_host(pool)
+        self.assertEqual(2, place_fitting(pool, OVERDUE_AT_S + 10))
         self.assertEqual({task.key for task in tasks[:2]}, pool.reserved_host_ids.keys())
 
-    def test_task_that_fits_nowhere_takes_no_turn_of_another(self) -> None:
+    def test_task_that_fits_nowhere_does_not_block_another(self) -> None:
         pool = make_pool(2)
         wide, other = (add_job(pool, number, LESS, LARGE)[0] for number in (1, 2))
         lose_runs(pool, [wide, other])
         wide.resources = Resources(5000)
-        fill(pool)
-        end_one_on_each(pool)
-        self.assertEqual(1, place(pool, OVERDUE_AT_S + 10))
+        fill_with_urgent(pool)
+        end_one_task_on_each_host(pool)
+        self.assertEqual(1, place_fitting(pool, OVERDUE_AT_S + 10))
         self.assertEqual({other.key}, pool.reserved_host_ids.keys())
 
-    def test_next_owner_takes_a_task_without_run_for_overdue(self) -> None:
+    def test_next_owner_treats_a_task_without_a_run_as_overdue(self) -> None:
         before = make_pool(1)
         (lasting,) = add_job(before, 1, LESS, LARGE)
         lose_runs(before, [lasting])
         job = before.jobs[LASTING_ID]
         progress = decode_progress(encode_progress(job))
         pool = make_pool(1)
-        fill(pool)
+        fill_with_urgent(pool)
         pool.queue_due_tasks(pool.add_job(job.spec, LESS, 1, 0.0, progress), 1_000)
-        end_one_on_each(pool)
-        self.assertEqual(0, place(pool, HEARD_AT_S))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(0, place_fitting(pool, HEARD_AT_S))
         self.assertEqual({lasting.key}, pool.reserved_host_ids.keys())
 
-    def test_overdue_gang_keeps_a_host_for_each_member_that_fits_on_none_together(self) -> None:
+    def test_overdue_gang_reserves_a_host_for_each_member(self) -> None:
         pool = make_pool(3)
         gang = add_job(pool, 1, LESS, GANG)
         lose_runs(pool, gang)
-        fill(pool)
-        end_one_on_each(pool)
-        self.assertEqual(3, place(pool, OVERDUE_AT_S - 0.01))
+        fill_with_urgent(pool)
+        end_one_task_on_each_host(pool)
+        self.assertEqual(3, place_fitting(pool, OVERDUE_AT_S - 0.01))
         for _ in range(2):
-            end_one_on_each(pool)
-            self.assertEqual(1, place(pool, OVERDUE_AT_S + 1))
+            end_one_task_on_each_host(pool)
+            self.assertEqual(1, place_fitting(pool, OVERDUE_AT_S + 1))
             self.assertEqual({task.key for task in gang}, pool.reserved_host_ids.keys())
-        end_one_on_each(pool)
-        self.assertEqual(3, place(pool, OVERDUE_AT_S + 1))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(3, place_fitting(pool, OVERDUE_AT_S + 1))
         self.assertEqual([1, 1], [len(task.runs) for task in gang])
 
-    def test_no_host_is_kept_for_a_gang_that_never_ran(self) -> None:
+    def test_no_host_is_reserved_for_a_gang_that_never_ran(self) -> None:
         pool = make_pool(2)
-        fill(pool)
+        fill_with_urgent(pool)
         add_job(pool, 1, LESS, GANG)
-        end_one_on_each(pool)
-        self.assertEqual(2, place(pool, 10 * OVERDUE_AT_S))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(2, place_fitting(pool, 10 * OVERDUE_AT_S))
 
-    def test_no_host_is_kept_for_a_gang_of_which_a_run_is_left(self) -> None:
+    def test_no_host_is_reserved_for_a_gang_with_a_run_left(self) -> None:
         pool = make_pool(2)
         gang = add_job(pool, 1, LESS, GANG)
-        first, _second = begin(pool, gang)
+        first, _second = start_tasks(pool, gang)
         pool.end_run(first, RunEnd.LAPSED, "", 1_000)
         for number in range(4):
             add_job(pool, 100 + number, URGENT, SMALL)
-        self.assertEqual(5, place(pool, HEARD_AT_S))
-        end_one_on_each(pool)
-        self.assertEqual(2, place(pool, 10 * OVERDUE_AT_S))
+        self.assertEqual(5, place_fitting(pool, HEARD_AT_S))
+        end_one_task_on_each_host(pool)
+        self.assertEqual(2, place_fitting(pool, 10 * OVERDUE_AT_S))
         self.assertEqual({}, pool.reserved_host_ids)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -38,19 +38,19 @@
 
 
 class PlaceWaitingTest(TestCase):
-    def test_smaller_tasks_are_placed_where_a_larger_one_has_no_room(self) -> None:
+    def test_smaller_tasks_are_placed_on_a_host_that_is_too_small_for_a_larger_one(self) -> None:
         pool = make_pool(1)
         add_job(pool, 1, StepSpec(1, cpu_millicores=5000, estimate_ms=1000))
         add_job(pool, 2, StepSpec(3, cpu_millicores=1000, estimate_ms=1000))
         self.assertEqual(3, place_waiting(pool, 0.0, 1_000))
 
-    def test_each_kind_of_room_is_kept(self) -> None:
+    def test_no_resource_of_a_host_is_exceeded(self) -> None:
         pool = make_pool(2)
         add_job(pool, 1, StepSpec(9, cpu_millicores=100, memory_mb=1000, estimate_ms=1000))
         self.assertEqual(8, place_waiting(pool, 0.0, 1_000))
         self.assertEqual({0}, {host.free.memory_mb for host in pool.hosts.values()})
 
-    def test_host_that_lacks_least_is_kept_for_a_lasting_task(self) -> None:
+    def test_host_with_the_smallest_shortage_is_reserved_for_a_lasting_task(self) -> None:
         pool = make_pool(2)
         add_job(pool, 1, StepSpec(8, cpu_millicores=1000, estimate_ms=1000))
         self.assertEqual(8, place_waiting(pool, 0.0, 1_000))
@@ -64,7 +64,7 @@
         self.assertEqual(["h1"], [run.host_id for run in lasting.runs])
         self.assertEqual(0, pool.hosts["h0"].free.cpu_millicores)
 
-    def test_no_host_is_kept_where_that_is_switched_off_or_in_vain(self) -> None:
+    def test_no_host_is_reserved_if_switched_off_or_too_small(self) -> None:
         for policy, millicores in (
             (PlacementPolicy(keeps_room_for_lasting=False), 3000),
             (PlacementPolicy(), 5000),
@@ -76,7 +76,7 @@
             add_job(pool, 3, StepSpec(1, cpu_millicores=1000, estimate_ms=1000))
             self.assertEqual(1, place_waiting(pool, 0.0, 1_000))
 
-    def test_full_pool_costs_no_choice_of_host(self) -> None:
+    def test_full_pool_evaluates_no_hosts(self) -> None:
         pool = make_pool(10)
         for number in range(100):
             add_job(pool, number, StepSpec(10, cpu_millicores=1000, estimate_ms=1000))
@@ -86,7 +86,7 @@
             self.assertEqual(0, place_waiting(pool, 0.0, 1_000))
         self.assertEqual(0, choose.call_count)
 
-    def test_choices_grow_with_what_is_placed_and_not_with_what_waits(self) -> None:
+    def test_evaluations_grow_with_placed_tasks_and_not_with_waiting_ones(self) -> None:
         pool = make_pool(10)
         for number in range(100):
             add_job(pool, number, StepSpec(10, cpu_millicores=1000, estimate_ms=1000))
@@ -107,8 +107,8 @@
         add_job(pool, 2, step, accepted_at_ms=500)
         return [task.key.job_id[-1] for task in sort_waiting(pool, 1_000)]
 
-    def test_least_slack_goes_first(self) -> None:
+    def test_least_slack_comes_first(self) -> None:
         self.assertEqual(["1", "2"], self.sort(0.0))
 
-    def test_slack_below_the_margin_goes_behind(self) -> None:
+    def test_slack_below_the_margin_comes_last(self) -> None:
         self.assertEqual(["2", "1"], self.sort(0.2))
--- a/tests/unit/test_share_allocation.py
+++ b/tests/unit/test_share_allocation.py
@@ -10,58 +10,60 @@
     find_next_shares,
 )
 
-KEPT = 0.05
+RESERVED = 0.05
 ROUNDING = 1e-6
 
 
-def make_use(
+def make_usage(
     used: float = 0.0, waiting: float = 0.0, held_back: float = 0.0, bound: float = 0.25
 ) -> PoolUsage:
     """Make a pool's use."""
     return PoolUsage(used, waiting, held_back, bound)
 
 
-def get_held(uses: dict[str, PoolUsage], shares: dict[str, float]) -> float:
+def get_total_held(usages: dict[str, PoolUsage], shares: dict[str, float]) -> float:
     """Return what pools may hold in all by their shares."""
-    return sum(max(use.used, shares[pool]) for pool, use in uses.items())
+    return sum(max(usage.used, shares[pool]) for pool, usage in usages.items())
 
 
-class DealSharesTest(TestCase):
+class AllocateSharesTest(TestCase):
     def test_idle_pools_have_even_shares(self) -> None:
-        shares = allocate_shares({pool: make_use(0.1) for pool in "abcd"}, 1.0, KEPT)
+        shares = allocate_shares({pool: make_usage(0.1) for pool in "abcd"}, 1.0, RESERVED)
         self.assertEqual(dict.fromkeys("abcd", 0.25), shares)
 
-    def test_pool_in_its_turn_gets_all_but_what_is_never_lent(self) -> None:
-        uses = {pool: make_use() for pool in "bcd"} | {"a": make_use(0.25, 3.0, 0.01)}
-        shares = allocate_shares(uses, 1.0, KEPT)
-        self.assertAlmostEqual(1 - 3 * KEPT, shares["a"], places=5)
-        self.assertEqual({KEPT}, {shares[pool] for pool in "bcd"})
+    def test_only_busy_pool_gets_all_but_the_reserved_shares(self) -> None:
+        usages = {pool: make_usage() for pool in "bcd"} | {"a": make_usage(0.25, 3.0, 0.01)}
+        shares = allocate_shares(usages, 1.0, RESERVED)
+        self.assertAlmostEqual(1 - 3 * RESERVED, shares["a"], places=5)
+        self.assertEqual({RESERVED}, {shares[pool] for pool in "bcd"})
 
-    def test_pools_that_all_want_more_get_the_same(self) -> None:
-        shares = allocate_shares({pool: make_use(0.1, 2.0, 0.01) for pool in "abcd"}, 1.0, KEPT)
+    def test_pools_that_all_need_more_get_equal_shares(self) -> None:
+        shares = allocate_shares(
+            {pool: make_usage(0.1, 2.0, 0.01) for pool in "abcd"}, 1.0, RESERVED
+        )
         for share in shares.values():
             self.assertAlmostEqual(0.25, share, places=5)
 
-    def test_nothing_begins_while_more_runs_than_the_limit_allows(self) -> None:
-        uses = {"a": make_use(1.2), "b": make_use(0.1, 1.0, 0.05), "c": make_use()}
-        shares = allocate_shares(uses, 1.0, KEPT)
-        for pool, use in uses.items():
-            self.assertLessEqual(shares[pool], use.used + ROUNDING)
+    def test_no_pool_starts_tasks_while_usage_exceeds_the_limit(self) -> None:
+        usages = {"a": make_usage(1.2), "b": make_usage(0.1, 1.0, 0.05), "c": make_usage()}
+        shares = allocate_shares(usages, 1.0, RESERVED)
+        for pool, usage in usages.items():
+            self.assertLessEqual(shares[pool], usage.used + ROUNDING)
 
-    def test_limit_of_one_task_goes_to_one_pool_whole(self) -> None:
-        uses = {pool: make_use(0.0, 4.0, 1.0) for pool in "abc"}
-        self.assertEqual({"a": 1.0, "b": 0.0, "c": 0.0}, allocate_shares(uses, 1.0, KEPT))
+    def test_limit_of_one_task_goes_to_a_single_pool(self) -> None:
+        usages = {pool: make_usage(0.0, 4.0, 1.0) for pool in "abc"}
+        self.assertEqual({"a": 1.0, "b": 0.0, "c": 0.0}, allocate_shares(usages, 1.0, RESERVED))
 
-    def test_whole_limit_kept_is_an_even_split_whatever_is_wanted(self) -> None:
-        uses = {pool: make_use() for pool in "bcd"} | {"a": make_use(0.25, 3.0, 0.01)}
-        for share in allocate_shares(uses, 1.0, 0.25).values():
+    def test_limit_that_is_reserved_in_full_is_split_evenly(self) -> None:
+        usages = {pool: make_usage() for pool in "bcd"} | {"a": make_usage(0.25, 3.0, 0.01)}
+        for share in allocate_shares(usages, 1.0, 0.25).values():
             self.assertAlmostEqual(0.25, share, places=5)
 
-    def test_shares_never_hold_more_than_the_room(self) -> None:
+    def test_shares_never_exceed_what_is_available(self) -> None:
         drawn = random.Random(1)
         for _ in range(400):
-            uses = {
-                pool: make_use(
+            usages = {
+                pool: make_usage(
                     drawn.choice((0.0, drawn.random())),
                     drawn.choice((0.0, 3 * drawn.random())),
                     drawn.choice((0.0, 0.01, 0.4)),
@@ -69,20 +71,20 @@
                 )
                 for pool in "abc"
             }
-            room = drawn.uniform(0.2, 1.0)
-            shares = allocate_shares(uses, room, KEPT)
-            used = sum(use.used for use in uses.values())
-            self.assertLessEqual(get_held(uses, shares), max(room, used) + ROUNDING)
-            told = find_next_shares(uses, shares, room)
-            held = sum(max(use.held, told[pool]) for pool, use in uses.items())
-            before = sum(use.held for use in uses.values())
-            self.assertLessEqual(held, max(room, before) + ROUNDING)
+            available = drawn.uniform(0.2, 1.0)
+            shares = allocate_shares(usages, available, RESERVED)
+            used = sum(usage.used for usage in usages.values())
+            self.assertLessEqual(get_total_held(usages, shares), max(available, used) + ROUNDING)
+            next_shares = find_next_shares(usages, shares, available)
+            held = sum(max(usage.held, next_shares[pool]) for pool, usage in usages.items())
+            before = sum(usage.held for usage in usages.values())
+            self.assertLessEqual(held, max(available, before) + ROUNDING)
 
 
 class FindNextSharesTest(TestCase):
-    def test_share_rises_only_once_another_pool_has_confirmed_that_it_holds_less(self) -> None:
-        uses = {"a": make_use(0.5, 1.0, 0.1, bound=0.5), "b": make_use(bound=0.5)}
+    def test_share_rises_only_after_another_pool_has_confirmed_a_lower_share(self) -> None:
+        usages = {"a": make_usage(0.5, 1.0, 0.1, bound=0.5), "b": make_usage(bound=0.5)}
         targets = {"a": 0.9, "b": 0.1}
-        self.assertEqual({"a": 0.5, "b": 0.1}, find_next_shares(uses, targets, 1.0))
-        uses["b"] = make_use(bound=0.1)
-        self.assertEqual({"a": 0.9, "b": 0.1}, find_next_shares(uses, targets, 1.0))
+        self.assertEqual({"a": 0.5, "b": 0.1}, find_next_shares(usages, targets, 1.0))
+        usages["b"] = make_usage(bound=0.1)
+        self.assertEqual({"a": 0.9, "b": 0.1}, find_next_shares(usages, targets, 1.0))
