--- a/tests/unit/test_capacity_reservation.py
+++ b/tests/unit/test_capacity_reservation.py
@@ -1,4 +1,4 @@
-"""What may go to a host that is kept for a lasting task."""
+"""A host that is reserved for a lasting task gets no other tasks."""
 
 from testtools import TestCase
 
@@ -21,7 +21,7 @@
 
 class ReservedHostTest(TestCase):
     def setUp(self) -> None:
-        """Have a task that ends keep a lasting one off the only host."""
+        """Make a pool whose only host is too full for a lasting task until another task ends."""
         super().setUp()
         self.pool = PoolJobs()
         record = UpstreamHost("h0", "m0", "press", "", "", "", HOST_CAPACITY, frozenset())
@@ -30,7 +30,7 @@
         self.lasting = self._add(LASTING)
 
     def _add(self, step: StepSpec) -> Job:
-        """Take a job in and place what fits."""
+        """Add a job and place the waiting tasks that fit."""
         job = self.pool.add_job(make_job(len(self.pool.jobs), step), QUEUE, 0, 0.0)
         self.pool.queue_due_tasks(job, 0)
         place_waiting(self.pool, 0.0, 0)
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -1,4 +1,4 @@
-"""For how much room a pool asks for hosts where jobs are late."""
+"""The demand of a pool for late jobs."""
 
 from testtools import TestCase
 
@@ -14,7 +14,7 @@
 
 
 def forecast_cores(policy: DemandPolicy, waited_ms: int) -> float:
-    """Return for how many cores hosts are asked while one job has waited so long."""
+    """Return the cores to fetch hosts for while one job has waited for ``waited_ms``."""
     jobs = PoolJobs()
     spec = JobSpec("0" * 16, "queue", "pool", "", (STEP,), accepted_at_ms=1_000)
     job = jobs.add_job(spec, POLICY, 0, 0.0)
--- a/tests/unit/test_ended_incarnations.py
+++ b/tests/unit/test_ended_incarnations.py
@@ -1,4 +1,4 @@
-"""Which hosts have ended by what the lists of machines show."""
+"""Detection of ended hosts from the lists of machines."""
 
 from dataclasses import replace
 
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Which runs leave the hosts that are to be emptied."""
+"""Which runs are stopped on hosts that drain or are being vacated."""
 
 from testtools import TestCase
 
@@ -24,7 +24,7 @@
 
 
 def make_pool(step: StepSpec, hosts: int, used_hosts: int) -> PoolJobs:
-    """Make a pool whose job's tasks run, by turns, on the first ``used_hosts`` hosts."""
+    """Make a pool with a job whose tasks are spread over the first ``used_hosts`` hosts."""
     pool = PoolJobs()
     for number in range(hosts):
         record = UpstreamHost(
@@ -70,7 +70,7 @@
 
 
 class LastingOnDrainingHostTest(TestCase):
-    """One task of a step may be away; an order that ends it on a sound host counts by its end."""
+    """One task of a step may be not running; a stopped task counts until its run has ended."""
 
     STEP = StepSpec(
         2, cpu_millicores=1000, is_lasting=True, not_running_max=1, has_not_running_limit=True
--- a/tests/unit/test_fleet_planner.py
+++ b/tests/unit/test_fleet_planner.py
@@ -1,4 +1,4 @@
-"""Which machines the planner moves, empties and keeps up."""
+"""Which machines the planner moves, vacates and orders upkeep for."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 
 
 def make_pool(pool: str, names: str, cores: int, busy: str = "", vacating: str = "") -> PoolView:
-    """Make a pool of machines that needs so many cores; each letter is a machine."""
+    """Make a pool that needs ``cores``; each letter of ``names`` is a machine."""
     hosts = tuple(
         HostStatus(name, f"host-{name}", True, name in vacating, int(name in busy), 0)
         for name in names
@@ -43,13 +43,13 @@
 
 
 def make_view(*pools: PoolView, reserve: str = "", waves: tuple[WaveView, ...] = ()) -> FleetView:
-    """Make a view; each letter of ``reserve`` is a machine there."""
+    """Make a view of the fleet; each letter of ``reserve`` is a machine of the reserve."""
     free = tuple(make_machine(name, RESERVE) for name in reserve)
     return FleetView(pools, RESERVE, free, frozenset(), waves)
 
 
 def plan_until_vacated(policy: FleetPolicy, view: FleetView) -> FleetPlan:
-    """Plan, have the pools confirm what they empty, and plan again a second later."""
+    """Plan twice a second apart, have the pools confirm the vacating machines, and plan again."""
     planner = FleetPlanner(policy)
     vacating = frozenset().union(*planner.plan(view, 0.0).vacate.values())
     vacating |= frozenset().union(*planner.plan(view, 1.0).vacate.values())
@@ -58,7 +58,7 @@
 
 
 def plan_after_first_pool_vacated(view: FleetView) -> FleetPlan:
-    """Plan, have the first pool confirm what it empties, and plan again."""
+    """Plan, have the first pool confirm its vacating machines, and plan again."""
     planner = FleetPlanner(ALL)
     vacating = planner.plan(view, 0.0).vacate[view.pools[0].name]
     first = _confirm(view.pools[0], vacating)
@@ -75,7 +75,7 @@
 
 
 def mark_hosts(pool: PoolView, needed: str = "", lasting: str = "") -> PoolView:
-    """Have waiting tasks need some hosts of a pool, and others carry one lasting task each."""
+    """Mark hosts of a pool that waiting tasks need, and hosts that run one lasting task each."""
     hosts = tuple(
         msgspec.structs.replace(
             host, is_needed=host.machine in needed, lasting_count=int(host.machine in lasting)
@@ -90,13 +90,13 @@
 
 
 def with_shortages(pool: PoolView, *shortages: ShortageReport, hosts_min: int = 0) -> PoolView:
-    """Have a pool lack hosts for tasks that fit on none it has."""
+    """Add shortages of hosts to a pool's report, for tasks that fit on none of its hosts."""
     report = msgspec.structs.replace(pool.report, shortages=shortages, hosts_min=hosts_min)
     return replace(pool, report=report)
 
 
 def make_hosts_awaited(pool: PoolView, names: str) -> PoolView:
-    """Have a pool's owner not have heard some of its hosts yet."""
+    """Mark hosts of a pool as awaited: they have not responded to its owner yet."""
     hosts = tuple(
         msgspec.structs.replace(host, is_usable=False, is_awaited=True)
         if host.machine in names
@@ -107,12 +107,12 @@
 
 
 def list_moves(plan: FleetPlan) -> list[tuple[str, str]]:
-    """Return which machine is to move where."""
+    """Return the machine and the target pool of each move."""
     return [(o.machine, o.pool) for o in plan.orders if isinstance(o, MoveOrder)]
 
 
 class ShortageTest(TestCase):
-    """Tasks wait that do not fit on every host."""
+    """Tasks wait that do not fit on every host, although the pool's total resources suffice."""
 
     wide = ShortageReport(1, (13_000, 1_000, 0))
 
@@ -142,7 +142,7 @@
             self.assertEqual([("x", "p")], list_moves(plan))
 
     def test_arriving_machine_covers_one_shortage(self) -> None:
-        """The one with the label is left to the lack that only it supplies."""
+        """The machine with the label is assigned to the shortage that only it covers."""
         labelled = make_machine("v", "p")
         other = replace(make_machine("w", "p"), kind="b")
         label = ShortageReport(1, (1_000, 1_000, 0), "a")
@@ -244,7 +244,7 @@
 
 
 class AwaitedHostsTest(TestCase):
-    """A pool's owner has not heard some of its hosts yet."""
+    """Some hosts of a pool have not responded to its owner yet."""
 
     def test_no_replacements_are_fetched_for_awaited_hosts(self) -> None:
         pool = make_hosts_awaited(make_pool("p", "abc", 48), "abc")
@@ -315,7 +315,7 @@
             self.assertEqual(expected, sum(isinstance(order, UpkeepOrder) for order in orders))
 
     def test_machine_of_two_waves_takes_a_slot_in_each(self) -> None:
-        """One step began x for the first wave and z for the second, which allows one of x and z."""
+        """Otherwise one plan starts x for wave 1 and z for wave 2, which allows one of the two."""
         first = WaveView(1, frozenset("xy"), frozenset("x"), 2, frozenset(), left_s=100.0)
         second = WaveView(2, frozenset("xz"), frozenset("z"), 1, frozenset(), left_s=100.0)
         view = make_view(make_pool("hot", "ab", 160), reserve="xz", waves=(first, second))
@@ -323,7 +323,7 @@
         self.assertEqual([UpkeepOrder("x", 1)], [o for o in orders if isinstance(o, UpkeepOrder)])
 
     def test_no_more_unsettled_machines_are_ordered_than_may_be_down(self) -> None:
-        """The operators asked for the wave again, with one machine at once in place of two."""
+        """The operators changed the wave to one machine at once; it was two before."""
         wave = replace(self.wave, at_once_max=1, unsettled=frozenset("xy"))
         view = make_view(make_pool("hot", "ab", 160), reserve="xy", waves=(wave,))
         orders = FleetPlanner(ALL).plan(view, 0.0).orders
--- a/tests/unit/test_gang_placement.py
+++ b/tests/unit/test_gang_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts a gang gets."""
+"""Choice of the hosts for a gang."""
 
 from testtools import TestCase
 
@@ -14,7 +14,7 @@
 
 
 def choose(step: StepSpec, host_count: int = 4) -> list[str] | None:
-    """Return the racks of the hosts that a gang gets; hosts lie in two racks by turns."""
+    """Return the racks of the hosts chosen for a gang; the hosts alternate between two racks."""
     pool = PoolJobs()
     for number in range(host_count):
         rack = f"r{number % 2}"
--- a/tests/unit/test_host_apportionment.py
+++ b/tests/unit/test_host_apportionment.py
@@ -1,4 +1,4 @@
-"""Machines shared out among pools that want more than there are."""
+"""Apportioning of machines among pools that need more than there are."""
 
 from testtools import TestCase
 
@@ -14,7 +14,7 @@
 
 
 def apportion(machines: int, **needs: tuple[int, int, int]) -> dict[str, tuple[int, int]]:
-    """Return how many hosts each pool fetches and keeps, by what it needs for what."""
+    """Return how many hosts each pool may fetch and keep, from its needs by tier."""
     tiers = {pool: HostTiers(*counts) for pool, counts in needs.items()}
     sizes = {pool: PoolSize(counts[2], counts[2]) for pool, counts in needs.items()}
     apportioned = apportion_hosts(sizes, tiers, machines)
@@ -50,7 +50,7 @@
 
 
 class TurnsTest(TestCase):
-    """Four queues in turns on 60 machines, of which the one in its turn wants all or more."""
+    """Four queues with peaks in turns on 60 machines; a peak needs all of them or more."""
 
     def test_each_queue_is_served_and_more_jobs_are_on_time(self) -> None:
         for wanted, in_time_min, least_min in (
@@ -70,6 +70,6 @@
         self.assertLess(play_turns(ON, MACHINES, 88, TURNS).wait_s, 3.1)
 
     def test_machines_do_not_oscillate(self) -> None:
-        """A turn moves the machines once: no more than there are, but for chance."""
+        """Apart from random variation, each turn moves a machine at most once."""
         moves = play_turns(ON, MACHINES, 88, TURNS).move_count
         self.assertLess(moves, MACHINES * TURNS * 0.9)
--- a/tests/unit/test_host_requirements.py
+++ b/tests/unit/test_host_requirements.py
@@ -1,4 +1,4 @@
-"""On which hosts waiting tasks would find room, and what hosts a pool lacks for them."""
+"""The hosts that waiting tasks need, and the hosts that a pool lacks for them."""
 
 from testtools import TestCase
 
@@ -15,13 +15,13 @@
 
 HOST_CAPACITY = Resources(16_000, 32_000, 0)
 POLICY = QueuePolicy("queue", "", "", "pool", stretch=1.5, latency_target_ms=500)
-# On each host, 10 of 16 cores are left beside it.
+# Each host with such a task has 10 of its 16 cores left.
 LASTING = StepSpec(3, cpu_millicores=6_000, memory_mb=1_000, is_lasting=True, per_host_max=1)
 WIDE = StepSpec(4, cpu_millicores=13_000, memory_mb=1_000, estimate_ms=1_000)
 
 
 def make_pool(hosts: int = 3) -> PoolJobs:
-    """Make a pool of hosts in racks r0 and r1 by turns."""
+    """Make a pool of hosts that alternate between racks r0 and r1."""
     pool = PoolJobs()
     for number in range(hosts):
         rack = f"r{number % 2}"
@@ -33,7 +33,7 @@
 
 
 def add_job(pool: PoolJobs, *steps: StepSpec, accepted_at_ms: int = 0) -> None:
-    """Take a job in and place what fits."""
+    """Add a job and place the waiting tasks that fit."""
     number = len(pool.jobs)
     spec = JobSpec(f"{number:016x}", "queue", "pool", "", steps, accepted_at_ms=accepted_at_ms)
     pool.queue_due_tasks(pool.add_job(spec, POLICY, number, 0.0), 0)
@@ -41,12 +41,12 @@
 
 
 def forecast(pool: PoolJobs) -> Demand:
-    """Return what the pool's tasks need now."""
+    """Return the pool's current demand."""
     return DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
 
 
 def vacate(pool: PoolJobs, host_id: str) -> None:
-    """Have a host emptied."""
+    """Mark a host as being vacated."""
     pool.hosts[host_id].vacating_until_s = 10.0
 
 
@@ -77,7 +77,7 @@
         pool = make_pool()
         add_job(pool, LASTING)
         add_job(pool, WIDE)
-        # Four tasks of a second, to begin within two: two at a time.
+        # Four tasks of 1 s should start within 2 s, so two should run in parallel.
         missing = MissingHosts(2, Resources(13_000, 1_000), "", False)
         self.assertEqual(HostRequirements(missing=(missing,)), forecast(pool).host_requirements)
 
@@ -94,7 +94,7 @@
         add_job(pool, WIDE)
         (bare,) = (host for host in pool.hosts.values() if not host.lasting_count)
         self.assertEqual(1, len(bare.runs))
-        # Three are left, of which one and a half should run at a time.
+        # Three tasks wait, of which 1.5 should run in parallel.
         missing = MissingHosts(1, Resources(13_000, 1_000), "", False)
         self.assertEqual(
             HostRequirements(frozenset({bare.id}), 1, (missing,)), forecast(pool).host_requirements
@@ -118,7 +118,7 @@
         add_job(pool, LASTING)
         wide = StepSpec(3, cpu_millicores=1_000, memory_mb=20_000, is_lasting=True)
         add_job(pool, wide, wide, wide)
-        # Three found room beside the others; each of the rest fills a host.
+        # Three of the nine tasks fit beside the others; each of the rest needs a host.
         (missing,) = forecast(pool).host_requirements.missing
         self.assertEqual(6, missing.count)
 
@@ -159,7 +159,10 @@
 
 
 class AwaitedHostTest(TestCase):
-    """One of three hosts has not been heard yet; each carries a lasting task."""
+    """One of three hosts has not responded to its owner yet but is expected to.
+
+    In one of the tests each host runs a lasting task.
+    """
 
     def _forecast(self, wide: StepSpec, leaves_runs: bool) -> Demand:
         pool = make_pool()
--- a/tests/unit/test_new_machines.py
+++ b/tests/unit/test_new_machines.py
@@ -1,4 +1,4 @@
-"""Which machines a steward takes for ones that have just come up."""
+"""Detection of machines that have just come up."""
 
 from dataclasses import replace
 
@@ -58,7 +58,7 @@
         self.assertFalse(self.new_machines.is_new(UP, 0.1))
 
     def test_machine_whose_host_is_not_listed_yet_is_new(self) -> None:
-        """The reserve's machines are up without a host, and say nothing of others."""
+        """Machines of the reserve are up without a host, which must not affect other machines."""
         without_host = replace(UP, host_id="")
         self._list(replace(without_host, name="spare", pool="reserve"), MOVING)
         self._list(without_host)
--- a/tests/unit/test_overdue_lasting.py
+++ b/tests/unit/test_overdue_lasting.py
@@ -1,4 +1,8 @@
-"""Lasting tasks that have been without a run for long, in a pool that urgent queues fill."""
+"""Lasting tasks that have not run for long, in a pool that urgent queues fill.
+
+Without reservations, the urgent tasks use all capacity that becomes free, and a lasting task
+does not start again as long as they wait.
+"""
 
 from testtools import TestCase
 
@@ -21,14 +25,14 @@
 SMALL = StepSpec(4, cpu_millicores=1000, estimate_ms=1000)
 LARGE = StepSpec(1, cpu_millicores=3000, is_lasting=True)
 GANG = StepSpec(2, cpu_millicores=3000, is_lasting=True, is_gang=True)
-# When the lasting tasks were last heard to run.
+# The time at which the lasting tasks were last reported to run.
 HEARD_AT_S = 100.0
 OVERDUE_AT_S = HEARD_AT_S + OVERDUE_S
 LASTING_ID = f"{1:016x}"
 
 
 def make_pool(host_count: int) -> PoolJobs:
-    """Make a pool of hosts that answer."""
+    """Make a pool of hosts that respond."""
     pool = PoolJobs()
     for number in range(host_count):
         record = UpstreamHost(
@@ -39,7 +43,7 @@
 
 
 def add_job(pool: PoolJobs, number: int, policy: QueuePolicy, step: StepSpec) -> list[Task]:
-    """Have a job's tasks wait; return them."""
+    """Add a job whose tasks wait for hosts; return the tasks."""
     spec = JobSpec(f"{number:016x}", policy.name, "pool", "", (step,))
     job = pool.add_job(spec, policy, number, 0.0)
     pool.queue_due_tasks(job, 1_000)
@@ -47,12 +51,12 @@
 
 
 def place_fitting(pool: PoolJobs, now_s: float) -> int:
-    """Place what fits; return how many."""
+    """Place the waiting tasks that fit; return how many."""
     return place_waiting(pool, now_s, 1_000)
 
 
 def start_tasks(pool: PoolJobs, tasks: list[Task]) -> list[Run]:
-    """Place lasting tasks, and have their hosts confirm the runs; return these."""
+    """Place lasting tasks and confirm the starts of their runs; return the runs."""
     place_fitting(pool, 0.0)
     runs = [task.runs[0] for task in tasks]
     for run in runs:
@@ -62,7 +66,7 @@
 
 
 def lose_runs(pool: PoolJobs, tasks: list[Task]) -> None:
-    """Have lasting tasks run, each until a second after the one before it."""
+    """Start lasting tasks and end their runs, each 1 s after the previous one."""
     runs = start_tasks(pool, tasks)
     for late_s, run in enumerate(runs):
         pool.hosts[run.host_id].reported_at_s = HEARD_AT_S + late_s
@@ -70,7 +74,7 @@
 
 
 def fill_with_urgent(pool: PoolJobs) -> None:
-    """Fill the pool with urgent tasks, and have as many again wait."""
+    """Fill the pool with urgent tasks; as many more wait."""
     for number in range(2 * len(pool.hosts)):
         add_job(pool, 100 + number, URGENT, SMALL)
     placed = place_fitting(pool, HEARD_AT_S)
@@ -78,7 +82,7 @@
 
 
 def end_one_task_on_each_host(pool: PoolJobs) -> None:
-    """Have one task end on each host."""
+    """End one task on each host."""
     for host in pool.hosts.values():
         run = next(run for run in host.runs.values() if not run.is_lasting)
         pool.end_run(run, RunEnd.DONE, "", 1_000)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Which waiting tasks are placed, in which order, and what a full pool costs."""
+"""Placement of waiting tasks: which ones, in which order, and its cost in a full pool."""
 
 from unittest.mock import patch
 
@@ -21,7 +21,7 @@
 
 
 def make_pool(host_count: int, policy: PlacementPolicy | None = None) -> PoolJobs:
-    """Make a pool of hosts that answer."""
+    """Make a pool of hosts that respond."""
     pool = PoolJobs(policy or PlacementPolicy())
     for number in range(host_count):
         record = UpstreamHost(
@@ -32,7 +32,7 @@
 
 
 def add_job(pool: PoolJobs, number: int, *steps: StepSpec, accepted_at_ms: int = 1_000) -> None:
-    """Have a job's first tasks wait."""
+    """Add a job whose first tasks wait for hosts."""
     spec = JobSpec(f"{number:016x}", "queue", "pool", "", steps, accepted_at_ms=accepted_at_ms)
     pool.queue_due_tasks(pool.add_job(spec, POLICY, number, 0.0), 1_000)
 
@@ -93,12 +93,12 @@
         with patch.object(scheduling, "choose_host", wraps=scheduling.choose_host) as choose:
             placed = place_waiting(pool, 0.0, 1_000)
         self.assertEqual(40, placed)
-        # One for each host and job begun, no more: the others follow to the same host.
+        # One for each host and started job; the other tasks go to the same host.
         self.assertLessEqual(choose.call_count, 10 + 4)
 
 
 class SlackMarginTest(TestCase):
-    """Two jobs of a second that may take two: one with 0.1 s of slack, one with 0.5 s."""
+    """Two jobs of 1 s that may take 2 s: one has 0.1 s of slack left, the other 0.5 s."""
 
     def sort(self, margin_s: float) -> list[str]:
         pool = make_pool(0, PlacementPolicy(slack_margin_s=margin_s))
--- a/tests/unit/test_share_allocation.py
+++ b/tests/unit/test_share_allocation.py
@@ -1,4 +1,4 @@
-"""Dealing a workspace's limit out to pools."""
+"""Allocation of a workspace's limit to pools."""
 
 import random
 
@@ -17,12 +17,12 @@
 def make_usage(
     used: float = 0.0, waiting: float = 0.0, held_back: float = 0.0, bound: float = 0.25
 ) -> PoolUsage:
-    """Make a pool's use."""
+    """Make the usage of a workspace in one pool."""
     return PoolUsage(used, waiting, held_back, bound)
 
 
 def get_total_held(usages: dict[str, PoolUsage], shares: dict[str, float]) -> float:
-    """Return what pools may hold in all by their shares."""
+    """Return the total of the limit that pools may hold with these shares."""
     return sum(max(usage.used, shares[pool]) for pool, usage in usages.items())
 
 
