--- a/tests/functional/test_gangs.py
+++ b/tests/functional/test_gangs.py
@@ -1,4 +1,4 @@
-"""Steps whose tasks work only as a group."""
+"""Gangs: steps whose tasks run only together."""
 
 import asyncio
 
--- a/tests/functional/test_lasting_behind_urgent.py
+++ b/tests/functional/test_lasting_behind_urgent.py
@@ -1,4 +1,4 @@
-"""A lasting task of a queue that is less urgent than the one that fills the pool."""
+"""A lasting task of a less urgent queue runs again although a more urgent one fills the pool."""
 
 import asyncio
 import itertools
--- a/tests/functional/test_lasting_in_full_pool.py
+++ b/tests/functional/test_lasting_in_full_pool.py
@@ -1,4 +1,4 @@
-"""Lasting tasks that are lost while a more urgent queue fills their pool."""
+"""Lasting tasks whose hosts are lost while a more urgent queue fills their pool."""
 
 import asyncio
 import itertools
@@ -33,14 +33,14 @@
 )
 from tests.lib.virtual import run_virtual
 
-# The tasks of a usual job of a pool take 1 to 2 s.
+# The usual tasks of a pool take 1 to 2 s.
 SMALL_MIN_S = 1.5
 SMALL_STEP_S = 0.1
 WATCH_S = 25.0
 
 
 async def submit_urgent_jobs(platform: PlatformStandin, period_s: float) -> None:
-    """Hand urgent jobs in, at each node in turn that is there."""
+    """Submit an urgent job each ``period_s``, at the running nodes in turn."""
     for number in itertools.count(LASTING_NUMBER + 1):
         nodes = sorted(platform.nodes)
         await hand_in(platform, nodes[number % len(nodes)], make_job(number, SMALL, queue="urgent"))
@@ -48,7 +48,7 @@
 
 
 def crash_hosts(platform: PlatformStandin, count: int) -> None:
-    """Crash the first hosts on which lasting tasks run."""
+    """Crash the first ``count`` hosts that run lasting tasks."""
     host_ids = list(dict.fromkeys(run.host_id for run in list_runs(platform)))[:count]
     for host_id in host_ids:
         platform.crash_host(host_id)
@@ -62,7 +62,7 @@
         hosts: int = 3,
         period_s: float = 0.25,
     ) -> None:
-        """Bring trouble about; a task must run again in time, and urgent ones go on."""
+        """Cause a failure; lasting tasks must run again in time while urgent tasks still start."""
 
         def plan(task: TaskKey) -> TaskPlan:
             if task.job_id == LASTING_JOB:
@@ -110,7 +110,7 @@
         self._check(cause_failure)
 
     def test_owner_is_killed_while_the_task_waits(self) -> None:
-        """The next owner counts the wait from before its own beginning."""
+        """The next owner counts the time that the task waited under the previous one."""
 
         async def cause_failure(platform: PlatformStandin) -> None:
             platform.crash_host(get_first_host(platform).record.id)
--- a/tests/functional/test_late_gangs.py
+++ b/tests/functional/test_late_gangs.py
@@ -1,8 +1,8 @@
 """A gang whose job is late gets hosts for all of its members.
 
-Of drawn days on which hosts crash, some gangs of three tasks, no two of which may share a host,
-waited for good in a pool of two hosts with others in reserve: a late job counts by a quarter of
-its room, so three such tasks asked for three quarters of a host.
+Demand counts late jobs with a quarter of their resources.  A late gang of three tasks that may not
+share a host then requested three quarters of a host, and waited forever in a pool of two hosts
+with others in reserve.  This was found on randomly drawn days with host crashes:
 
     282 undone ('0000000000000018 JobStatus.RUNNING', '0000000000000035 JobStatus.RUNNING')
     hosts [('i-19', 0 runs, 'answering'), ('i-48', 0 runs, 'answering')]
@@ -21,14 +21,14 @@
 from tests.lib.virtual import run_virtual
 
 GANG = StepSpec(3, cpu_millicores=1000, memory_mb=100, is_gang=True, per_host_max=1)
-# Each of these takes a host of its own.
+# Each member needs a host of its own.
 LARGE_GANG = StepSpec(3, cpu_millicores=12_000, memory_mb=100, is_gang=True)
-# A queue whose jobs are late from the moment they are handed in.
+# A queue whose jobs are late as soon as they are submitted.
 LATE_QUEUE = replace(QUEUE, stretch=0.1, latency_target_ms=0)
 
 
 def plan_large(task: TaskKey) -> TaskPlan:
-    """Have each task take most of a host for a second."""
+    """Plan tasks that use most of a host for 1 s."""
     return TaskPlan(1.0, Resources(12_000, 100), gang_size=LARGE_GANG.task_count)
 
 
--- a/tests/functional/test_room_and_spread.py
+++ b/tests/functional/test_room_and_spread.py
@@ -1,4 +1,4 @@
-"""Tasks that wait for room, and lasting ones that are spread over hosts."""
+"""Tasks that wait for capacity, and lasting tasks that are spread over hosts."""
 
 from testtools import TestCase
 
@@ -33,7 +33,7 @@
 
 
 class SpreadTest(TestCase):
-    """Lasting tasks of which a host may carry only a few."""
+    """Lasting tasks with a limit per host."""
 
     STEP = StepSpec(
         5,
--- a/tests/functional/test_room_on_a_host.py
+++ b/tests/functional/test_room_on_a_host.py
@@ -1,4 +1,7 @@
-"""Tasks for which a pool has room in sum, but on none of its hosts."""
+"""Tasks that fit on none of a pool's hosts, although its free resources in total suffice.
+
+The planner must fetch or retain a host for them: the sum of resources shows no need for one.
+"""
 
 import asyncio
 
@@ -22,10 +25,11 @@
 )
 from tests.lib.virtual import run_virtual
 
-# What a host that is fetched takes at most: a step of the steward, the move of 1.5 s, its
-# entry in the store, a first look at it and a record of the run.
+# The longest time until a task runs on a fetched host: a step of the steward, the move of 1.5 s,
+# the host's entry in the store, its first poll and the record of the run.
 FETCHED_S = 2.5
-# What a host that is taken back takes: two steps of the steward, and a record of the run.
+# The longest time until a task runs on a vacating host that is retained: two steps of the
+# steward and the record of the run.
 RETAINED_S = 0.6
 # Lasting tasks that may not share a host and leave 10 of 16 cores and 15 of 32 GB.
 SPREAD = StepSpec(
@@ -38,12 +42,12 @@
     has_not_running_limit=True,
 )
 WIDE = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000)
-# It fits only where no lasting task is, and leaves room for a wide one.
+# Fits only on a host without a lasting task, and leaves capacity for a WIDE task there.
 BESIDE_NONE = StepSpec(1, cpu_millicores=1_000, memory_mb=15_500, estimate_ms=6_000)
 
 
 async def start(hosts: int, reserve: int, lasting: JobSpec, ending_s: float) -> PlatformStandin:
-    """Start a platform whose hosts carry lasting tasks; other tasks end after ``ending_s``."""
+    """Start a platform whose hosts run lasting tasks; other tasks end after ``ending_s``."""
     lasting_ids = {lasting.job_id, *LASTING_IDS}
 
     def plan(task: TaskKey) -> TaskPlan:
@@ -56,19 +60,19 @@
     return platform
 
 
-# Ids of further jobs of the tests whose tasks last.
+# Ids of further jobs with lasting tasks.
 LASTING_IDS = frozenset(make_job(number).job_id for number in range(100, 110))
 
 
 async def wait_for_starts(
     platform: PlatformStandin, spec: JobSpec, count: int, limit_s: float = 6
 ) -> float:
-    """Wait until so many runs of a job have begun; return how long that took."""
+    """Wait until ``count`` runs of a job have started; return how long that took."""
     return await wait_until(lambda: count_starts(platform, spec) >= count, limit_s)
 
 
 def count_starts(platform: PlatformStandin, spec: JobSpec) -> int:
-    """Count the runs of a job that have begun."""
+    """Count the runs of a job that have started."""
     return sum(run.task.job_id == spec.job_id for run in platform.hosts.ledger.runs)
 
 
@@ -83,7 +87,7 @@
 
 
 def count_vacating(platform: PlatformStandin) -> int:
-    """Count the pool's hosts that are being emptied."""
+    """Count the pool's hosts that are being vacated."""
     owner = platform.nodes[get_owner(platform) or ""].assembled.owned.owners[POOL]
     now_s = asyncio.get_running_loop().time()
     return sum(now_s < host.vacating_until_s for host in owner.jobs.hosts.values())
@@ -105,7 +109,7 @@
         async def work() -> None:
             spread = make_job(1, SPREAD)
             platform = await start(3, 3, spread, ending_s=1.0)
-            # The job is late from the beginning: only a part of its room is asked for.
+            # The job is late from the start, so hosts are requested for only a part of it.
             wide = make_job(2, StepSpec(5, cpu_millicores=13_000, memory_mb=1_000))
             await hand_in(platform, "node0", wide)
             took_s = await wait_for_status(platform, wide.job_id, JobStatus.SUCCEEDED)
@@ -113,7 +117,7 @@
             await wait_until(lambda: count_machines(platform) == 3, limit_s=3)
             await asyncio.sleep(3)
             self.assertEqual(3, count_machines(platform))
-            # None of the lasting tasks was moved for it.
+            # None of the lasting tasks was moved.
             self.assertEqual(3, count_starts(platform, spread))
             self.assertEqual([], find_breaks(platform))
 
@@ -151,7 +155,7 @@
 
 
 class RestrictedTasksTest(TestCase):
-    """Tasks that something else keeps off the hosts that have room for them."""
+    """Tasks that a label or a limit per host excludes from the hosts with enough capacity."""
 
     def test_host_is_fetched_if_hosts_with_capacity_are_at_their_limit_of_tasks(self) -> None:
         async def work() -> None:
--- a/tests/lib/turns.py
+++ b/tests/lib/turns.py
@@ -1,7 +1,7 @@
-"""Queues whose demand comes in turns, on fewer machines than their pools want together.
+"""Queues whose demand peaks in turns, on fewer machines than their pools need together.
 
-A fluid model around the real planner: a host does one host second of work a second, newest
-jobs that can be on time first; machines take as long to empty and to move as real ones.
+This is a fluid model around the real planner: a host does one host-second of work per second,
+jobs that can be on time first.  Machines take as long to vacate and to move as real ones.
 """
 
 from collections import deque
@@ -19,20 +19,20 @@
 RESERVE: Final = "reserve"
 STEP_S: Final = 0.1
 TURN_S: Final = 5.0
-# What runs on a host as it is to be emptied, and how long a machine is away.
+# Time until the last run on a vacating host has ended, and time that a move takes.
 VACATE_S: Final = 1.0
 MOVE_S: Final = 1.8
-# A job that waits for longer is late: its stretch leaves it so much.
+# A job that waits longer than this is late: its stretch leaves it this much slack.
 SLACK_S: Final = 1.2
 LATE_SHARE: Final = 0.25
 BACKLOG_DRAIN_S: Final = 2.0
-# Demand in a queue's turn against that between its turns.
+# Ratio of a queue's demand during its peak to its demand at other times.
 PEAK_RATIO: Final = 100.0
 
 
 @dataclass
 class TurnPool:
-    """A pool: its hosts, its backlog by second of arrival, and what became of its work."""
+    """A pool: its hosts, its backlog by time of arrival, and how much work was done on time."""
 
     name: str
     hosts: set[str] = field(default_factory=set)
@@ -43,12 +43,12 @@
     waits_s: list[float] = field(default_factory=list)
 
     def add_work(self, now_s: float, work: float) -> None:
-        """Take work in."""
+        """Add arriving work to the backlog."""
         self.requested += work
         self.backlog.append([now_s, work])
 
     def work(self, now_s: float) -> None:
-        """Work the backlog off for one step; what is late comes last."""
+        """Process the backlog for one step; late work comes last."""
         left = STEP_S * sum(host not in self.vacating_since_s for host in self.hosts)
         recent = [row for row in self.backlog if now_s - row[0] <= SLACK_S]
         late = [row for row in self.backlog if now_s - row[0] > SLACK_S]
@@ -61,7 +61,7 @@
         self.backlog = deque(row for row in self.backlog if row[1] > 1e-9)
 
     def report(self, now_s: float, rate: float) -> PoolReport:
-        """Tell what the pool needs."""
+        """Return the pool's report with its demand."""
         recent = sum(work for at_s, work in self.backlog if now_s - at_s <= SLACK_S)
         late = sum(work for at_s, work in self.backlog if now_s - at_s > SLACK_S)
         urgent = _as_resources(rate + recent / BACKLOG_DRAIN_S)
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class TurnsResult:
-    """Shares of the work done in time, by pool; moves; longest wait of a turn for hosts."""
+    """Shares of work done on time, by pool and in total; moves; longest wait for hosts."""
 
     on_time: dict[str, float]
     total_on_time: float
@@ -90,7 +90,7 @@
 
 
 def play_turns(policy: FleetPolicy, machines: int, wanted: float, turns: int) -> TurnsResult:
-    """Play turns of four pools, each of which wants so many hosts in its own."""
+    """Simulate turns of four pools, each of which needs ``wanted`` hosts at its peak."""
     pools = [TurnPool(f"p{number}") for number in range(4)]
     for number in range(machines):
         pools[number % 4].hosts.add(f"m{number:03}")
@@ -130,10 +130,10 @@
 
 
 def get_oracle_share(machines: int, wanted: float) -> float:
-    """Return the share that could be in time with all demand known.
+    """Return the share of work that could be on time if all demand were known in advance.
 
-    Each turn's pool has all machines but two of each other pool from its first moment on; the
-    machines are away for a move's time before that, at the cost of the turn before.
+    In each turn its pool has all machines but two of each other pool from the start.  The
+    machines move before that, at the cost of the previous turn.
     """
     served = min(wanted, machines - 6) * (TURN_S - min(MOVE_S, TURN_S))
     served += min(wanted, (machines - 6) / 2) * MOVE_S
@@ -141,7 +141,7 @@
 
 
 def _record_wait(pool: TurnPool, since_s: float, wanted: float) -> None:
-    """Note for how long a turn waits until its pool has a quarter of what it wants."""
+    """Record the time until the peak's pool has a quarter of the hosts that it needs."""
     if len(pool.hosts) >= wanted / 4:
         if not pool.waits_s or since_s < pool.waits_s[-1]:
             pool.waits_s.append(since_s)
