--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -89,7 +89,7 @@
             orders += [MoveOrder(machine, pool.name) for machine in acquired]
             shortage = _count_missing(view, pool, size, vacating, capacity)
             shortages[pool.name] = max(0, shortage - len(acquired))
-        orders += self._order_emptied(view, sizes, slots, shortages)
+        orders += self._order_vacated(view, sizes, slots, shortages)
         if not self._policy.upkeep_first:
             orders += _order_upkeep(view, reserve, slots)
         return FleetPlan(tuple(orders), self._vacating, wanted, sizes)
@@ -186,7 +186,7 @@
             return frozenset()
         return frozenset([host.machine for host in due if not host.is_needed][:1])
 
-    def _order_emptied(
+    def _order_vacated(
         self,
         view: FleetView,
         sizes: dict[str, PoolSize],
@@ -204,7 +204,7 @@
             vacating = self._vacating[pool.name]
             spare = _count_serving(pool, vacating, view.leaving) - sizes[pool.name].keep_count
             for host in pool.hosts:
-                if not _is_emptied(host, vacating, view.ordered):
+                if not _is_vacated(host, vacating, view.ordered):
                     continue
                 wave = next((wave for wave in view.waves if host.machine in wave.pending), None)
                 is_urgent = wave is not None and _is_short_of_time(wave)
@@ -233,7 +233,7 @@
         return name
 
 
-def _is_emptied(host: HostStatus, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
+def _is_vacated(host: HostStatus, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
     return (
         host.machine in vacating
         and host.machine not in ordered
