--- a/src/robinthread/_internal/jobs/host_requirements.py
+++ b/src/robinthread/_internal/jobs/host_requirements.py
@@ -19,8 +19,8 @@
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
-# At most this many steps are considered, the largest first, since each is compared with every
-# host.  The others are considered once these have started.
+# At most this many steps are considered, lasting ones first, then the largest, since each is
+# compared with every host.  The others are considered once these have started.
 STEPS_MAX: Final = 20
 # Task counts and shares of a host's time below this are rounding errors.
 SHARE_MIN: Final = 1e-6
