--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -77,17 +77,19 @@
         self._policy = policy
         self._arrivals_s: deque[float] = deque()
         self._mean_work: ResourceVector | None = None
-        self._mean_chain_s = 0.0
+        self._mean_critical_path_s = 0.0
 
     def record_job(self, job: Job, times: RunTimes, now_s: float) -> None:
         """Add a submitted job to the arrival statistics; lasting and timed jobs don't count."""
         if job.spec.is_lasting or job.spec.is_timed:
             return
-        work, chain_s = estimate_work(job, times), get_critical_path_s(job, times)
+        work, critical_path_s = estimate_work(job, times), get_critical_path_s(job, times)
         if self._mean_work is None:
-            self._mean_work, self._mean_chain_s = work, chain_s
+            self._mean_work, self._mean_critical_path_s = work, critical_path_s
         self._mean_work = self._mean_work.scale(1 - MEAN_JOB_WEIGHT) + work.scale(MEAN_JOB_WEIGHT)
-        self._mean_chain_s += MEAN_JOB_WEIGHT * (chain_s - self._mean_chain_s)
+        self._mean_critical_path_s += MEAN_JOB_WEIGHT * (
+            critical_path_s - self._mean_critical_path_s
+        )
         self._arrivals_s.append(now_s)
 
     def forecast(self, pool: PoolJobs, now_s: float, now_ms: int) -> Demand:
@@ -140,7 +142,9 @@
         known = (
             step.resources for step in forecasts if step.begins_in_s <= ahead_s < step.ends_in_s
         )
-        started_share = min(1.0, ahead_s / self._mean_chain_s) if self._mean_chain_s else 0.0
+        started_share = (
+            min(1.0, ahead_s / self._mean_critical_path_s) if self._mean_critical_path_s else 0.0
+        )
         return sum(known, start=ZERO_VECTOR) + arriving.scale(started_share)
 
     def _forecast_all(
--- a/src/robinthread/_internal/jobs/placement.py
+++ b/src/robinthread/_internal/jobs/placement.py
@@ -62,8 +62,10 @@
 
 def get_usable_or_vacating_hosts(pool: PoolJobs, now_s: float) -> list[Host]:
     """Return the hosts that accept work, and those that would if they were not being vacated."""
-    doubted = list_unresponsive(pool, now_s)
-    hosts = [host for host in pool.hosts.values() if host.is_eligible() and host.id not in doubted]
+    unresponsive = list_unresponsive(pool, now_s)
+    hosts = [
+        host for host in pool.hosts.values() if host.is_eligible() and host.id not in unresponsive
+    ]
     return _prefer_healthy(hosts, now_s)
 
 
