--- a/bench/drawn_rooms.py
+++ b/bench/drawn_rooms.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from tests.lib.drawn_rooms import RoomFindings, find_on_room_day
+from tests.lib.drawn_rooms import CapacityFindings, find_on_capacity_day
 
 from bench.drawn import DAYS, FIRST_SEED, play_drawn
 from bench.result import BenchResult
@@ -10,10 +10,10 @@
 
 def run_drawn_rooms(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
     """Play days from a seed on; print each that is not clean, and count what was found."""
-    return play_drawn("drawn_rooms", find_on_room_day, first_seed, days, _count)
+    return play_drawn("drawn_rooms", find_on_capacity_day, first_seed, days, _count)
 
 
-def _count(found: Sequence[RoomFindings]) -> dict[str, float]:
+def _count(found: Sequence[CapacityFindings]) -> dict[str, float]:
     return {
         "breaks": sum(len(day.breaks) for day in found),
         "jobs_not_ended": sum(len(day.undone) for day in found),
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -32,7 +32,7 @@
 # So late that the host's entry in the store has gone before its lease is surely over.
 LATE_RESTART_S = 4.0
 # How long all nodes are without power.
-AWAY_S = 1.0
+POWER_LOSS_S = 1.0
 # No lease that an owner granted lasts so long: 6 s without the store, and 4.2 s.
 LONG_AGO_S = 12.0
 # Longer than any wait that follows from a lease.
@@ -46,70 +46,70 @@
     names = list(platform.nodes)
     for name in names:
         platform.kill_node(name)
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(POWER_LOSS_S)
     for name in names:
         platform.start_node(name)
 
 
 class LastingAgainTest(TestCase):
-    def _check(self, bring_about: Callable[[PlatformStandin], Awaitable[None]]) -> None:
+    def _check(self, cause_failure: Callable[[PlatformStandin], Awaitable[None]]) -> None:
         """Bring trouble about; a task must run again in time, and never twice."""
 
         async def work() -> None:
             platform = await start_lasting()
-            await bring_about(platform)
+            await cause_failure(platform)
             await asyncio.sleep(WATCH_S)
             self.assertEqual([], find_breaks(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
 
         run_virtual(work())
 
-    def test_host_lost_for_good_as_the_owner_is_killed(self) -> None:
-        async def bring_about(platform: PlatformStandin) -> None:
+    def test_host_lost_permanently_as_the_owner_is_killed(self) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             platform.crash_host(get_first_host(platform).record.id)
             await restart_owner(platform)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
-    def test_host_and_owner_lost_for_good_at_once(self) -> None:
+    def test_host_and_owner_lost_permanently_at_once(self) -> None:
         """Nobody is left at the owner's address to tell that it has stopped."""
 
-        async def bring_about(platform: PlatformStandin) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             platform.crash_host(get_first_host(platform).record.id)
             kill_owner(platform)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
-    def test_host_lost_in_a_stop_of_all_nodes_long_after_an_owner_was_lost(self) -> None:
+    def test_host_lost_during_a_stop_of_all_nodes_long_after_an_owner_was_lost(self) -> None:
         """The nodes read of that owner when they begin anew; its leases are over by then."""
 
-        async def bring_about(platform: PlatformStandin) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             kill_owner(platform)
             await asyncio.sleep(LONG_AGO_S)
             platform.crash_host(get_first_host(platform).record.id)
             await lose_power(platform)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
     def test_owner_killed_while_a_host_is_cut_off(self) -> None:
-        async def bring_about(platform: PlatformStandin) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             cut_host(platform, get_first_host(platform))
             await asyncio.sleep(3)
             await restart_owner(platform)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
     def test_two_owners_killed_one_after_the_other(self) -> None:
-        async def bring_about(platform: PlatformStandin) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             cut_host(platform, get_first_host(platform))
             await asyncio.sleep(2)
             for _ in range(2):
                 await restart_owner(platform)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
-    def test_host_that_is_chosen_next_has_just_gone_as_well(self) -> None:
-        async def bring_about(platform: PlatformStandin) -> None:
+    def test_next_host_is_lost_as_well(self) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             lost = get_first_host(platform)
             platform.crash_host(lost.record.id)
             await restart_owner(platform)
@@ -121,19 +121,19 @@
             for number in range(2):
                 platform.machines.add(POOL, f"r{number}", HOST_CAPACITY)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
     def test_owner_cut_off_for_a_while_as_a_host_is_lost(self) -> None:
-        async def bring_about(platform: PlatformStandin) -> None:
+        async def cause_failure(platform: PlatformStandin) -> None:
             platform.crash_host(get_first_host(platform).record.id)
             owner = next(name for name in platform.nodes if _owns(platform, name))
             platform.cut_node(owner)
             await asyncio.sleep(3)
             platform.heal_node(owner)
 
-        self._check(bring_about)
+        self._check(cause_failure)
 
-    def test_owner_that_still_reaches_a_host_is_waited_for(self) -> None:
+    def test_lasting_tasks_wait_for_an_owner_that_still_reaches_their_host(self) -> None:
         """The owner is cut off from the store, and is the only one that reaches a host."""
 
         async def work(peers_are_cut: bool) -> None:
@@ -159,7 +159,7 @@
         for peers_are_cut in (True, False):
             run_virtual(work(peers_are_cut))
 
-    def test_pool_full_of_small_tasks_makes_room_for_a_large_one(self) -> None:
+    def test_pool_full_of_small_tasks_frees_capacity_for_a_large_one(self) -> None:
         """A host is lost; the others have room for a small task whenever one ends."""
 
         def plan(task: TaskKey) -> TaskPlan:
@@ -167,24 +167,24 @@
                 return TaskPlan(None, LARGE.resources)
             return TaskPlan(1.0 + 0.13 * task.index, SMALL.resources)
 
-        async def feed(platform: PlatformStandin) -> None:
+        async def submit_jobs(platform: PlatformStandin) -> None:
             for number in itertools.count(LASTING_NUMBER + 1):
                 await hand_in(platform, next(iter(platform.nodes)), make_job(number, SMALL))
                 await asyncio.sleep(0.25)
 
         async def work() -> None:
             platform = await start_lasting(hosts=3, step=LARGE, plan_task=plan)
-            feeding = asyncio.create_task(feed(platform))
+            submitting = asyncio.create_task(submit_jobs(platform))
             await asyncio.sleep(3)
             platform.crash_host(get_first_host(platform).record.id)
             await asyncio.sleep(WATCH_S)
-            feeding.cancel()
+            submitting.cancel()
             self.assertEqual([], find_breaks(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
 
         run_virtual(work())
 
-    def test_host_that_was_lost_is_not_taken_for_one_that_comes(self) -> None:
+    def test_lost_host_is_not_treated_as_an_arriving_one(self) -> None:
         """The store lists it no more, the machines' list does; a host is still needed for it."""
 
         async def work() -> None:
@@ -201,7 +201,7 @@
 
         run_virtual(work())
 
-    def test_host_that_came_for_a_lost_one_stays_when_all_nodes_begin_anew(self) -> None:
+    def test_replacement_of_a_lost_host_stays_after_a_restart_of_all_nodes(self) -> None:
         """The machines' list shows the lost one as up; no node has seen its pool name it."""
 
         async def work() -> None:
@@ -218,7 +218,7 @@
 
         run_virtual(work())
 
-    def test_lost_host_that_was_the_last_one_moved_is_replaced_by_one(self) -> None:
+    def test_lost_host_that_was_moved_last_is_replaced_once(self) -> None:
         """The last steward ordered its machine long before it was lost, and nothing since."""
 
         async def work() -> None:
--- a/tests/functional/test_rooms_that_change.py
+++ b/tests/functional/test_rooms_that_change.py
@@ -36,7 +36,7 @@
 GANG = StepSpec(8, cpu_millicores=1000, memory_mb=100, is_gang=True)
 COPIED = StepSpec(8, cpu_millicores=1000, memory_mb=100, allows_copies=True)
 # Longer than a room that has shrunk may be unknown.
-KNOWN_S = 5.0
+CHANGE_KNOWN_S = 5.0
 
 
 async def start_unchecked(hosts: int = 1) -> PlatformStandin:
@@ -51,8 +51,8 @@
     return next(iter(platform.hosts.hosts.values()))
 
 
-class RoomsThatChangeTest(TestCase):
-    def test_host_that_shrinks_gets_no_more_than_it_has_room_for(self) -> None:
+class ChangingCapacityTest(TestCase):
+    def test_host_that_shrinks_is_not_overcommitted(self) -> None:
         async def work() -> None:
             platform = await start_unchecked()
             specs = [make_job(number, FULL) for number in range(1, 4)]
@@ -78,7 +78,7 @@
 
         run_virtual(work())
 
-    def test_starts_that_wait_for_their_turn_are_not_sent_to_a_host_that_has_shrunk(self) -> None:
+    def test_queued_starts_are_not_sent_to_a_host_that_has_shrunk(self) -> None:
         for step in (FULL, GANG, COPIED):
             run_virtual(self._shrink_while_starts_wait(step))
 
@@ -90,19 +90,19 @@
         await hand_in(platform, "node0", spec)
         await asyncio.sleep(0.1)
         platform.resize_host(get_host(platform).record.id, Resources(2_000, 32_000))
-        await asyncio.sleep(KNOWN_S)
+        await asyncio.sleep(CHANGE_KNOWN_S)
         platform.hosts.faults.lost_share = 0.0
         await asyncio.sleep(2)
         self.assertEqual([], find_breaks(platform))
 
-    def test_room_that_may_have_shrunk_unseen_is_not_used(self) -> None:
+    def test_hosts_with_an_unread_capacity_get_no_work(self) -> None:
         """The entries of hosts can't be read, while the store serves all else."""
 
         async def work() -> None:
             platform = await start_unchecked()
             platform.store.unreadable_topics.add(HOSTS.topic)
             platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(CHANGE_KNOWN_S)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
             await asyncio.sleep(3)
@@ -112,18 +112,18 @@
 
         run_virtual(work())
 
-    def test_hosts_that_check_their_room_are_used_whatever_can_be_read(self) -> None:
+    def test_hosts_that_check_their_capacity_get_work_without_a_recent_read(self) -> None:
         async def work() -> None:
             platform = await start_platform(hosts=1)
             platform.store.unreadable_topics.add(HOSTS.topic)
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(CHANGE_KNOWN_S)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
             self.assertLess(await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED), 2.0)
 
         run_virtual(work())
 
-    def test_next_owner_sends_no_more_than_there_is_room_for(self) -> None:
+    def test_next_owner_does_not_overcommit_hosts(self) -> None:
         async def work() -> None:
             platform = await start_unchecked(hosts=2)
             specs = [make_job(number, FULL) for number in range(1, 5)]
@@ -137,19 +137,19 @@
 
         run_virtual(work())
 
-    def test_rooms_that_change_all_the_while_are_kept_to(self) -> None:
+    def test_capacities_that_change_continuously_are_not_exceeded(self) -> None:
         """Also where a run is stopped: until it has ended its room is taken."""
 
         async def work() -> None:
             platform = await start_unchecked(hosts=3)
-            rooms = itertools.cycle((SMALL_CAPACITY, HOST_CAPACITY, Resources(9_000, 32_000)))
+            capacities = itertools.cycle((SMALL_CAPACITY, HOST_CAPACITY, Resources(9_000, 32_000)))
             specs = [make_job(number, FULL) for number in range(1, 13)]
 
             async def change() -> None:
                 while True:
                     await asyncio.sleep(0.7)
                     for host in platform.hosts.hosts.values():
-                        platform.resize_host(host.record.id, next(rooms))
+                        platform.resize_host(host.record.id, next(capacities))
 
             changing = asyncio.create_task(change())
             platform.hosts.faults.lost_share, platform.hosts.faults.late_s = 0.2, (0.5, 3.0)
--- a/tests/functional/test_wave_short_of_time.py
+++ b/tests/functional/test_wave_short_of_time.py
@@ -40,17 +40,17 @@
     for number in range(3):
         platform.start_node(f"node{number}")
     await asyncio.sleep(2)
-    feeding = asyncio.create_task(feed_in_turns(platform, JOB_PERIOD_S))
+    submitting = asyncio.create_task(feed_in_turns(platform, JOB_PERIOD_S))
     await asyncio.sleep(4)
     platform.ask_for_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
     await asyncio.sleep(DURATION_S)
-    feeding.cancel()
+    submitting.cancel()
     waves = platform.machines.waves
     return waves.down_peak[WAVE], len(waves.begun[WAVE])
 
 
 class WaveShortOfTimeTest(TestCase):
-    def test_reserve_and_pools_are_given_each_place_once(self) -> None:
+    def test_each_upkeep_slot_is_used_once_by_reserve_and_pools(self) -> None:
         for at_once_max in (2, 6):
             found = run_virtual(_play(at_once_max))
             self.assertEqual((at_once_max, len(IN_POOLS) + IN_RESERVE), found)
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -26,20 +26,20 @@
 
 # Jobs of four tasks of two cores, a second each: so many ask for six times the limit, and
 # for most of it.
-FLOOD_PER_S = 24.0
-TURN_PER_S = 3.5
+OVERLOAD_PER_S = 24.0
+PEAK_PER_S = 3.5
 # Rules allow a task of a workspace under half of its limit to wait so long where there is room.
 WAIT_MAX_S = 3.0
-FALLEN = Resources(12_000, 0)
+LOWERED_LIMIT = Resources(12_000, 0)
 
 
 class WorkspaceLimitsTest(TestCase):
-    def test_flood_in_all_pools_stays_within_the_limit_and_uses_most_of_it(self) -> None:
+    def test_overload_in_all_pools_stays_within_the_limit_and_uses_most_of_it(self) -> None:
         async def work() -> None:
             platform = await start_limited()
             feeder, samples = Feeder(platform), list[UseSample]()
             sampling = asyncio.create_task(keep_sampling(platform, MAPS, LIMIT, samples))
-            await asyncio.gather(*(feeder.feed(MAPS, pool, FLOOD_PER_S, 6) for pool in POOLS))
+            await asyncio.gather(*(feeder.feed(MAPS, pool, OVERLOAD_PER_S, 6) for pool in POOLS))
             sampling.cancel()
             self.assertEqual([], find_breaks(platform))
             steady = [sample.part for sample in samples[20:]]
@@ -47,7 +47,7 @@
 
         run_virtual(work())
 
-    def test_pool_in_its_turn_gets_most_of_the_limit_and_the_next_one_after_it(self) -> None:
+    def test_pool_at_its_peak_gets_most_of_the_limit_and_then_the_next_pool(self) -> None:
         async def work() -> None:
             platform = await start_limited()
             feeder, reached = Feeder(platform), dict[str, float]()
@@ -55,7 +55,7 @@
                 began_at_s = asyncio.get_running_loop().time()
                 samples: list[UseSample] = []
                 sampling = asyncio.create_task(keep_sampling(platform, MAPS, LIMIT, samples))
-                await feeder.feed(MAPS, pool, TURN_PER_S, 5)
+                await feeder.feed(MAPS, pool, PEAK_PER_S, 5)
                 sampling.cancel()
                 reached[pool] = max(sample.by_pool[pool] for sample in samples)
                 first = min(one.at_s for one in samples if one.by_pool[pool] > 0)
@@ -69,17 +69,17 @@
         async def work() -> None:
             platform = await start_limited()
             feeder = Feeder(platform)
-            flood = asyncio.create_task(feeder.feed(MAPS, "press", FLOOD_PER_S, 6))
+            overload = asyncio.create_task(feeder.feed(MAPS, "press", OVERLOAD_PER_S, 6))
             await asyncio.sleep(3)
             spec = await feeder.hand_in(SHOP, "press")
             assert spec is not None
             took_s = await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             self.assertLess(took_s, 2.0)
-            await flood
+            await overload
 
         run_virtual(work())
 
-    def test_fallen_limit_stops_starts_until_enough_has_ended(self) -> None:
+    def test_lowered_limit_stops_starts_until_enough_runs_have_ended(self) -> None:
         async def work() -> None:
             platform = await start_limited()
             feeder = Feeder(platform)
@@ -87,21 +87,21 @@
             for _ in range(3):
                 await feeder.hand_in(MAPS, "press", is_lasting=True)
             await wait_until(lambda: sample_use(platform, MAPS, LIMIT).part > 0.6)
-            flood = [asyncio.create_task(feeder.feed(MAPS, pool, 2.0, 14)) for pool in POOLS]
+            overload = [asyncio.create_task(feeder.feed(MAPS, pool, 2.0, 14)) for pool in POOLS]
             await asyncio.sleep(3)
-            configure(platform, 2, FALLEN)
+            configure(platform, 2, LOWERED_LIMIT)
             await asyncio.sleep(5)
-            held = sample_use(platform, MAPS, FALLEN)
+            held = sample_use(platform, MAPS, LOWERED_LIMIT)
             # What lasts goes on, and nothing is begun beside it.
             self.assertAlmostEqual(24 / 12, held.part, places=3)
             configure(platform, 3, LIMIT)
             await wait_until(lambda: sample_use(platform, MAPS, LIMIT).part > 0.8, WAIT_MAX_S)
-            await asyncio.gather(*flood)
+            await asyncio.gather(*overload)
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
 
-    def test_owner_that_the_steward_cannot_reach_begins_by_the_part_never_lent(self) -> None:
+    def test_owner_that_the_steward_cannot_reach_uses_the_reserved_share(self) -> None:
         async def work() -> None:
             platform = await start_limited()
             feeder, steward = Feeder(platform), get_steward(platform)
@@ -121,10 +121,10 @@
 
         run_virtual(work())
 
-    def test_lines_and_gauge_tell_why_work_waits_and_what_its_workspace_takes(self) -> None:
+    def test_logs_and_gauge_show_why_jobs_wait_and_the_usage_of_their_workspace(self) -> None:
         async def work() -> None:
             platform = await start_limited()
-            await Feeder(platform).feed(MAPS, "press", FLOOD_PER_S, 4)
+            await Feeder(platform).feed(MAPS, "press", OVERLOAD_PER_S, 4)
             name = get_owner(platform, "press")
             assert name is not None
             parts = platform.nodes[name].assembled.status_reporter.read_workspace_parts()
@@ -140,7 +140,7 @@
 
         run_virtual(work())
 
-    def test_limit_of_one_task_lets_pools_begin_one_after_the_other(self) -> None:
+    def test_limit_of_one_task_lets_pools_start_tasks_in_turn(self) -> None:
         async def work() -> None:
             platform = await start_limited(limit=TASK_RESOURCES)
             feeder = Feeder(platform)
@@ -152,18 +152,18 @@
 
         run_virtual(work())
 
-    def test_steward_and_an_owner_lost_at_once_leave_the_limit_whole(self) -> None:
+    def test_limit_holds_after_the_loss_of_steward_and_an_owner(self) -> None:
         async def work() -> None:
             platform = await start_limited()
             feeder, samples = Feeder(platform), list[UseSample]()
-            flood = [asyncio.create_task(feeder.feed(MAPS, pool, 10.0, 14)) for pool in POOLS]
+            overload = [asyncio.create_task(feeder.feed(MAPS, pool, 10.0, 14)) for pool in POOLS]
             await asyncio.sleep(3)
             lost = {get_steward(platform), get_owner(platform, "cards")} - {None}
             for name in lost:
                 assert name is not None
                 platform.kill_node(name)
             sampling = asyncio.create_task(keep_sampling(platform, MAPS, LIMIT, samples))
-            await asyncio.gather(*flood)
+            await asyncio.gather(*overload)
             sampling.cancel()
             self.assertEqual([], find_breaks(platform))
             self.assertGreater(samples[-1].part, 0.5)
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class RoomChange:
+class CapacityChange:
     """A host has another room from ``at_s`` on; ``target`` picks, by its rest, which."""
 
     at_s: float
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class RoomDay:
+class CapacityDay:
     """A day: its hosts, its jobs, how rooms change, and what goes wrong.
 
     ``unread`` are the spans in which nobody can read the hosts' entries, and all else works;
@@ -79,14 +79,14 @@
     heartbeat_s: float
     work_s: float
     specs: tuple[JobSpec, ...]
-    changes: tuple[RoomChange, ...]
+    changes: tuple[CapacityChange, ...]
     troubles: tuple[Trouble, ...]
     unread: tuple[Span, ...]
     undone: tuple[Span, ...]
 
 
 @dataclass(frozen=True)
-class RoomFindings:
+class CapacityFindings:
     """What was seen on a day and must not be."""
 
     seed: int
@@ -99,11 +99,11 @@
         return not (self.breaks or self.undone)
 
 
-def draw_room_day(seed: int) -> RoomDay:
+def draw_capacity_day(seed: int) -> CapacityDay:
     """Draw a day from its seed alone."""
     drawn = random.Random(seed)
     specs = tuple(make_job(number + 10, *drawn.choice(SHAPES)) for number in range(JOBS))
-    return RoomDay(
+    return CapacityDay(
         seed,
         drawn.choice((1, 3, 6)),
         drawn.choice(HEARTBEATS_S),
@@ -116,15 +116,15 @@
     )
 
 
-def find_on_room_day(seed: int) -> RoomFindings:
+def find_on_capacity_day(seed: int) -> CapacityFindings:
     """Play the day of a seed on virtual time; that it does not go on is found as well."""
     try:
-        return run_virtual(play_room_day(draw_room_day(seed)))
+        return run_virtual(play_capacity_day(draw_capacity_day(seed)))
     except AssertionError as error:
-        return RoomFindings(seed, (), (str(error),))
+        return CapacityFindings(seed, (), (str(error),))
 
 
-async def play_room_day(day: RoomDay) -> RoomFindings:
+async def play_capacity_day(day: CapacityDay) -> CapacityFindings:
     """Play a day, and tell what was found."""
 
     def plan(task: TaskKey) -> TaskPlan:
@@ -132,12 +132,12 @@
         gang_size = step.task_count if step.is_gang else 0
         return TaskPlan(day.work_s, step.resources, gang_size=gang_size)
 
-    pools = tuple(_let_start_whatever(pool) for pool in POOLS)
+    pools = tuple(_disable_capacity_check(pool) for pool in POOLS)
     platform = await start_platform(plan, hosts=day.hosts, seed=day.seed, pools=pools)
     platform.hosts_check_room = False
     beating = asyncio.create_task(_keep_heartbeats(platform, day.heartbeat_s))
     feeding = asyncio.create_task(feed(platform, day.specs, JOB_PERIOD_S))
-    changing = asyncio.create_task(_change_rooms(platform, day.changes))
+    changing = asyncio.create_task(_change_capacities(platform, day.changes))
     await asyncio.gather(
         *(_play_trouble(platform, each) for each in day.troubles),
         *(_hide_entries(platform, span) for span in day.unread),
@@ -154,14 +154,14 @@
         for job_id, status in statuses.items()
         if status is None or not status.is_final
     ]
-    return RoomFindings(day.seed, tuple(_find_breaks(platform, day)), tuple(undone))
+    return CapacityFindings(day.seed, tuple(_find_breaks(platform, day)), tuple(undone))
 
 
-def _draw_changes(drawn: random.Random) -> Iterator[RoomChange]:
+def _draw_changes(drawn: random.Random) -> Iterator[CapacityChange]:
     period_s, at_s = drawn.choice(CHANGE_PERIODS_S), 0.0
     while at_s < LENGTH_S:
         capacity = Resources(drawn.choice(CPU_MILLICORES), HOST_CAPACITY.memory_mb)
-        yield RoomChange(at_s, drawn.randrange(1000), capacity)
+        yield CapacityChange(at_s, drawn.randrange(1000), capacity)
         at_s += drawn.uniform(0, period_s)
 
 
@@ -177,11 +177,11 @@
         yield at_s, at_s + drawn.uniform(1.0, 10.0)
 
 
-def _let_start_whatever(pool: PoolPolicy) -> PoolPolicy:
+def _disable_capacity_check(pool: PoolPolicy) -> PoolPolicy:
     return replace(pool, hosts_check_room=False)
 
 
-def _find_breaks(platform: PlatformStandin, day: RoomDay) -> list[str]:
+def _find_breaks(platform: PlatformStandin, day: CapacityDay) -> list[str]:
     """Return what the hosts saw and must never see; tasks that may have copies run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
     over = platform.hosts.ledger.overfull
@@ -192,7 +192,9 @@
     ]
 
 
-async def _change_rooms(platform: PlatformStandin, changes: tuple[RoomChange, ...]) -> None:
+async def _change_capacities(
+    platform: PlatformStandin, changes: tuple[CapacityChange, ...]
+) -> None:
     began_at_s = asyncio.get_running_loop().time()
     for change in changes:
         await asyncio.sleep(began_at_s + change.at_s - asyncio.get_running_loop().time())
