--- a/tests/functional/test_drawn_rooms.py
+++ b/tests/functional/test_drawn_rooms.py
@@ -1,7 +1,7 @@
-"""Drawn days of rooms that shrink and grow; ``python -m bench drawn_rooms`` plays more.
+"""Random days on which the capacities of hosts change; ``python -m bench drawn_rooms`` runs more.
 
-Starts brought a host over its room on the stand-in in two ways: they waited for their turn while
-it shrank, and the entries of hosts could not be read, while the store served all else.
+Starts exceeded a host's capacity on the stand-in in two ways: they were queued while the host
+shrank, or the entries of hosts could not be read while the store served all other requests.
 """
 
 from testtools import TestCase
@@ -9,11 +9,11 @@
 from tests.lib.drawn_rooms import find_on_capacity_day
 
 FRESH_SEEDS = (0, 3)
-# Days that tell where a part of the mend is missing, and which.
+# Days that fail if a part of the fix is missing, and that part.
 REGRESSION_SEEDS = {
-    20: "hosts whose entries have not been read for long get nothing",
-    47: "hosts whose entries have not been read for long get nothing",
-    61: "a start looks at its host's room again before it is sent",
+    20: "hosts whose entries have not been read recently get no work",
+    47: "hosts whose entries have not been read recently get no work",
+    61: "a start checks its host's capacity again before it is sent",
 }
 
 
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -1,4 +1,4 @@
-"""A lasting task runs again soon, whatever ended its last run."""
+"""A lasting task runs again in time after any failure that ended its last run."""
 
 import asyncio
 import itertools
@@ -29,11 +29,11 @@
 )
 from tests.lib.virtual import run_virtual
 
-# So late that the host's entry in the store has gone before its lease is surely over.
+# Late enough that the host's entry in the store is removed before its lease is certainly over.
 LATE_RESTART_S = 4.0
 # How long all nodes are without power.
 POWER_LOSS_S = 1.0
-# No lease that an owner granted lasts so long: 6 s without the store, and 4.2 s.
+# Longer than any lease that an owner granted: 6 s without the store, plus 4.2 s.
 LONG_AGO_S = 12.0
 # Longer than any wait that follows from a lease.
 WATCH_S = 25.0
@@ -42,7 +42,7 @@
 
 
 async def lose_power(platform: PlatformStandin) -> None:
-    """Kill all nodes at one moment and start them again."""
+    """Kill all nodes at once and start them again after ``POWER_LOSS_S``."""
     names = list(platform.nodes)
     for name in names:
         platform.kill_node(name)
@@ -53,7 +53,7 @@
 
 class LastingAgainTest(TestCase):
     def _check(self, cause_failure: Callable[[PlatformStandin], Awaitable[None]]) -> None:
-        """Bring trouble about; a task must run again in time, and never twice."""
+        """Cause a failure; each task must run again in time, and never twice at once."""
 
         async def work() -> None:
             platform = await start_lasting()
@@ -72,7 +72,7 @@
         self._check(cause_failure)
 
     def test_host_and_owner_lost_permanently_at_once(self) -> None:
-        """Nobody is left at the owner's address to tell that it has stopped."""
+        """No process is left at the owner's address that could report that it has stopped."""
 
         async def cause_failure(platform: PlatformStandin) -> None:
             platform.crash_host(get_first_host(platform).record.id)
@@ -81,7 +81,7 @@
         self._check(cause_failure)
 
     def test_host_lost_during_a_stop_of_all_nodes_long_after_an_owner_was_lost(self) -> None:
-        """The nodes read of that owner when they begin anew; its leases are over by then."""
+        """The restarted nodes find that owner in the store; its leases are over by then."""
 
         async def cause_failure(platform: PlatformStandin) -> None:
             kill_owner(platform)
@@ -142,14 +142,14 @@
             old = next(name for name in platform.nodes if _owns(platform, name))
             others = [name for name in platform.nodes if name != old]
             platform.hosts.cut_ways |= {(name, host.record.address) for name in others}
-            # Any other host would tell it of the next owner.
+            # Any other host would report the next owner to it.
             away = platform.hosts.hosts.keys() - {host.record.address}
             platform.hosts.cut_ways |= {(old, address) for address in away}
             platform.store.faults.silent.add(old)
             platform.cut_nodes.add(old)
             await wait_until(lambda: any(_owns(platform, name) for name in others))
             if not peers_are_cut:
-                # Nothing tells it that the store serves others.
+                # It does not learn that other nodes reach the store.
                 platform.cut_nodes.discard(old)
                 platform.nodes[old].assembled.node._handover._peers = _NoPeers()
             await asyncio.sleep(WATCH_S)
@@ -160,7 +160,7 @@
             run_virtual(work(peers_are_cut))
 
     def test_pool_full_of_small_tasks_frees_capacity_for_a_large_one(self) -> None:
-        """A host is lost; the others have room for a small task whenever one ends."""
+        """A host is lost; the others have capacity only for a small task when one ends."""
 
         def plan(task: TaskKey) -> TaskPlan:
             if task.job_id == LASTING_JOB:
@@ -185,7 +185,7 @@
         run_virtual(work())
 
     def test_lost_host_is_not_treated_as_an_arriving_one(self) -> None:
-        """The store lists it no more, the machines' list does; a host is still needed for it."""
+        """The store does not list it any more but the list of machines does; it is replaced."""
 
         async def work() -> None:
             platform = await start_lasting(hosts=3, reserve=2, step=SPREAD)
@@ -202,14 +202,14 @@
         run_virtual(work())
 
     def test_replacement_of_a_lost_host_stays_after_a_restart_of_all_nodes(self) -> None:
-        """The machines' list shows the lost one as up; no node has seen its pool name it."""
+        """The list of machines shows the lost host as up, and no owner has reported it."""
 
         async def work() -> None:
             platform = await start_lasting(hosts=3, reserve=2, step=ALONE)
             moves_before = platform.machines.move_count
             platform.crash_host(get_first_host(platform).record.id)
             await lose_power(platform)
-            # By the second loss the pool has got another host; the lost one's entry goes.
+            # By the second loss the pool has another host, and the lost one's entry is removed.
             await asyncio.sleep(2.5)
             await lose_power(platform)
             await asyncio.sleep(WATCH_S)
@@ -219,7 +219,7 @@
         run_virtual(work())
 
     def test_lost_host_that_was_moved_last_is_replaced_once(self) -> None:
-        """The last steward ordered its machine long before it was lost, and nothing since."""
+        """The last steward moved its machine long before the loss and has ordered nothing since."""
 
         async def work() -> None:
             platform = await start_lasting(hosts=3, reserve=2, step=ALONE)
@@ -239,10 +239,10 @@
 
 
 class _NoPeers:
-    """Peers that never answer."""
+    """Peers that never respond."""
 
     async def send_request(self, address: str, *rest: object) -> NoReturn:
-        """Find nobody."""
+        """Raise the error of an unreachable peer."""
         raise PeerUnreachableError(address)
 
 
--- a/tests/functional/test_rooms_that_change.py
+++ b/tests/functional/test_rooms_that_change.py
@@ -1,9 +1,9 @@
-"""Hosts whose room shrinks and grows while they run, and that start whatever they are told.
+"""Hosts whose capacity changes while they run, and that do not check it when they start tasks.
 
-A start that was placed while a host had the room for it could be sent long after that had
-shrunk: it waited for its turn behind others that the host left unanswered, and was sent again
-and again.  On the stand-in a host of sixteen cores shrank to four with two of them in use, and
-the starts that waited brought it to sixteen 5 s later.
+A start that was placed while a host had the capacity for it could be sent long after the host had
+shrunk: it was queued behind other starts that the host did not answer, and was sent repeatedly.
+On the stand-in a host of 16 cores shrank to 4 with 2 of them in use, and the queued starts brought
+it to 16 cores in use 5 s later.
 """
 
 import asyncio
@@ -35,12 +35,12 @@
 FULL = StepSpec(16, cpu_millicores=1000, memory_mb=100)
 GANG = StepSpec(8, cpu_millicores=1000, memory_mb=100, is_gang=True)
 COPIED = StepSpec(8, cpu_millicores=1000, memory_mb=100, allows_copies=True)
-# Longer than a room that has shrunk may be unknown.
+# Longer than the time after which a change of capacity must be known.
 CHANGE_KNOWN_S = 5.0
 
 
 async def start_unchecked(hosts: int = 1) -> PlatformStandin:
-    """Start a platform whose hosts start whatever they are told."""
+    """Start a platform whose hosts do not check their capacity."""
     platform = await start_platform(hosts=hosts, pools=UNCHECKED)
     platform.hosts_check_room = False
     return platform
@@ -85,7 +85,7 @@
     async def _shrink_while_starts_wait(self, step: StepSpec) -> None:
         platform = await start_unchecked()
         spec = make_job(1, step)
-        # Orders are not carried out, and not answered either.
+        # Orders are neither carried out nor answered.
         platform.hosts.faults.lost_share, platform.hosts.faults.late_s = 1.0, (1000.0, 1000.0)
         await hand_in(platform, "node0", spec)
         await asyncio.sleep(0.1)
@@ -96,7 +96,7 @@
         self.assertEqual([], find_breaks(platform))
 
     def test_hosts_with_an_unread_capacity_get_no_work(self) -> None:
-        """The entries of hosts can't be read, while the store serves all else."""
+        """The entries of hosts can't be read, while the store serves all other requests."""
 
         async def work() -> None:
             platform = await start_unchecked()
@@ -138,7 +138,7 @@
         run_virtual(work())
 
     def test_capacities_that_change_continuously_are_not_exceeded(self) -> None:
-        """Also where a run is stopped: until it has ended its room is taken."""
+        """This includes stopped runs, which use their resources until they have ended."""
 
         async def work() -> None:
             platform = await start_unchecked(hosts=3)
--- a/tests/functional/test_wave_short_of_time.py
+++ b/tests/functional/test_wave_short_of_time.py
@@ -1,9 +1,9 @@
-"""A wave that is short of time begins no more upkeep than it allows.
+"""A wave that is short of time starts no more upkeep than its bound allows.
 
-One upkeep more began than a wave allowed, by the one steward that there was, on a day on which
-nothing failed.  A wave that is short of time takes machines from its pools as well as from the
-reserve, and one look at the fleet gave both of them the places that were free: of 24 machines, 6
-may be down at once and 4 were, so the reserve began one and the pools two.  What settled it:
+A wave exceeded its bound by one machine, without any failure or change of steward.  A wave that is
+short of time takes machines from its pools as well as from the reserve, and one plan gave all free
+slots to both: of 24 machines, 6 may be down at once and 4 were, so the reserve started one upkeep
+and the pools two.  The log showed it:
 
     6.142 upkeep_begins machines=[m-15431, m-1e0d2, m-edb55] in_reserve=1 at_once_max=6
           down=[m-4f7e5, m-5097b, m-5961c, m-c6279] pending_count=14 left_s=22.4
@@ -24,12 +24,12 @@
 IN_RESERVE = 16
 WAVE = 1
 DURATION_S = 26.0
-# Machines that the pools have emptied wait for a place as others come into the reserve.
+# At this rate, vacated machines of the pools wait for a slot while others move to the reserve.
 JOB_PERIOD_S = 0.1
 
 
 async def _play(at_once_max: int) -> tuple[int, int]:
-    """Return how many machines were down at once, and how many had their upkeep in time."""
+    """Return the peak number of machines that were down, and how many had upkeep in time."""
     platform = PlatformStandin(plan_second)
     platform.configure(1, QUEUES, POOLS)
     pools = (*IN_POOLS, *(RESERVE,) * IN_RESERVE)
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -24,11 +24,12 @@
 )
 from tests.lib.virtual import run_virtual
 
-# Jobs of four tasks of two cores, a second each: so many ask for six times the limit, and
-# for most of it.
+# Each job has four tasks of two cores and 1 s.  OVERLOAD_PER_S jobs need six times the limit,
+# PEAK_PER_S jobs most of it.
 OVERLOAD_PER_S = 24.0
 PEAK_PER_S = 3.5
-# Rules allow a task of a workspace under half of its limit to wait so long where there is room.
+# The platform's rules allow a task to wait this long if its workspace uses less than half of its
+# limit and the pool has the capacity.
 WAIT_MAX_S = 3.0
 LOWERED_LIMIT = Resources(12_000, 0)
 
@@ -83,7 +84,7 @@
         async def work() -> None:
             platform = await start_limited()
             feeder = Feeder(platform)
-            # Lasting work in one pool holds over half of the limit for good.
+            # Lasting tasks in one pool use more than half of the limit permanently.
             for _ in range(3):
                 await feeder.hand_in(MAPS, "press", is_lasting=True)
             await wait_until(lambda: sample_use(platform, MAPS, LIMIT).part > 0.6)
@@ -92,7 +93,7 @@
             configure(platform, 2, LOWERED_LIMIT)
             await asyncio.sleep(5)
             held = sample_use(platform, MAPS, LOWERED_LIMIT)
-            # What lasts goes on, and nothing is begun beside it.
+            # The lasting tasks continue, and no other task is started.
             self.assertAlmostEqual(24 / 12, held.part, places=3)
             configure(platform, 3, LIMIT)
             await wait_until(lambda: sample_use(platform, MAPS, LIMIT).part > 0.8, WAIT_MAX_S)
@@ -106,7 +107,7 @@
             platform = await start_limited()
             feeder, steward = Feeder(platform), get_steward(platform)
             assert steward is not None
-            # No node reaches the steward, which the store still serves, and an owner is lost.
+            # No node reaches the steward, which still reaches the store, and an owner is lost.
             pool = next(pool for pool in POOLS if get_owner(platform, pool) != steward)
             platform.cut_nodes.add(steward)
             lost = get_owner(platform, pool)
@@ -128,7 +129,7 @@
             name = get_owner(platform, "press")
             assert name is not None
             parts = platform.nodes[name].assembled.status_reporter.read_workspace_parts()
-            # Beside the part that the two other pools keep it has the whole limit, in whole tasks.
+            # It uses the limit except the reserved shares of the two other pools, in whole tasks.
             self.assertGreater(parts[f"press/{MAPS}"], 0.7)
             lines = [json.loads(line) for line in platform.events]
             waits = [line for line in lines if line["event"] == "job_waits"][-1]
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -1,7 +1,7 @@
-"""Days of hosts that start whatever they are told, while their rooms shrink and grow.
+"""Random days of hosts that do not check their capacity, while it shrinks and grows.
 
-Each is drawn wholly from its seed: when which host has how much room, jobs of all kinds that more
-than fill the hosts, and what else goes wrong with nodes, store, hosts and orders.
+Each day is drawn from its seed alone: the capacity of each host over time, jobs of all kinds that
+need more than the hosts have, and failures of nodes, store, hosts and orders.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 JOBS = 70
 JOB_PERIOD_S = 0.25
-# Rooms change and troubles come for as long as jobs do.
+# Capacities change and failures occur as long as jobs arrive.
 LENGTH_S = JOBS * JOB_PERIOD_S
 ENDED_WITHIN_S = 400.0
 CPU_MILLICORES = (2000, 4000, 9000, 16_000)
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class CapacityChange:
-    """A host has another room from ``at_s`` on; ``target`` picks, by its rest, which."""
+    """A host changes its capacity at ``at_s``; ``target`` selects it, modulo the running hosts."""
 
     at_s: float
     target: int
@@ -68,10 +68,10 @@
 
 @dataclass(frozen=True)
 class CapacityDay:
-    """A day: its hosts, its jobs, how rooms change, and what goes wrong.
+    """A day: its hosts, its jobs, the changes of capacity, and the failures.
 
-    ``unread`` are the spans in which nobody can read the hosts' entries, and all else works;
-    ``undone`` those in which orders to hosts are neither carried out nor answered.
+    ``unread`` are the spans in which the hosts' entries cannot be read while the rest of the store
+    works; ``undone`` those in which orders to hosts are neither carried out nor answered.
     """
 
     seed: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class CapacityFindings:
-    """What was seen on a day and must not be."""
+    """The violations that were found on a day, and the jobs that did not end."""
 
     seed: int
     breaks: tuple[str, ...]
@@ -95,7 +95,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Tell whether the day has no findings."""
         return not (self.breaks or self.undone)
 
 
@@ -117,7 +117,7 @@
 
 
 def find_on_capacity_day(seed: int) -> CapacityFindings:
-    """Play the day of a seed on virtual time; that it does not go on is found as well."""
+    """Simulate the day of a seed on virtual time; a simulation that stops is a finding as well."""
     try:
         return run_virtual(play_capacity_day(draw_capacity_day(seed)))
     except AssertionError as error:
@@ -125,7 +125,7 @@
 
 
 async def play_capacity_day(day: CapacityDay) -> CapacityFindings:
-    """Play a day, and tell what was found."""
+    """Simulate a day and return its findings."""
 
     def plan(task: TaskKey) -> TaskPlan:
         step = next(spec for spec in day.specs if spec.job_id == task.job_id).steps[task.step]
@@ -182,7 +182,7 @@
 
 
 def _find_breaks(platform: PlatformStandin, day: CapacityDay) -> list[str]:
-    """Return what the hosts saw and must never see; tasks that may have copies run twice."""
+    """Return the violations that the hosts saw, except second runs of tasks that allow copies."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
     over = platform.hosts.ledger.overfull
     return [
--- a/tests/lib/lasting.py
+++ b/tests/lib/lasting.py
@@ -1,4 +1,4 @@
-"""Tasks that last, and for how long each did not run."""
+"""Lasting tasks, and the time that each of them did not run."""
 
 import asyncio
 import itertools
@@ -22,23 +22,23 @@
     wait_until,
 )
 
-# A lasting task must run again so soon after the end of its last run.
+# A lasting task must run again within this time after the end of its last run.
 AGAIN_MAX_S = 9.0
 LASTING_NUMBER = 1
 LASTING_JOB = f"{LASTING_NUMBER:016x}"
 STEP = StepSpec(4, cpu_millicores=1000, memory_mb=100, is_lasting=True)
-# Two of these lasting tasks fill a host; of the small ones eight do.
+# Two LARGE tasks fill a host, or eight SMALL ones.
 LARGE = StepSpec(2, cpu_millicores=8000, memory_mb=100, is_lasting=True)
 SMALL = StepSpec(6, cpu_millicores=2000, memory_mb=100)
-# A queue that is more urgent than the one of the tasks that last.
+# A queue that is more urgent than the one of the lasting tasks.
 URGENT = QueuePolicy("urgent", "urgent.example", "/urgent/", POOL, 0, 3, 1.6, 600)
 LESS_URGENT = QueuePolicy(QUEUE.name, "press.example", "/sheets/", POOL, 1, 3, 1.6, 600)
-# How long a process that was killed takes to begin anew.
+# The time until a process that was killed starts again.
 RESTART_S = 2.5
 
 
 def plan_lasting(task: TaskKey) -> TaskPlan:
-    """Have each task last."""
+    """Plan a lasting task."""
     return TaskPlan(None, Resources(1000, 100))
 
 
@@ -50,7 +50,7 @@
     plan_task: Callable[[TaskKey], TaskPlan] = plan_lasting,
     seed: int = 1,
 ) -> PlatformStandin:
-    """Start a platform on which the tasks of one job last, and run."""
+    """Start a platform with one job of lasting tasks, and wait until all of them run."""
     platform = await start_platform(plan_task, nodes, hosts, reserve, seed)
     await hand_in(platform, "node0", make_job(LASTING_NUMBER, step))
     await wait_until(lambda: len(list_runs(platform)) == step.task_count)
@@ -59,18 +59,18 @@
 
 
 def list_runs(platform: PlatformStandin) -> list[LedgerRun]:
-    """List the runs of the tasks that last."""
+    """List the runs of the lasting tasks."""
     return [run for run in platform.hosts.ledger.runs if run.task.job_id == LASTING_JOB]
 
 
 def get_first_host(platform: PlatformStandin) -> JobHostStandin:
-    """Return the host on which the first task began."""
+    """Return the host on which the first task started."""
     host_id = list_runs(platform)[0].host_id
     return next(host for host in platform.hosts.hosts.values() if host.record.id == host_id)
 
 
 def cut_host(platform: PlatformStandin, host: JobHostStandin) -> None:
-    """Cut a host off from all nodes, those too that begin later."""
+    """Cut a host off from all nodes, including nodes that start later."""
     platform.hosts.cut_ways |= {(f"node{number}", host.record.address) for number in range(9)}
 
 
@@ -83,14 +83,14 @@
 
 
 async def restart_owner(platform: PlatformStandin) -> None:
-    """Kill the node that owns the pool; it begins anew ``RESTART_S`` later."""
+    """Kill the node that owns the pool; start it again ``RESTART_S`` later."""
     owner = kill_owner(platform)
     await asyncio.sleep(RESTART_S)
     platform.start_node(owner)
 
 
 def get_longest_gap_s(platform: PlatformStandin) -> float:
-    """Return the longest time from the end of a task's run until it ran again, or until now."""
+    """Return the longest time from the end of a task's run until its next run, or until now."""
     by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
     for run in list_runs(platform):
         by_task[run.task].append(run)
--- a/tests/lib/limited.py
+++ b/tests/lib/limited.py
@@ -1,4 +1,4 @@
-"""Three pools whose jobs belong to workspaces with limits, and how these fare."""
+"""Three pools whose jobs belong to workspaces with limits, and samples of their usage."""
 
 import asyncio
 import itertools
@@ -31,20 +31,20 @@
 
 
 def plan_task(task: TaskKey) -> TaskPlan:
-    """Have tasks work for a second, and those of late numbers last."""
+    """Plan tasks of 1 s, and lasting tasks for the jobs from ``LASTING_FROM`` on."""
     is_lasting = int(task.job_id, 16) >= LASTING_FROM
     return TaskPlan(None if is_lasting else WORK_S, TASK_RESOURCES)
 
 
 def make_workspace(name: str, limit: Resources, share: float = 0.0) -> WorkspacePolicy:
-    """Make a workspace with a key of its own."""
+    """Make a workspace with its own key."""
     return WorkspacePolicy(name, digest_keys([f"key of {name}"]), share, limit)
 
 
 def configure(
     platform: PlatformStandin, version: int, limit: Resources, *others: WorkspacePolicy
 ) -> None:
-    """Put a limit on the one workspace; the other has none."""
+    """Publish a configuration in which workspace MAPS has a limit and SHOP has none."""
     queues = tuple(
         QueuePolicy(f"{pool}-q", f"{pool}.example", "/", pool, 0, 3, 1.6, 600) for pool in POOLS
     )
@@ -56,7 +56,7 @@
 async def start_limited(
     nodes: int = 5, seed: int = 1, kept_share: float = 0.2, limit: Resources = LIMIT
 ) -> PlatformStandin:
-    """Start three pools, whose owners are at different nodes, and wait until they are open."""
+    """Start three pools with owners on different nodes, and wait until the pools are open."""
     platform = PlatformStandin(plan_task, seed)
     configure(platform, 1, limit)
     for number in range(HOSTS_A_POOL * len(POOLS)):
@@ -70,7 +70,7 @@
 
 
 def get_steward(platform: PlatformStandin) -> str | None:
-    """Return the node that orders machines."""
+    """Return the node of the steward, or None if there is none."""
     return next(
         (
             name
@@ -82,7 +82,7 @@
 
 
 class Feeder:
-    """Hands jobs of workspaces in, with numbers of its own."""
+    """Submits jobs of workspaces and records which ones were accepted."""
 
     def __init__(self, platform: PlatformStandin) -> None:
         self._platform = platform
@@ -92,7 +92,7 @@
         self.handed_in_at_s: dict[str, float] = {}
 
     async def hand_in(self, workspace: str, pool: str, is_lasting: bool = False) -> JobSpec | None:
-        """Hand one job in; None where no node takes it."""
+        """Submit one job; return None if no node accepts it."""
         number = next(self._lasting if is_lasting else self._numbers)
         step = StepSpec(
             TASKS, TASK_RESOURCES.cpu_millicores, TASK_RESOURCES.memory_mb, is_lasting=is_lasting
@@ -112,7 +112,7 @@
             async with asyncio.timeout(4):
                 outcome = await hand_in(self._platform, names[number % len(names)], spec)
         except TimeoutError:
-            # A node that was killed answers nothing; the job may be kept all the same.
+            # A node that was killed does not respond; the job may have been accepted all the same.
             return None
         if outcome is not JobRequestOutcome.DONE:
             return None
@@ -120,7 +120,7 @@
         return spec
 
     async def feed(self, workspace: str, pool: str, jobs_per_s: float, for_s: float) -> None:
-        """Hand jobs in at a rate, not waiting for answers."""
+        """Submit jobs at a rate, without waiting for the responses."""
         calls: list[asyncio.Task[JobSpec | None]] = []
         for _ in range(round(jobs_per_s * for_s)):
             calls.append(asyncio.create_task(self.hand_in(workspace, pool)))
@@ -128,7 +128,7 @@
         await asyncio.gather(*calls)
 
     def list_done_s(self, from_s: float = 0.0) -> dict[str, list[float]]:
-        """List how long jobs handed in from a time on took, by workspace; infinite if not done."""
+        """Return the durations of jobs submitted since ``from_s``, by workspace; inf if open."""
         runs = self._platform.hosts.ledger.runs
         done = {run.task: run.ended_at_s for run in runs if run.end == "done"}
         took_s: dict[str, list[float]] = {}
@@ -143,7 +143,7 @@
 
 @dataclass
 class UseSample:
-    """What a workspace has running at a moment, as a part of its limit, in all and by pool."""
+    """The usage of a workspace at a time, as a fraction of its limit, in total and by pool."""
 
     at_s: float
     part: float
@@ -151,7 +151,7 @@
 
 
 def sample_use(platform: PlatformStandin, workspace: str, limit: Resources) -> UseSample:
-    """Sample what the hosts run for a workspace."""
+    """Sample the resources that the hosts' runs of a workspace use."""
     ledger = platform.hosts.ledger
     by_pool = dict.fromkeys(POOLS, 0.0)
     pools = {host.record.id: host.record.pool for host in platform.hosts.hosts.values()}
@@ -172,9 +172,10 @@
 
 
 def iter_starved(platform: PlatformStandin, limit: Resources) -> Iterator[str]:
-    """Iterate over the jobs of the workspace of which nothing runs though all of it could.
+    """Iterate over the workspace's jobs that have no runs although all their tasks could run.
 
-    The workspace has under half of its limit running, and an open pool has the room twice over.
+    That is, the workspace uses less than half of its limit, and an open pool has twice the
+    capacity that a job needs.
     """
     if sample_use(platform, MAPS, limit).part >= 0.5:
         return
