--- a/src/robinthread/_internal/fleet/planner.py
+++ b/src/robinthread/_internal/fleet/planner.py
@@ -1,9 +1,8 @@
-"""What to order for the fleet's machines.
+"""The fleet planner, which decides the orders for the fleet's machines.
 
-A pool gets hosts from the reserve, whose machines are off and cost nothing, as
-soon as its tasks need them.  It gives back what it has not needed for a while.
-Upkeep is done in the reserve wherever a machine passes through it, and in a
-pool only for what would be late otherwise.
+A pool gets hosts from the reserve, whose machines are off and cost nothing, as soon as its tasks
+need them.  It returns hosts that it has not needed for a while.  Upkeep is done in the reserve
+when a machine passes through it, and in a pool only if it would be late otherwise.
 """
 
 import math
@@ -33,39 +32,46 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 from robinthread._internal.settings.policy_settings import FleetPolicy
 
-# How long a pool must have had hosts to spare.  A move costs about as much as 1.1 s
-# of a host, and to fetch the host again costs another and 1.5 s of waiting.
+# A pool releases hosts after it has had spare ones for this time.  A move costs about as much as
+# 1.1 s of a host; fetching the host again costs a second move and 1.5 s of waiting.
 SURPLUS_HOLD_S: Final = 0.4
-# How long a machine takes to be emptied and kept up, at the end of a wave.
+# Time to vacate a machine and do its upkeep near the end of a wave.  A wave is short of time if
+# less is left than for all its remaining rounds of upkeep and one more.
 UPKEEP_ROUND_S: Final = 6.0
 
 
 class FleetPlanner:
-    """Plans over time: it remembers since when each pool has had hosts to spare."""
+    """Plans the orders for machines, step by step.
+
+    It keeps state between steps: since when each pool has had spare hosts, and which machines the
+    pools are vacating.
+    """
 
     def __init__(self, policy: FleetPolicy) -> None:
         self._policy = policy
         self._surplus_since_s: dict[str, float] = {}
         self._vacating: dict[str, frozenset[str]] = {}
-        # Those of them that only an order has leave; it may be another steward's, and over soon.
-        self._ordered_away: dict[str, frozenset[str]] = {}
+        # The vacating machines that leave only because of an order under way.  The order may be
+        # an earlier steward's and end soon, so they are chosen again in each step.
+        self._leaving_by_order: dict[str, frozenset[str]] = {}
         self._is_short = False
 
     def plan(self, view: FleetView, now_s: float) -> FleetPlan:
-        """Return the orders to give now."""
+        """Return the plan for the current view of the fleet: orders, vacating machines, sizes."""
         pending = frozenset().union(*(wave.pending for wave in view.waves))
-        room = _get_room(view)
-        wanted = {pool.name: get_pool_size(pool.report, room) for pool in view.pools}
-        sizes = self._share(view, wanted, room)
+        capacity = _get_largest_capacity(view)
+        wanted = {pool.name: get_pool_size(pool.report, capacity) for pool in view.pools}
+        sizes = self._apportion(view, wanted, capacity)
         reserve = Reserve(view, pending)
-        places = UpkeepSlots(view.waves)
+        slots = UpkeepSlots(view.waves)
         orders: list[MoveOrder | UpkeepOrder] = []
         if self._policy.upkeep_first:
-            # A machine that a pool takes unkept may not pass through the reserve in time again.
-            orders += _order_upkeep(view, reserve, places)
+            # A machine that moves to a pool before its upkeep may not be back in the reserve in
+            # time.
+            orders += _order_upkeep(view, reserve, slots)
         self._is_short = any(
-            _count_lacking(
-                view, pool, sizes[pool.name], self._vacating.get(pool.name, frozenset()), room
+            _count_missing(
+                view, pool, sizes[pool.name], self._vacating.get(pool.name, frozenset()), capacity
             )
             for pool in view.pools
         )
@@ -76,28 +82,29 @@
         shortages: Counter[str] = Counter()
         for pool in sorted(view.pools, key=lambda pool: -pool.report.fetch_resources[0]):
             size, vacating = sizes[pool.name], self._vacating[pool.name]
-            taken = reserve.take_for(list_unmet_shortages(pool.report.shortages, pool.arriving))
+            acquired = reserve.take_for(list_unmet_shortages(pool.report.shortages, pool.arriving))
             serving = _count_serving(pool, vacating, view.leaving)
             awaited = _count_awaited(view, pool)
-            taken += reserve.take(size.fetch_count - serving - awaited - len(taken))
-            orders += [MoveOrder(machine, pool.name) for machine in taken]
-            lack = _count_lacking(view, pool, size, vacating, room)
-            shortages[pool.name] = max(0, lack - len(taken))
-        orders += self._order_emptied(view, sizes, places, shortages)
+            acquired += reserve.take(size.fetch_count - serving - awaited - len(acquired))
+            orders += [MoveOrder(machine, pool.name) for machine in acquired]
+            shortage = _count_missing(view, pool, size, vacating, capacity)
+            shortages[pool.name] = max(0, shortage - len(acquired))
+        orders += self._order_vacated(view, sizes, slots, shortages)
         if not self._policy.upkeep_first:
-            orders += _order_upkeep(view, reserve, places)
+            orders += _order_upkeep(view, reserve, slots)
         return FleetPlan(tuple(orders), self._vacating, wanted, sizes)
 
-    def _share(
-        self, view: FleetView, wanted: dict[str, PoolSize], room: Resources
+    def _apportion(
+        self, view: FleetView, wanted: dict[str, PoolSize], capacity: Resources
     ) -> dict[str, PoolSize]:
-        """Return the sizes that the pools may have where there are machines of ``room``."""
+        """Return the sizes that the pools may have, for machines of a ``capacity``."""
         if not self._policy.shares_when_short:
             return wanted
-        needs = {
-            pool.name: get_host_tiers(pool.report, wanted[pool.name], room) for pool in view.pools
+        tiers = {
+            pool.name: get_host_tiers(pool.report, wanted[pool.name], capacity)
+            for pool in view.pools
         }
-        return apportion_hosts(wanted, needs, _count_all(view))
+        return apportion_hosts(wanted, tiers, _count_all(view))
 
     def _choose_vacating(
         self,
@@ -107,18 +114,21 @@
         size: PoolSize,
         now_s: float,
     ) -> frozenset[str]:
-        """Return the machines that a pool is to empty, none of which a waiting task needs."""
+        """Return the machines that a pool should vacate.
+
+        Machines that waiting tasks need are vacated only for an order or for upkeep.
+        """
         present = {host.machine: host for host in pool.hosts if host.is_usable}
-        gone = frozenset(name for name in present if name in view.leaving)
+        departing = frozenset(name for name in present if name in view.leaving)
         needed = frozenset(name for name, host in present.items() if host.is_needed)
         chosen = self._vacating.get(pool.name, frozenset())
-        chosen -= self._ordered_away.get(pool.name, frozenset())
+        chosen -= self._leaving_by_order.get(pool.name, frozenset())
         vacating = chosen & present.keys() - needed
         serving = _count_serving(pool, vacating, view.leaving)
         if serving < size.keep_count:
-            # Hosts that are still here serve sooner than any that are fetched.
-            kept = sorted(vacating - gone, key=lambda name: (name in pending, name))
-            vacating -= frozenset(kept[: size.keep_count - serving])
+            # Hosts that are still in the pool serve sooner than hosts that are fetched.
+            retained = sorted(vacating - departing, key=lambda name: (name in pending, name))
+            vacating -= frozenset(retained[: size.keep_count - serving])
         spare = _count_serving(pool, vacating, view.leaving) - size.keep_count
         if spare <= 0:
             self._surplus_since_s.pop(pool.name, None)
@@ -128,15 +138,18 @@
             leaving = sorted(candidates, key=lambda host: _get_leaving_order(host, pending))
             if view.reserve_pool:
                 vacating |= frozenset(host.machine for host in leaving[:spare])
-        self._ordered_away[pool.name] = gone - vacating
-        vacating |= gone
+        self._leaving_by_order[pool.name] = departing - vacating
+        vacating |= departing
         is_replaceable = spare + _count_free(view) > 0
         return vacating | self._choose_for_upkeep(
             view, pool, vacating, pending, size, is_replaceable
         )
 
     def _get_hold_s(self) -> float:
-        """Return how long a pool's spare machines stay in case it needs them again."""
+        """Return how long spare machines stay in a pool that may need them again.
+
+        That is 0 s if another pool is short of machines and machines move directly.
+        """
         return 0.0 if self._is_short and self._policy.moves_directly else SURPLUS_HOLD_S
 
     def _choose_for_upkeep(
@@ -148,50 +161,50 @@
         size: PoolSize,
         is_replaceable: bool,
     ) -> frozenset[str]:
-        """Return the machines to empty for their upkeep, though the pool needs them.
+        """Return the machines that a pool should vacate for upkeep, although it needs them.
 
-        One at a time where others can replace it; what would be late otherwise, as
-        many as may be down at once, shared out among the pools.
+        Normally that is one machine at a time, if others can replace it.  For waves that are
+        short of time it is as many as may be down at once, divided among the pools.
         """
         due = [host for host in pool.hosts if host.is_usable and host.machine in pending]
         due.sort(key=lambda host: _get_leaving_order(host, pending))
         unsettled = frozenset().union(*(wave.unsettled for wave in view.waves))
         if chosen := frozenset(host.machine for host in due if host.machine in unsettled):
-            # Each takes a place in its wave until it is ordered.
+            # Each of them occupies a slot of its wave until it is ordered again.
             return chosen
-        begun_count = len(vacating & pending)
-        short = [wave for wave in view.waves if _is_short_of_time(wave)]
-        if short and (self._policy.upkeep_first or is_replaceable):
-            urgent = frozenset().union(*(wave.pending for wave in short))
-            slot_count = sum(wave.free_slots for wave in short)
-            share = math.ceil(slot_count / len(view.pools)) - begun_count
+        started_count = len(vacating & pending)
+        urgent_waves = [wave for wave in view.waves if _is_short_of_time(wave)]
+        if urgent_waves and (self._policy.upkeep_first or is_replaceable):
+            urgent = frozenset().union(*(wave.pending for wave in urgent_waves))
+            slot_count = sum(wave.free_slots for wave in urgent_waves)
+            share = math.ceil(slot_count / len(view.pools)) - started_count
             return frozenset(
                 [host.machine for host in due if host.machine in urgent][: max(0, share)]
             )
         is_idle = size.keep_count <= max(HOSTS_MIN, pool.report.hosts_min)
-        if begun_count or not is_idle or not is_replaceable:
+        if started_count or not is_idle or not is_replaceable:
             return frozenset()
         return frozenset([host.machine for host in due if not host.is_needed][:1])
 
-    def _order_emptied(
+    def _order_vacated(
         self,
         view: FleetView,
         sizes: dict[str, PoolSize],
-        places: UpkeepSlots,
+        slots: UpkeepSlots,
         shortages: Counter[str],
     ) -> list[MoveOrder | UpkeepOrder]:
-        """Order the machines that have been emptied: to another pool, the reserve, or upkeep.
+        """Return orders for vacated machines: a move to another pool or the reserve, or upkeep.
 
-        Where the pool can do without a machine its upkeep is done in the reserve,
-        which costs nothing.  ``shortages`` counts the machines that each pool lacks, down with
-        each order.
+        If the pool can spare a machine that is due, its upkeep is done in the reserve, which
+        costs nothing.  ``shortages`` is the number of machines that each pool lacks; each direct
+        move to a pool lowers it.
         """
         orders: list[MoveOrder | UpkeepOrder] = []
         for pool in view.pools:
             vacating = self._vacating[pool.name]
             spare = _count_serving(pool, vacating, view.leaving) - sizes[pool.name].keep_count
             for host in pool.hosts:
-                if not _is_emptied(host, vacating, view.ordered):
+                if not _is_vacated(host, vacating, view.ordered):
                     continue
                 wave = next((wave for wave in view.waves if host.machine in wave.pending), None)
                 is_urgent = wave is not None and _is_short_of_time(wave)
@@ -201,21 +214,26 @@
                         view.reserve_pool if wave else self._choose_target(view, pool, shortages)
                     )
                     orders.append(MoveOrder(host.machine, target))
-                elif wave is not None and places.take(host.machine):
+                elif wave is not None and slots.allocate(host.machine):
                     orders.append(UpkeepOrder(host.machine, wave.number))
         return orders
 
     def _choose_target(self, view: FleetView, pool: PoolView, shortages: Counter[str]) -> str:
-        """Return where a machine goes that a pool has emptied: where most are lacking."""
-        others = Counter({name: lack for name, lack in shortages.items() if name != pool.name})
-        (name, lack), *_rest = others.most_common(1) or [("", 0)]
-        if lack <= 0 or not self._policy.moves_directly:
+        """Return the pool that a vacated machine moves to: the one that lacks the most machines.
+
+        That is the reserve if no pool lacks machines, or if machines do not move directly.
+        """
+        others = Counter(
+            {name: shortage for name, shortage in shortages.items() if name != pool.name}
+        )
+        (name, shortage), *_rest = others.most_common(1) or [("", 0)]
+        if shortage <= 0 or not self._policy.moves_directly:
             return view.reserve_pool
         shortages[name] -= 1
         return name
 
 
-def _is_emptied(host: HostStatus, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
+def _is_vacated(host: HostStatus, vacating: frozenset[str], ordered: frozenset[str]) -> bool:
     return (
         host.machine in vacating
         and host.machine not in ordered
@@ -224,11 +242,11 @@
     )
 
 
-def _order_upkeep(view: FleetView, reserve: Reserve, places: UpkeepSlots) -> Iterable[UpkeepOrder]:
-    """Order the reserve's machines that are due, those first that may have begun."""
+def _order_upkeep(view: FleetView, reserve: Reserve, slots: UpkeepSlots) -> Iterable[UpkeepOrder]:
+    """Order upkeep for the reserve's machines that are due, unsettled ones first."""
     for wave in view.waves:
         for due in (wave.unsettled, wave.pending - wave.unsettled):
-            for machine in reserve.take_due(due, places.take):
+            for machine in reserve.take_due(due, slots.allocate):
                 yield UpkeepOrder(machine, wave.number)
 
 
@@ -241,9 +259,9 @@
 
 
 def _count_awaited(view: FleetView, pool: PoolView) -> int:
-    """Return how many hosts need no replacement, though their pool has not heard them yet.
+    """Return how many hosts are expected to respond soon, and so need no replacement.
 
-    None is let go on their account before they are heard.
+    They do not count as serving, so the pool releases no host because of them before they respond.
     """
     return sum(
         host.is_awaited
@@ -253,22 +271,22 @@
     )
 
 
-def _count_lacking(
-    view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], room: Resources
+def _count_missing(
+    view: FleetView, pool: PoolView, size: PoolSize, vacating: frozenset[str], capacity: Resources
 ) -> int:
-    """Return how many hosts a pool lacks that any machine of ``room`` could be."""
+    """Return how many hosts a pool lacks that any machine of a ``capacity`` could provide."""
     shortages = list_unmet_shortages(pool.report.shortages, pool.arriving)
     missing = sum(
-        lack.count
-        for lack in shortages
-        if not lack.label and Resources(*lack.resources).fits_in(room)
+        shortage.count
+        for shortage in shortages
+        if not shortage.label and Resources(*shortage.resources).fits_in(capacity)
     )
     serving = _count_serving(pool, vacating, view.leaving) + _count_awaited(view, pool)
     return max(0, size.fetch_count - serving, missing)
 
 
 def _count_all(view: FleetView) -> int:
-    """Return how many hosts the pools could have together."""
+    """Return how many hosts all pools could have together, with the free ones of the reserve."""
     serving = sum(_count_serving(pool, frozenset(), view.leaving) for pool in view.pools)
     awaited = sum(_count_awaited(view, pool) for pool in view.pools)
     return serving + awaited + _count_free(view)
@@ -279,7 +297,7 @@
 
 
 def _get_leaving_order(host: HostStatus, pending: frozenset[str]) -> tuple[bool, int, int, str]:
-    """Order hosts to leave: due for upkeep, nothing lasting, little that runs."""
+    """Return a sort key for hosts to release: due for upkeep, few lasting tasks, few runs first."""
     return (host.machine not in pending, host.lasting_count, host.run_count, host.machine)
 
 
@@ -288,10 +306,10 @@
     return wave.left_s < (rounds + 1) * UPKEEP_ROUND_S
 
 
-def _get_room(view: FleetView) -> Resources:
+def _get_largest_capacity(view: FleetView) -> Resources:
     machines: list[Machine] = [
         *view.reserve,
         *(machine for pool in view.pools for machine in pool.machines.values()),
     ]
-    rooms = [machine.capacity for machine in machines]
-    return max(rooms, key=lambda room: room.cpu_millicores, default=NO_RESOURCES)
+    capacities = [machine.capacity for machine in machines]
+    return max(capacities, key=lambda capacity: capacity.cpu_millicores, default=NO_RESOURCES)
--- a/src/robinthread/_internal/fleet/reserve.py
+++ b/src/robinthread/_internal/fleet/reserve.py
@@ -1,4 +1,4 @@
-"""The machines of the reserve that are still free in a plan."""
+"""The machines of the reserve that a plan may still order."""
 
 from collections.abc import Callable, Iterable
 from itertools import islice
@@ -12,7 +12,10 @@
 
 
 class Reserve:
-    """The free machines, those last whose hall is silent or that are due."""
+    """The free machines in order of preference.
+
+    Machines of silent halls come last, and before these the machines that are due for upkeep.
+    """
 
     def __init__(self, view: FleetView, pending: frozenset[str]) -> None:
         free = [machine for machine in view.reserve if machine.name not in view.ordered]
@@ -26,23 +29,26 @@
         )
 
     def take(self, count: int) -> list[str]:
-        """Take up to ``count`` machines."""
+        """Remove up to ``count`` machines from the reserve and return their names."""
         return self._take(lambda machine: True, count)
 
-    def take_due(self, due: frozenset[str], take_place: Callable[[str], bool]) -> list[str]:
-        """Take those of the machines in ``due`` for which ``take_place`` finds a place."""
-        return self._take(lambda machine: machine.name in due and take_place(machine.name))
+    def take_due(self, due: frozenset[str], allocate_slot: Callable[[str], bool]) -> list[str]:
+        """Take the machines in ``due`` for which ``allocate_slot`` returns True."""
+        return self._take(lambda machine: machine.name in due and allocate_slot(machine.name))
 
     def take_for(self, shortages: Iterable[ShortageReport]) -> list[str]:
-        """Take machines that have what a pool lacks, as far as there are any."""
+        """Take machines that cover a pool's shortages, as far as the reserve has any."""
         taken: list[str] = []
-        for lack in shortages:
-            taken += self._take(lambda machine, lack=lack: covers(machine, lack), lack.count)  # type: ignore[misc]
+        for shortage in shortages:
+            taken += self._take(
+                lambda machine, shortage=shortage: covers(machine, shortage),  # type: ignore[misc]
+                shortage.count,
+            )
         return taken
 
-    def _take(self, suits: Callable[[Machine], bool], count: int | None = None) -> list[str]:
-        suiting = (machine.name for machine in self._free if suits(machine))
-        taken = list(suiting if count is None else islice(suiting, max(0, count)))
+    def _take(self, is_suitable: Callable[[Machine], bool], count: int | None = None) -> list[str]:
+        matching = (machine.name for machine in self._free if is_suitable(machine))
+        taken = list(matching if count is None else islice(matching, max(0, count)))
         self._free = [machine for machine in self._free if machine.name not in taken]
         return taken
 
@@ -50,22 +56,25 @@
 def list_unmet_shortages(
     shortages: Iterable[ShortageReport], arriving: Iterable[Machine]
 ) -> tuple[ShortageReport, ...]:
-    """Return what a pool lacks beside the machines that arrive.
+    """Return a pool's shortages that its arriving machines do not cover.
 
-    Each counts for one host of one lack; what fewest of them supply is served first.
+    Each machine counts for one host of one shortage.  Shortages that the fewest machines cover
+    are assigned first.
     """
-    coming = list(arriving)
-    left: list[ShortageReport] = []
-    for lack in sorted(
-        shortages, key=lambda lack: sum(covers(machine, lack) for machine in coming)
+    unassigned = list(arriving)
+    unmet: list[ShortageReport] = []
+    for shortage in sorted(
+        shortages, key=lambda shortage: sum(covers(machine, shortage) for machine in unassigned)
     ):
-        suiting = [machine for machine in coming if covers(machine, lack)][: lack.count]
-        coming = [machine for machine in coming if machine not in suiting]
-        left.append(msgspec.structs.replace(lack, count=lack.count - len(suiting)))
-    return tuple(left)
+        matching = [machine for machine in unassigned if covers(machine, shortage)][
+            : shortage.count
+        ]
+        unassigned = [machine for machine in unassigned if machine not in matching]
+        unmet.append(msgspec.structs.replace(shortage, count=shortage.count - len(matching)))
+    return tuple(unmet)
 
 
-def covers(machine: Machine, lack: ShortageReport) -> bool:
-    """Tell whether a machine has the room and the label that a pool lacks."""
-    has_label = not lack.label or lack.label in (machine.kind, machine.rack)
-    return has_label and Resources(*lack.resources).fits_in(machine.capacity)
+def covers(machine: Machine, shortage: ShortageReport) -> bool:
+    """Tell whether a machine has the capacity and the label that a pool lacks."""
+    has_label = not shortage.label or shortage.label in (machine.kind, machine.rack)
+    return has_label and Resources(*shortage.resources).fits_in(machine.capacity)
--- a/src/robinthread/_internal/jobs/capacity_reservation.py
+++ b/src/robinthread/_internal/jobs/capacity_reservation.py
@@ -1,9 +1,9 @@
-"""Keeping a host's room for a lasting task that fits nowhere yet.
+"""Reservation of hosts for lasting tasks that do not fit on any host yet.
 
-A full pool frees room in small pieces, which small tasks take at once: without this, a
-task that needs several of them would wait for as long as the pool is full.  A lasting task
-that has been without a run for long comes before more urgent tasks, which in a full pool would
-take all room before its turn.
+A full pool frees capacity in small amounts, which small tasks use at once.  Without
+reservations, a task that needs several of these amounts would wait as long as the pool is full.
+A lasting task that has not run for long takes precedence over more urgent tasks, which in a full
+pool would use all capacity before its turn.
 """
 
 from collections.abc import Collection, Iterator
@@ -23,39 +23,41 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.step_key import StepKey
 
-# A lasting task should run again 9 s after its last run at the latest: the platform's rules
-# ask for it from 6 s on and allow 3 s.  A host's room is free once its usual tasks of 1 to 2 s
-# have ended; as much again is left for a task that waits its turn behind another overdue one,
-# and 1 s for the record and the order.
+# A lasting task is overdue this long after its last run ended.  It should run again within 9 s:
+# the platform's rules require it from 6 s on, with a tolerance of 3 s.  The remaining 5 s are
+# 2 s until a host is free, since its usual tasks take 1 to 2 s, 2 s more for a task that waits
+# behind another overdue one, and 1 s to write the record and send the order.
 OVERDUE_S: Final = 4.0
-# Share of the usable hosts, one at least, that are kept ahead of more urgent tasks at a time.
-# Of a pool of eight hosts on the stand-in, full of tasks of 1.6 to 2.25 s, four were lost with
-# eight lasting tasks of half a host: all ran again after 8.9 s, with a quarter after 12.5 s.
-KEPT_AHEAD_SHARE: Final = 0.5
+# Share of the usable hosts that may be reserved ahead of more urgent tasks at a time, at least
+# one host.  Measured on the stand-in: a pool of eight hosts was full of tasks of 1.6 to 2.25 s,
+# and four hosts were lost with eight lasting tasks of half a host each.  All of these ran again
+# after 8.9 s; with a share of a quarter, after 12.5 s.
+RESERVED_AHEAD_SHARE: Final = 0.5
 
 
 class CapacityReserver:
-    """The hosts that are kept for lasting tasks, in one look at all waiting tasks.
+    """Reserves hosts for lasting tasks during one pass over all waiting tasks.
 
-    A task keeps the one that lacks least, of equal ones the one that it kept before.  A gang
-    that is overdue keeps as many as all its members need.
+    A task reserves the host with the smallest shortage, of equal ones the host that it reserved
+    in the previous pass.  An overdue gang reserves hosts for all its members.  ``reserved`` are
+    the ids of the hosts that are reserved in this pass.
     """
 
     def __init__(self, pool: PoolJobs, now_s: float) -> None:
         self._pool = pool
         self._now_s = now_s
         self._ran_until_max_s = now_s - OVERDUE_S
-        self._rooms: dict[str, Resources] = {}
-        self._last_kept, pool.reserved_host_ids = pool.reserved_host_ids, {}
-        self._in_vain: set[StepKey] = set()
-        self.kept: set[str] = set()
+        self._future_capacities: dict[str, Resources] = {}
+        self._previous_host_ids, pool.reserved_host_ids = pool.reserved_host_ids, {}
+        self._unplaceable_steps: set[StepKey] = set()
+        self.reserved: set[str] = set()
 
     def iter_overdue(self, usable: Collection[Host]) -> Iterator[Task]:
-        """Iterate over the lasting tasks that go before all others, longest without a run first.
+        """Iterate over the overdue lasting tasks, the one that ran least recently first.
 
-        They end once as many of the ``usable`` hosts are kept as may be ahead of other tasks;
-        the rest has its usual turn.  Only tasks that ran before are overdue, so that urgent
-        queues give up no more than the room that these had.
+        The iteration ends once ``RESERVED_AHEAD_SHARE`` of the ``usable`` hosts are reserved; the
+        remaining tasks are placed in the usual order.  Only tasks that ran before are overdue, so
+        urgent queues lose no more than the capacity that these tasks had used.
         """
         if not self._pool.policy.keeps_room_for_lasting:
             return iter(())
@@ -67,74 +69,81 @@
             ),
             key=lambda task: (task.ran_until_s, task.key),
         )
-        kept_max = max(1, int(KEPT_AHEAD_SHARE * len(usable)))
-        return takewhile(lambda _task: len(self.kept) < kept_max, overdue)
+        reserved_max = max(1, int(RESERVED_AHEAD_SHARE * len(usable)))
+        return takewhile(lambda _task: len(self.reserved) < reserved_max, overdue)
 
     def reserve_for(self, task: Task, hosts: list[Host]) -> None:
-        """Take the host off ``hosts`` to which nothing is to go until the task fits there.
+        """Reserve a host for a lasting task until it fits there, and remove it from ``hosts``.
 
-        A task that ends is not kept room for: others like it will end.
+        Nothing is reserved for tasks that end, since other such tasks free the capacity, nor for
+        gangs, see ``reserve_for_gang``.
         """
-        if task.step.is_gang or task.key.step_key in self._in_vain or not self._may_keep(task):
+        if (
+            task.step.is_gang
+            or task.key.step_key in self._unplaceable_steps
+            or not self._may_reserve(task)
+        ):
             return
         job = self._pool.jobs[task.key.job_id]
         fitting = (
             host
             for host in hosts
-            if task.resources.fits_in(self._get_room_to_come(host))
+            if task.resources.fits_in(self._get_future_capacity(host))
             and may_run(self._pool, job, task, host, self._now_s)
             and allows_another_run(task, host)
         )
-        last_id = self._last_kept.get(task.key)
+        previous_id = self._previous_host_ids.get(task.key)
         host = min(
-            fitting, key=lambda host: (_get_lack(task, host), host.id != last_id), default=None
+            fitting,
+            key=lambda host: (_get_shortage(task, host), host.id != previous_id),
+            default=None,
         )
         if host is None:
-            # Tasks of a step are alike, and hosts only grow fewer in a look.
-            self._in_vain.add(task.key.step_key)
+            # The tasks of a step are alike, and the hosts only become fewer during a pass.
+            self._unplaceable_steps.add(task.key.step_key)
             return
-        self._keep(task, host)
+        self._reserve(task, host)
         hosts.remove(host)
 
     def reserve_for_gang(self, task: Task) -> None:
-        """Keep the hosts to which nothing is to go until a task's overdue gang fits there.
+        """Reserve hosts for all members of a task's overdue gang until the gang fits there.
 
-        It begins whole or not at all, so it may keep more than the share that is kept ahead.
+        A gang starts as a whole, so its hosts may exceed ``RESERVED_AHEAD_SHARE``.
         """
-        if not self._may_keep(task) or task.ran_until_s > self._ran_until_max_s:
+        if not self._may_reserve(task) or task.ran_until_s > self._ran_until_max_s:
             return
         members = get_waiting_gang(self._pool, task)
         if not members:
             return
         job = self._pool.jobs[task.key.job_id]
         usable = get_usable_hosts(self._pool, self._now_s)
-        free = [host for host in usable if host.id not in self.kept]
+        available = [host for host in usable if host.id not in self.reserved]
         hosts = choose_gang_hosts(
-            self._pool, job, members, free, self._now_s, self._get_room_to_come
+            self._pool, job, members, available, self._now_s, self._get_future_capacity
         )
         for member, host in zip(members, hosts or (), strict=False):
-            self._keep(member, host)
+            self._reserve(member, host)
 
-    def _may_keep(self, task: Task) -> bool:
+    def _may_reserve(self, task: Task) -> bool:
         return task.step.is_lasting and self._pool.policy.keeps_room_for_lasting
 
-    def _keep(self, task: Task, host: Host) -> None:
+    def _reserve(self, task: Task, host: Host) -> None:
         self._pool.reserved_host_ids[task.key] = host.id
-        self.kept.add(host.id)
+        self.reserved.add(host.id)
 
-    def _get_room_to_come(self, host: Host) -> Resources:
-        """Return the room that a host has once all that ends by itself has ended."""
-        room = self._rooms.get(host.id)
-        if room is None:
-            room = self._rooms[host.id] = get_future_capacity(self._pool, host)
-        return room
+    def _get_future_capacity(self, host: Host) -> Resources:
+        """Return a host's free capacity once its runs of tasks that end have ended, cached."""
+        capacity = self._future_capacities.get(host.id)
+        if capacity is None:
+            capacity = self._future_capacities[host.id] = get_future_capacity(self._pool, host)
+        return capacity
 
 
-def _get_lack(task: Task, host: Host) -> float:
-    """Return how much room a host lacks for a task, as the largest share of its own room."""
-    lacks, room = task.resources - host.free, host.record.capacity
+def _get_shortage(task: Task, host: Host) -> float:
+    """Return the largest share of a host's capacity that it lacks for a task, over resources."""
+    missing, capacity = task.resources - host.free, host.record.capacity
     return max(
-        lacks.cpu_millicores / max(1, room.cpu_millicores),
-        lacks.memory_mb / max(1, room.memory_mb),
-        lacks.gpu_count / max(1, room.gpu_count),
+        missing.cpu_millicores / max(1, capacity.cpu_millicores),
+        missing.memory_mb / max(1, capacity.memory_mb),
+        missing.gpu_count / max(1, capacity.gpu_count),
     )
--- a/tests/functional/test_room_on_a_host.py
+++ b/tests/functional/test_room_on_a_host.py
@@ -1,4 +1,7 @@
-"""Tasks for which a pool has room in sum, but on none of its hosts."""
+"""Tasks that fit on none of a pool's hosts, although its free resources in total suffice.
+
+The planner must fetch or retain a host for them: the sum of resources shows no need for one.
+"""
 
 import asyncio
 
@@ -22,11 +25,12 @@
 )
 from tests.lib.virtual import run_virtual
 
-# What a host that is fetched takes at most: a step of the steward, the move of 1.5 s, its
-# entry in the store, a first look at it and a record of the run.
+# The longest time until a task runs on a fetched host: a step of the steward, the move of 1.5 s,
+# the host's entry in the store, its first poll and the record of the run.
 FETCHED_S = 2.5
-# What a host that is taken back takes: two steps of the steward, and a record of the run.
-TAKEN_BACK_S = 0.6
+# The longest time until a task runs on a vacating host that is retained: two steps of the
+# steward and the record of the run.
+RETAINED_S = 0.6
 # Lasting tasks that may not share a host and leave 10 of 16 cores and 15 of 32 GB.
 SPREAD = StepSpec(
     3,
@@ -38,12 +42,12 @@
     has_not_running_limit=True,
 )
 WIDE = StepSpec(1, cpu_millicores=13_000, memory_mb=1_000)
-# It fits only where no lasting task is, and leaves room for a wide one.
+# Fits only on a host without a lasting task, and leaves capacity for a WIDE task there.
 BESIDE_NONE = StepSpec(1, cpu_millicores=1_000, memory_mb=15_500, estimate_ms=6_000)
 
 
 async def start(hosts: int, reserve: int, lasting: JobSpec, ending_s: float) -> PlatformStandin:
-    """Start a platform whose hosts carry lasting tasks; other tasks end after ``ending_s``."""
+    """Start a platform whose hosts run lasting tasks; other tasks end after ``ending_s``."""
     lasting_ids = {lasting.job_id, *LASTING_IDS}
 
     def plan(task: TaskKey) -> TaskPlan:
@@ -56,19 +60,19 @@
     return platform
 
 
-# Ids of further jobs of the tests whose tasks last.
+# Ids of further jobs with lasting tasks.
 LASTING_IDS = frozenset(make_job(number).job_id for number in range(100, 110))
 
 
 async def wait_for_starts(
     platform: PlatformStandin, spec: JobSpec, count: int, limit_s: float = 6
 ) -> float:
-    """Wait until so many runs of a job have begun; return how long that took."""
+    """Wait until ``count`` runs of a job have started; return how long that took."""
     return await wait_until(lambda: count_starts(platform, spec) >= count, limit_s)
 
 
 def count_starts(platform: PlatformStandin, spec: JobSpec) -> int:
-    """Count the runs of a job that have begun."""
+    """Count the runs of a job that have started."""
     return sum(run.task.job_id == spec.job_id for run in platform.hosts.ledger.runs)
 
 
@@ -83,14 +87,14 @@
 
 
 def count_vacating(platform: PlatformStandin) -> int:
-    """Count the pool's hosts that are being emptied."""
+    """Count the pool's hosts that are being vacated."""
     owner = platform.nodes[get_owner(platform) or ""].assembled.owned.owners[POOL]
     now_s = asyncio.get_running_loop().time()
     return sum(now_s < host.vacating_until_s for host in owner.jobs.hosts.values())
 
 
 class WideTaskTest(TestCase):
-    def test_host_is_fetched_for_a_task_that_fits_beside_no_lasting_one(self) -> None:
+    def test_host_is_fetched_for_a_task_that_fits_beside_no_lasting_task(self) -> None:
         async def work() -> None:
             spread = make_job(1, SPREAD)
             platform = await start(3, 3, spread, ending_s=1.0)
@@ -101,11 +105,11 @@
 
         run_virtual(work())
 
-    def test_all_are_done_and_the_hosts_are_given_back(self) -> None:
+    def test_all_tasks_complete_and_the_hosts_are_released(self) -> None:
         async def work() -> None:
             spread = make_job(1, SPREAD)
             platform = await start(3, 3, spread, ending_s=1.0)
-            # The job is late from the beginning: only a part of its room is asked for.
+            # The job is late from the start, so hosts are requested for only a part of it.
             wide = make_job(2, StepSpec(5, cpu_millicores=13_000, memory_mb=1_000))
             await hand_in(platform, "node0", wide)
             took_s = await wait_for_status(platform, wide.job_id, JobStatus.SUCCEEDED)
@@ -113,29 +117,29 @@
             await wait_until(lambda: count_machines(platform) == 3, limit_s=3)
             await asyncio.sleep(3)
             self.assertEqual(3, count_machines(platform))
-            # None of the lasting tasks was moved for it.
+            # None of the lasting tasks was moved.
             self.assertEqual(3, count_starts(platform, spread))
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
 
-    def test_host_that_is_being_emptied_is_taken_back_for_a_task_that_only_it_fits(self) -> None:
+    def test_vacating_host_is_retained_for_a_task_that_fits_only_there(self) -> None:
         async def work() -> None:
             platform = await start(4, 0, make_job(1, SPREAD), ending_s=6.0)
-            kept_busy = make_job(2, BESIDE_NONE)
-            await hand_in(platform, "node0", kept_busy)
-            await wait_for_starts(platform, kept_busy, 1)
+            blocking = make_job(2, BESIDE_NONE)
+            await hand_in(platform, "node0", blocking)
+            await wait_for_starts(platform, blocking, 1)
             await wait_until(lambda: count_vacating(platform) == 1, limit_s=3)
             wide = make_job(3, WIDE)
             await hand_in(platform, "node0", wide)
             took_s = await wait_for_starts(platform, wide, 1)
-            self.assertLess(took_s, TAKEN_BACK_S)
+            self.assertLess(took_s, RETAINED_S)
 
         run_virtual(work())
 
 
 class WideLastingTaskTest(TestCase):
-    def test_host_is_fetched_for_a_lasting_task_of_much_memory(self) -> None:
+    def test_host_is_fetched_for_a_lasting_task_with_much_memory(self) -> None:
         async def work() -> None:
             platform = await start(3, 3, make_job(1, SPREAD), ending_s=1.0)
             wide = make_job(
@@ -150,10 +154,10 @@
         run_virtual(work())
 
 
-class KeptOffTest(TestCase):
-    """Tasks that something else keeps off the hosts that have room for them."""
+class RestrictedTasksTest(TestCase):
+    """Tasks that a label or a limit per host excludes from the hosts with enough capacity."""
 
-    def test_host_is_fetched_where_those_with_room_carry_as_many_as_they_may(self) -> None:
+    def test_host_is_fetched_if_hosts_with_capacity_are_at_their_limit_of_tasks(self) -> None:
         async def work() -> None:
             large = make_job(
                 1, StepSpec(1, cpu_millicores=1_000, memory_mb=20_000, is_lasting=True)
@@ -171,7 +175,7 @@
 
         run_virtual(work())
 
-    def test_host_with_the_label_is_fetched_where_none_that_has_it_has_room(self) -> None:
+    def test_host_with_the_label_is_fetched_if_those_with_it_are_full(self) -> None:
         async def work() -> None:
             labelled = make_job(
                 1, StepSpec(1, cpu_millicores=10_000, is_lasting=True, required_label="r1")
@@ -185,7 +189,7 @@
 
         run_virtual(work())
 
-    def test_no_host_is_fetched_for_a_label_that_none_has(self) -> None:
+    def test_no_host_is_fetched_for_tasks_that_fit_on_no_machine(self) -> None:
         async def work() -> None:
             platform = await start(2, 4, make_job(1, SPREAD), ending_s=1.0)
             await asyncio.sleep(3)
--- a/tests/functional/test_rooms_that_change.py
+++ b/tests/functional/test_rooms_that_change.py
@@ -1,9 +1,9 @@
-"""Hosts whose room shrinks and grows while they run, and that start whatever they are told.
+"""Hosts whose capacity changes while they run, and that do not check it when they start tasks.
 
-A start that was placed while a host had the room for it could be sent long after that had
-shrunk: it waited for its turn behind others that the host left unanswered, and was sent again
-and again.  On the stand-in a host of sixteen cores shrank to four with two of them in use, and
-the starts that waited brought it to sixteen 5 s later.
+A start that was placed while a host had the capacity for it could be sent long after the host had
+shrunk: it was queued behind other starts that the host did not answer, and was sent repeatedly.
+On the stand-in a host of 16 cores shrank to 4 with 2 of them in use, and the queued starts brought
+it to 16 cores in use 5 s later.
 """
 
 import asyncio
@@ -35,12 +35,12 @@
 FULL = StepSpec(16, cpu_millicores=1000, memory_mb=100)
 GANG = StepSpec(8, cpu_millicores=1000, memory_mb=100, is_gang=True)
 COPIED = StepSpec(8, cpu_millicores=1000, memory_mb=100, allows_copies=True)
-# Longer than a room that has shrunk may be unknown.
-KNOWN_S = 5.0
+# Longer than the time after which a change of capacity must be known.
+CHANGE_KNOWN_S = 5.0
 
 
 async def start_unchecked(hosts: int = 1) -> PlatformStandin:
-    """Start a platform whose hosts start whatever they are told."""
+    """Start a platform whose hosts do not check their capacity."""
     platform = await start_platform(hosts=hosts, pools=UNCHECKED)
     platform.hosts_check_room = False
     return platform
@@ -51,8 +51,8 @@
     return next(iter(platform.hosts.hosts.values()))
 
 
-class RoomsThatChangeTest(TestCase):
-    def test_host_that_shrinks_gets_no_more_than_it_has_room_for(self) -> None:
+class ChangingCapacityTest(TestCase):
+    def test_host_that_shrinks_is_not_overcommitted(self) -> None:
         async def work() -> None:
             platform = await start_unchecked()
             specs = [make_job(number, FULL) for number in range(1, 4)]
@@ -78,31 +78,31 @@
 
         run_virtual(work())
 
-    def test_starts_that_wait_for_their_turn_are_not_sent_to_a_host_that_has_shrunk(self) -> None:
+    def test_queued_starts_are_not_sent_to_a_host_that_has_shrunk(self) -> None:
         for step in (FULL, GANG, COPIED):
             run_virtual(self._shrink_while_starts_wait(step))
 
     async def _shrink_while_starts_wait(self, step: StepSpec) -> None:
         platform = await start_unchecked()
         spec = make_job(1, step)
-        # Orders are not carried out, and not answered either.
+        # Orders are neither carried out nor answered.
         platform.hosts.faults.lost_share, platform.hosts.faults.late_s = 1.0, (1000.0, 1000.0)
         await hand_in(platform, "node0", spec)
         await asyncio.sleep(0.1)
         platform.resize_host(get_host(platform).record.id, Resources(2_000, 32_000))
-        await asyncio.sleep(KNOWN_S)
+        await asyncio.sleep(CHANGE_KNOWN_S)
         platform.hosts.faults.lost_share = 0.0
         await asyncio.sleep(2)
         self.assertEqual([], find_breaks(platform))
 
-    def test_room_that_may_have_shrunk_unseen_is_not_used(self) -> None:
-        """The entries of hosts can't be read, while the store serves all else."""
+    def test_hosts_with_an_unread_capacity_get_no_work(self) -> None:
+        """The entries of hosts can't be read, while the store serves all other requests."""
 
         async def work() -> None:
             platform = await start_unchecked()
             platform.store.unreadable_topics.add(HOSTS.topic)
             platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(CHANGE_KNOWN_S)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
             await asyncio.sleep(3)
@@ -112,18 +112,18 @@
 
         run_virtual(work())
 
-    def test_hosts_that_check_their_room_are_used_whatever_can_be_read(self) -> None:
+    def test_hosts_that_check_their_capacity_get_work_without_a_recent_read(self) -> None:
         async def work() -> None:
             platform = await start_platform(hosts=1)
             platform.store.unreadable_topics.add(HOSTS.topic)
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(CHANGE_KNOWN_S)
             spec = make_job(1, FULL)
             await hand_in(platform, "node0", spec)
             self.assertLess(await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED), 2.0)
 
         run_virtual(work())
 
-    def test_next_owner_sends_no_more_than_there_is_room_for(self) -> None:
+    def test_next_owner_does_not_overcommit_hosts(self) -> None:
         async def work() -> None:
             platform = await start_unchecked(hosts=2)
             specs = [make_job(number, FULL) for number in range(1, 5)]
@@ -137,19 +137,19 @@
 
         run_virtual(work())
 
-    def test_rooms_that_change_all_the_while_are_kept_to(self) -> None:
-        """Also where a run is stopped: until it has ended its room is taken."""
+    def test_capacities_that_change_continuously_are_not_exceeded(self) -> None:
+        """This includes stopped runs, which use their resources until they have ended."""
 
         async def work() -> None:
             platform = await start_unchecked(hosts=3)
-            rooms = itertools.cycle((SMALL_CAPACITY, HOST_CAPACITY, Resources(9_000, 32_000)))
+            capacities = itertools.cycle((SMALL_CAPACITY, HOST_CAPACITY, Resources(9_000, 32_000)))
             specs = [make_job(number, FULL) for number in range(1, 13)]
 
             async def change() -> None:
                 while True:
                     await asyncio.sleep(0.7)
                     for host in platform.hosts.hosts.values():
-                        platform.resize_host(host.record.id, next(rooms))
+                        platform.resize_host(host.record.id, next(capacities))
 
             changing = asyncio.create_task(change())
             platform.hosts.faults.lost_share, platform.hosts.faults.late_s = 0.2, (0.5, 3.0)
--- a/tests/unit/test_capacity_reservation.py
+++ b/tests/unit/test_capacity_reservation.py
@@ -1,4 +1,4 @@
-"""What may go to a host that is kept for a lasting task."""
+"""A host that is reserved for a lasting task gets no other tasks."""
 
 from testtools import TestCase
 
@@ -19,9 +19,9 @@
 PLAIN = StepSpec(2, cpu_millicores=2_000)
 
 
-class KeptHostTest(TestCase):
+class ReservedHostTest(TestCase):
     def setUp(self) -> None:
-        """Have a task that ends keep a lasting one off the only host."""
+        """Make a pool whose only host is too full for a lasting task until another task ends."""
         super().setUp()
         self.pool = PoolJobs()
         record = UpstreamHost("h0", "m0", "press", "", "", "", HOST_CAPACITY, frozenset())
@@ -30,7 +30,7 @@
         self.lasting = self._add(LASTING)
 
     def _add(self, step: StepSpec) -> Job:
-        """Take a job in and place what fits."""
+        """Add a job and place the waiting tasks that fit."""
         job = self.pool.add_job(make_job(len(self.pool.jobs), step), QUEUE, 0, 0.0)
         self.pool.queue_due_tasks(job, 0)
         place_waiting(self.pool, 0.0, 0)
@@ -45,8 +45,8 @@
         self.assertEqual(3, place_waiting(self.pool, 0.0, 0))
         self.assertEqual(1, len(list(self.lasting.iter_running())))
 
-    def test_gang_does_not_go_there(self) -> None:
+    def test_gang_is_not_placed_on_a_reserved_host(self) -> None:
         self._check(GANG)
 
-    def test_plain_tasks_do_not_go_there(self) -> None:
+    def test_other_tasks_are_not_placed_on_a_reserved_host(self) -> None:
         self._check(PLAIN)
--- a/tests/unit/test_demand.py
+++ b/tests/unit/test_demand.py
@@ -1,4 +1,4 @@
-"""For how much room a pool asks for hosts where jobs are late."""
+"""The demand of a pool for late jobs."""
 
 from testtools import TestCase
 
@@ -13,8 +13,8 @@
 LEAD_S = 1.8
 
 
-def read_late_cores(policy: DemandPolicy, waited_ms: int) -> float:
-    """Return for how many cores hosts are asked while one job has waited so long."""
+def forecast_cores(policy: DemandPolicy, waited_ms: int) -> float:
+    """Return the cores to fetch hosts for while one job has waited for ``waited_ms``."""
     jobs = PoolJobs()
     spec = JobSpec("0" * 16, "queue", "pool", "", (STEP,), accepted_at_ms=1_000)
     job = jobs.add_job(spec, POLICY, 0, 0.0)
@@ -24,9 +24,9 @@
 
 
 class LateJobsTest(TestCase):
-    def test_job_in_time_counts_whole(self) -> None:
-        self.assertEqual(2.0, read_late_cores(DemandPolicy(late_share=0.25), 0))
+    def test_job_on_time_counts_in_full(self) -> None:
+        self.assertEqual(2.0, forecast_cores(DemandPolicy(late_share=0.25), 0))
 
-    def test_late_job_counts_by_its_share(self) -> None:
-        self.assertEqual(0.5, read_late_cores(DemandPolicy(late_share=0.25), 5_000))
-        self.assertEqual(2.0, read_late_cores(DemandPolicy(late_share=1.0), 5_000))
+    def test_late_job_counts_with_the_late_share(self) -> None:
+        self.assertEqual(0.5, forecast_cores(DemandPolicy(late_share=0.25), 5_000))
+        self.assertEqual(2.0, forecast_cores(DemandPolicy(late_share=1.0), 5_000))
