--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -26,9 +26,9 @@
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
 # Two appends and a read of the store, each of which may be slow.
-TAKE_TIMEOUT_S: Final = 1.0
+TAKEOVER_TIMEOUT_S: Final = 1.0
 # How often a node that the store does not serve asks whom it does serve.
-ASK_PERIOD_S: Final = 0.4
+QUERY_PERIOD_S: Final = 0.4
 
 
 class Handover:
@@ -66,34 +66,34 @@
         """Keep ``served`` up to date until cancelled."""
         while True:
             self.served = await self._find_served() if self._member.is_cut_off else ()
-            await asyncio.sleep(ASK_PERIOD_S)
+            await asyncio.sleep(QUERY_PERIOD_S)
 
     async def _find_served(self) -> tuple[Member, ...]:
         others = sorted(self._member.members - {self._me})
-        answers = await asyncio.gather(*map(self.query_store_status, others))
+        responses = await asyncio.gather(*map(self.query_store_status, others))
         served = sorted(
             (
-                (answer.owned_count + 1) / member.capacity_millicores,
+                (response.owned_count + 1) / member.capacity_millicores,
                 get_rendezvous_weight(self._me.node, member.node),
                 member,
             )
-            for member, answer in zip(others, answers, strict=True)
-            if answer.is_served
+            for member, response in zip(others, responses, strict=True)
+            if response.is_served
         )
         return tuple(member for _load, _weight, member in served)
 
-    async def request_takeover(self, taker: Member, tokens: dict[str, int]) -> None:
+    async def request_takeover(self, new_owner: Member, tokens: dict[str, int]) -> None:
         """Have a node take pools over whose owner here has stopped."""
         try:
-            answer = await self._peers.send_request(
-                taker.address, TakeoverRequest(tokens), TakeoverResponse, TAKE_TIMEOUT_S
+            response = await self._peers.send_request(
+                new_owner.address, TakeoverRequest(tokens), TakeoverResponse, TAKEOVER_TIMEOUT_S
             )
         except PeerUnreachableError as error:
             # Whoever owns them next takes them when this node's membership has lapsed.
-            self._events.write("pools_not_passed_on", taker=taker.node, error=str(error))
+            self._events.write("pools_not_passed_on", taker=new_owner.node, error=str(error))
             return
         self._events.write(
-            "pools_passed_on", taker=taker.node, tokens=tokens, taken=sorted(answer.taken)
+            "pools_passed_on", taker=new_owner.node, tokens=tokens, taken=sorted(response.taken)
         )
 
     def log_acquired(self, pool: str, token: int) -> None:
@@ -103,11 +103,11 @@
             "pool_taken",
             pool=pool,
             token=token,
-            reason=self._get_take_reason(pool, previous),
+            reason=self._get_acquisition_reason(pool, previous),
             previous=previous.owner.node if previous is not None else "",
         )
 
-    def _get_take_reason(self, pool: str, previous: Ownership | None) -> str:
+    def _get_acquisition_reason(self, pool: str, previous: Ownership | None) -> str:
         if previous is None or previous.is_released:
             return "free"
         if self.stopped_tokens.get(pool, 0) >= previous.token:
@@ -129,17 +129,17 @@
             self._me.incarnation,
         )
 
-    async def handle_takeover(self, question: TakeoverRequest) -> TakeoverResponse:
+    async def handle_takeover(self, request: TakeoverRequest) -> TakeoverResponse:
         """Take over the pools whose owners have not changed meanwhile."""
         if not self._election.may_acquire or self._lag.lag_s > LAG_MAX_S:
             return TakeoverResponse(())
-        self.stopped_tokens |= question.tokens
+        self.stopped_tokens |= request.tokens
         try:
-            return TakeoverResponse(tuple(await self._table.take_over(question.tokens, self._me)))
+            return TakeoverResponse(tuple(await self._table.take_over(request.tokens, self._me)))
         except StoreError as error:
             self._events.write(
                 "take_failed",
-                tokens=question.tokens,
+                tokens=request.tokens,
                 error=f"{type(error).__name__}: {error}",
             )
             return TakeoverResponse(())
@@ -150,13 +150,13 @@
         Another life that answers there tells as much: the process before it has ended.
         """
         try:
-            answer = await self._peers.send_request(
+            response = await self._peers.send_request(
                 owner.address, OwnerStoppedRequest(pool, token), OwnerStoppedResponse
             )
         except PeerUnreachableError:
             # It may be running, cut off from here: nothing is known.
             return False
-        return answer.node == owner.node and answer.has_stopped
+        return response.node == owner.node and response.has_stopped
 
     async def query_store_status(self, member: Member) -> StoreStatusResponse:
         """Ask a node whether the store serves it, and how it fares."""
--- a/src/robinthread/_internal/node/host_directory.py
+++ b/src/robinthread/_internal/node/host_directory.py
@@ -26,7 +26,7 @@
     def __init__(self, parse_host: ParseHost, events: EventLog) -> None:
         self._parse_host = parse_host
         self._events = events
-        self._missing: dict[str, asyncio.TimerHandle] = {}
+        self._pending_removals: dict[str, asyncio.TimerHandle] = {}
         self._listeners: list[Callable[[], None]] = []
         self.hosts: dict[str, UpstreamHost] = {}
 
@@ -45,33 +45,35 @@
         if is_snapshot:
             listed = {record.key for record in records}
             for host_id in [host_id for host_id in self.hosts if host_id not in listed]:
-                self._miss(host_id)
+                self._schedule_removal(host_id)
         for listener in list(self._listeners):
             listener()
 
     def _apply_one(self, record: KeyedRecord) -> None:
         if record.value is None:
-            self._miss(record.key)
+            self._schedule_removal(record.key)
             return
         try:
             host = self._parse_host(record.key, record.value)
         except msgspec.MsgspecError as error:
             # It names no host to use, whatever stood there before.
             self._events.write("record_malformed", key=record.key, error=str(error))
-            self._miss(record.key)
+            self._schedule_removal(record.key)
             return
-        timer = self._missing.pop(host.id, None)
+        timer = self._pending_removals.pop(host.id, None)
         if timer is not None:
             timer.cancel()
         self.hosts[host.id] = host
 
-    def _miss(self, host_id: str) -> None:
-        if host_id in self.hosts and host_id not in self._missing:
+    def _schedule_removal(self, host_id: str) -> None:
+        if host_id in self.hosts and host_id not in self._pending_removals:
             loop = asyncio.get_running_loop()
-            self._missing[host_id] = loop.call_later(MISSING_GRACE_S, self._remove, host_id)
+            self._pending_removals[host_id] = loop.call_later(
+                MISSING_GRACE_S, self._remove, host_id
+            )
 
     def _remove(self, host_id: str) -> None:
-        self._missing.pop(host_id, None)
+        self._pending_removals.pop(host_id, None)
         host = self.hosts.pop(host_id, None)
         if host is not None:
             self._events.gather("host_gone", counted_by=host.pool, listed={"hosts": host_id})
--- a/src/robinthread/_internal/node/host_report_handler.py
+++ b/src/robinthread/_internal/node/host_report_handler.py
@@ -17,31 +17,31 @@
         self._events = runtime.events
         self._orders = orders
 
-    def take(self, host: Host, report: HostReport, asked_at_s: float) -> int:
+    def process(self, host: Host, report: HostReport, polled_at_s: float) -> int:
         """Take a report in; return the number of the newest end in it, 0 where none is new."""
         new_ends = [end for end in report.ended if end.number > host.processed_end]
         for end in report.ended:
             if end.number <= host.forgotten_end:
-                self._tell_not_taken(host, end, "its number was acknowledged before")
+                self._log_ignored_end(host, end, "its number was acknowledged before")
         for end in new_ends:
-            self._take_end(host, end)
-        self._take_running(host, report, asked_at_s)
+            self._process_end(host, end)
+        self._process_running(host, report, polled_at_s)
         return max((end.number for end in new_ends), default=0)
 
-    def _take_end(self, host: Host, end: EndedRun) -> None:
+    def _process_end(self, host: Host, end: EndedRun) -> None:
         run = host.runs.get((end.task, end.run))
         now_ms = self._runtime.context.get_wall_ms()
         if run is None:
-            self._take_unknown(host, end, now_ms)
+            self._process_unknown_end(host, end, now_ms)
             return
-        self._tell("run_failed" if end.end is RunEnd.FAILED else "run_ended", host, end)
+        self._log_end("run_failed" if end.end is RunEnd.FAILED else "run_ended", host, end)
         if end.end is RunEnd.DONE:
             host.health.record_success()
         elif end.end is RunEnd.FAILED and host.health.record_failure(end.task.job_id, get_loop_s()):
             self._events.write("host_paused", host=host.id, pool=self._runtime.pool)
         self._runtime.jobs.end_run(run, end.end, end.checkpoint, now_ms, get_loop_s())
 
-    def _take_unknown(self, host: Host, end: EndedRun, now_ms: int) -> None:
+    def _process_unknown_end(self, host: Host, end: EndedRun, now_ms: int) -> None:
         """Take the end of a run in that had counted as lapsed, if its task was done by it.
 
         The host was not heard for longer than its lease: because it was cut off, or because its
@@ -50,14 +50,14 @@
         is_done = end.end is RunEnd.DONE
         jobs = self._runtime.jobs
         if is_done and jobs.record_late_completion(end.task, end.run, end.checkpoint, now_ms):
-            self._tell("late_end_taken", host, end)
+            self._log_end("late_end_taken", host, end)
         else:
-            self._tell_not_taken(host, end, "no such run is known here")
+            self._log_ignored_end(host, end, "no such run is known here")
 
-    def _tell_not_taken(self, host: Host, end: EndedRun, reason: str) -> None:
-        self._tell("end_not_taken", host, end, number=end.number, reason=reason)
+    def _log_ignored_end(self, host: Host, end: EndedRun, reason: str) -> None:
+        self._log_end("end_not_taken", host, end, number=end.number, reason=reason)
 
-    def _tell(self, event: str, host: Host, end: EndedRun, **fields: Any) -> None:
+    def _log_end(self, event: str, host: Host, end: EndedRun, **fields: Any) -> None:
         self._events.write(
             event,
             job=end.task.job_id,
@@ -68,7 +68,7 @@
             **fields,
         )
 
-    def _take_running(self, host: Host, report: HostReport, asked_at_s: float) -> None:
+    def _process_running(self, host: Host, report: HostReport, polled_at_s: float) -> None:
         now_s = get_loop_s()
         present = set()
         for running in report.running:
@@ -84,8 +84,8 @@
             self._runtime.jobs.confirm_start(run, now_s)
         missing = [run for key, run in host.runs.items() if key not in present]
         for run in missing:
-            if asked_at_s > run.settled_at_s:
-                self._forget(run)
+            if polled_at_s > run.settled_at_s:
+                self._forget_run(run)
 
     def _stop_unknown(self, host: Host, running: RunningTask) -> None:
         self._events.write(
@@ -100,7 +100,7 @@
     async def _try_stop(self, host: Host, running: RunningTask) -> None:
         await self._orders.try_stop(host, running.task, running.run)
 
-    def _forget(self, run: Run) -> None:
+    def _forget_run(self, run: Run) -> None:
         self._events.write(
             "run_not_there",
             job=run.task.job_id,
--- a/src/robinthread/_internal/node/job_service.py
+++ b/src/robinthread/_internal/node/job_service.py
@@ -26,7 +26,7 @@
 # How old a count of pending jobs may be; callers bear 2 s.
 PENDING_AGE_MAX_S: Final = 0.8
 # Accepted ids that are remembered, to answer repeats without another record.
-ACCEPTED_KEPT_MAX: Final = 20_000
+REMEMBERED_JOBS_MAX: Final = 20_000
 
 T = TypeVar("T")
 
@@ -105,10 +105,10 @@
 
         Where it can't be told now whose job it is, its owner sees that when it reads the record.
         """
-        told = await self.get_status(queue, job_id, workspace)
-        if told.outcome is JobRequestOutcome.NO_SUCH_JOB:
+        state = await self.get_status(queue, job_id, workspace)
+        if state.outcome is JobRequestOutcome.NO_SUCH_JOB:
             return JobRequestOutcome.NO_SUCH_JOB
-        if told.status is not None and told.status.is_final:
+        if state.status is not None and state.status.is_final:
             return JobRequestOutcome.DONE
         return await self._records.write(make_cancel_record(job_id, workspace), deadline_s)
 
@@ -121,16 +121,16 @@
             if not may_access(workspace, ended.workspace):
                 return JobState(JobRequestOutcome.NO_SUCH_JOB)
             return JobState(JobRequestOutcome.DONE, ended.status)
-        answer = await self._ask_job(queue.pool, job_id)
-        if answer.is_owner and not answer.status and answer.pool not in ("", queue.pool):
-            answer = await self._ask_job(answer.pool, job_id)
-        if not answer.is_owner or (answer.pool and not answer.status):
+        response = await self._query_job(queue.pool, job_id)
+        if response.is_owner and not response.status and response.pool not in ("", queue.pool):
+            response = await self._query_job(response.pool, job_id)
+        if not response.is_owner or (response.pool and not response.status):
             return JobState(JobRequestOutcome.OWNER_UNREACHABLE)
-        if not answer.pool or not may_access(workspace, answer.workspace):
+        if not response.pool or not may_access(workspace, response.workspace):
             return JobState(JobRequestOutcome.NO_SUCH_JOB)
-        status = JobStatus(answer.status)
+        status = JobStatus(response.status)
         if status.is_final:
-            _remember(self._ended, job_id, _EndedJob(status, answer.workspace))
+            _remember(self._ended, job_id, _EndedJob(status, response.workspace))
         return JobState(JobRequestOutcome.DONE, status)
 
     async def count_pending(self, queue: QueuePolicy) -> int | None:
@@ -138,45 +138,45 @@
         now_s = asyncio.get_running_loop().time()
         read_at_s, counts = self._pending.get(queue.pool, (-PENDING_AGE_MAX_S, {}))
         if now_s - read_at_s >= PENDING_AGE_MAX_S:
-            answer = await self._ask_pending(queue.pool)
-            if not answer.is_owner:
+            response = await self._query_pending(queue.pool)
+            if not response.is_owner:
                 return None
-            counts = answer.counts
+            counts = response.counts
             self._pending[queue.pool] = (now_s, counts)
         return counts.get(queue.name, 0)
 
-    async def _ask_job(self, pool: str, job_id: str) -> JobResponse:
-        question = JobRequest(pool, job_id)
+    async def _query_job(self, pool: str, job_id: str) -> JobResponse:
+        request = JobRequest(pool, job_id)
         owner = self._table.get(pool)
         if owner is None:
             return JobResponse(is_owner=False)
         if owner.owner == self._me:
-            return await self._owned.handle_job(question)
+            return await self._owned.handle_job(request)
         try:
-            return await self._peers.send_request(owner.owner.address, question, JobResponse)
+            return await self._peers.send_request(owner.owner.address, request, JobResponse)
         except PeerUnreachableError as error:
-            self._note_unreachable(pool, owner.owner, error)
+            self._log_unreachable(pool, owner.owner, error)
             return JobResponse(is_owner=False)
 
-    async def _ask_pending(self, pool: str) -> PendingCountsResponse:
-        question = PendingCountsRequest(pool)
+    async def _query_pending(self, pool: str) -> PendingCountsResponse:
+        request = PendingCountsRequest(pool)
         owner = self._table.get(pool)
         if owner is None:
             return PendingCountsResponse(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.handle_pending(question)
+            return self._owned.handle_pending(request)
         try:
             address = owner.owner.address
-            return await self._peers.send_request(address, question, PendingCountsResponse)
+            return await self._peers.send_request(address, request, PendingCountsResponse)
         except PeerUnreachableError as error:
-            self._note_unreachable(pool, owner.owner, error)
+            self._log_unreachable(pool, owner.owner, error)
             return PendingCountsResponse(is_owner=False)
 
-    def _note_unreachable(self, pool: str, owner: Member, error: Exception) -> None:
+    def _log_unreachable(self, pool: str, owner: Member, error: Exception) -> None:
         self._events.write("owner_unreachable", pool=pool, owner=owner.node, error=str(error))
 
 
-def _remember(kept: dict[str, T], key: str, value: T) -> None:
-    kept[key] = value
-    if len(kept) > ACCEPTED_KEPT_MAX:
-        del kept[next(iter(kept))]
+def _remember(cache: dict[str, T], key: str, value: T) -> None:
+    cache[key] = value
+    if len(cache) > REMEMBERED_JOBS_MAX:
+        del cache[next(iter(cache))]
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -32,7 +32,7 @@
 RETRY_PAUSE_MAX_S: Final = 1.0
 # How long a host gets no work after it rejected a task for want of room: its next
 # report tells what takes the room.
-NO_ROOM_PAUSE_S: Final = 0.3
+NO_CAPACITY_PAUSE_S: Final = 0.3
 # How long a host gets no work after it said that it is not well.
 UNHEALTHY_PAUSE_S: Final = 1.0
 # Orders under way at once to one host, each on a connection of its own.
@@ -70,7 +70,7 @@
         The same run is sent to the same host again: a host that has it already
         says so, and starts it once.  One that no start has reached never begins.
         """
-        host, job = self._find(run)
+        host, job = self._find_host_and_job(run)
         if host is None or job is None:
             return
         async with self._get_slot(host.id):
@@ -78,9 +78,9 @@
             while tries < START_TRIES and host.contact is HostContact.ANSWERING:
                 if run.phase is not RunPhase.SENDING:
                     return
-                if not self._has_room(run, host, job):
+                if not self._has_capacity(run, host, job):
                     break
-                until_ms = self._grant(host)
+                until_ms = self._grant_lease(host)
                 if until_ms is not None:
                     tries += 1
                     outcome = await self._try_start(run, host, job, until_ms, sent_count > 0)
@@ -161,7 +161,7 @@
             outcome=outcome,
         )
 
-    def _has_room(self, run: Run, host: Host, job: Job) -> bool:
+    def _has_capacity(self, run: Run, host: Host, job: Job) -> bool:
         """Tell whether the host still has the room in which a run was placed."""
         is_over = host.is_overcommitted(job.spec.steps[run.task.step].resources)
         if not is_over and self._runtime.are_capacities_known():
@@ -179,17 +179,17 @@
         )
         return False
 
-    def _grant(self, host: Host) -> int | None:
+    def _grant_lease(self, host: Host) -> int | None:
         """Return the end of a lease that begins now, or None while none may be granted."""
         lease_ms = self._runtime.get_lease_ms()
         return None if lease_ms is None else host.lease.grant(lease_ms, get_loop_s())
 
     async def _try_start(
-        self, run: Run, host: Host, job: Job, until_ms: int, may_be_there: bool
+        self, run: Run, host: Host, job: Job, until_ms: int, may_have_started: bool
     ) -> StartOutcome:
         """Send one start.
 
-        ``may_be_there`` where an earlier one had no answer: it may have been carried out,
+        ``may_have_started`` where an earlier one had no answer: it may have been carried out,
         or may be later, whatever the host says to this one.
         """
         tickets, step = self._runtime.jobs.tickets, run.task.step_key
@@ -205,7 +205,7 @@
         run.sent_at_s = run.sent_at_s or get_loop_s()
         try:
             host.record_order_sent(get_loop_s())
-            await self._send_noted(run, host, order)
+            await self._send_recorded(run, host, order)
             host.record_response()
         except HostFencedError:
             raise
@@ -214,21 +214,21 @@
             host.record_response()
             run.settled_at_s = get_loop_s()
         except NoRoomError:
-            host.health.pause(NO_ROOM_PAUSE_S, get_loop_s())
-            return self._reject(run, host, "no room", may_be_there)
+            host.health.pause(NO_CAPACITY_PAUSE_S, get_loop_s())
+            return self._reject(run, host, "no room", may_have_started)
         except TicketRejectedError:
             tickets.drop(step, host.id)
-            return self._reject(run, host, "ticket", may_be_there)
+            return self._reject(run, host, "ticket", may_have_started)
         except HostUnhealthyError as error:
             host.health.pause(UNHEALTHY_PAUSE_S, get_loop_s())
-            return self._reject(run, host, str(error), may_be_there)
+            return self._reject(run, host, str(error), may_have_started)
         except StartRejectedError as error:
-            return self._reject(run, host, f"{type(error).__name__}: {error}", may_be_there)
+            return self._reject(run, host, f"{type(error).__name__}: {error}", may_have_started)
         except HostGoneError as error:
-            if may_be_there:
+            if may_have_started:
                 # It may have been the end of its host: that is judged with all that ran there.
                 return StartOutcome.SETTLED
-            return self._reject(run, host, str(error), may_be_there=False)
+            return self._reject(run, host, str(error), may_have_started=False)
         except (HostNoAnswerError, HostUnreachableError) as error:
             host.record_failure(error, get_loop_s())
             self._events.write(
@@ -242,7 +242,7 @@
             )
             if isinstance(error, HostNoAnswerError):
                 return StartOutcome.UNANSWERED
-            if not may_be_there:
+            if not may_have_started:
                 run.sent_at_s = None
             return StartOutcome.UNSENT
         else:
@@ -262,20 +262,20 @@
             self._runtime.log_first_start(run)
         return StartOutcome.SETTLED
 
-    async def _send_noted(self, run: Run, host: Host, order: StartOrder) -> None:
+    async def _send_recorded(self, run: Run, host: Host, order: StartOrder) -> None:
         """Send a start; one without an answer may be carried out by the host's next life."""
-        late, host_id = self._runtime.jobs.unconfirmed_starts, host.record.id
-        late.record_order_sent(host_id, run.key, get_loop_s())
+        unconfirmed, host_id = self._runtime.jobs.unconfirmed_starts, host.record.id
+        unconfirmed.record_order_sent(host_id, run.key, get_loop_s())
         try:
             await self._context.hosts.start(host.record, order)
         except HostNoAnswerError:
             raise
         except HostError:
-            late.record_start_settled(host_id, run.key)
+            unconfirmed.record_start_settled(host_id, run.key)
             raise
-        late.record_start_settled(host_id, run.key)
+        unconfirmed.record_start_settled(host_id, run.key)
 
-    def _reject(self, run: Run, host: Host, reason: str, may_be_there: bool) -> StartOutcome:
+    def _reject(self, run: Run, host: Host, reason: str, may_have_started: bool) -> StartOutcome:
         """Take back a run that its host will not start, unless an earlier order may."""
         host.record_response()
         self._events.write(
@@ -285,15 +285,15 @@
             run=run.number,
             host=host.id,
             reason=reason,
-            may_be_there=may_be_there,
+            may_be_there=may_have_started,
         )
-        if may_be_there:
+        if may_have_started:
             return StartOutcome.GIVEN_UP
         self._runtime.jobs.forget_run(run)
         self._runtime.wake()
         return StartOutcome.SETTLED
 
-    def _find(self, run: Run) -> tuple[Host | None, Job | None]:
+    def _find_host_and_job(self, run: Run) -> tuple[Host | None, Job | None]:
         jobs = self._runtime.jobs
         return jobs.hosts.get(run.host_id), jobs.jobs.get(run.task.job_id)
 
--- a/src/robinthread/_internal/node/owned_pools.py
+++ b/src/robinthread/_internal/node/owned_pools.py
@@ -24,62 +24,62 @@
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self.owners: dict[str, PoolOwner] = {}
-        self._unstopped: list[PoolOwner] = []
+        self._running_owners: list[PoolOwner] = []
 
     def make_owner(self, pool: str, token: int, predecessors: Predecessors) -> PoolOwner:
         """Make the owner of a pool."""
         partitions = self._context.settings.store.partition_count
         partition = zlib.crc32(pool.encode()) % partitions
         owner = self.owners[pool] = PoolOwner(self._context, pool, token, partition, predecessors)
-        self._unstopped = [other for other in self._unstopped if not other.has_stopped]
-        self._unstopped.append(owner)
+        self._running_owners = [other for other in self._running_owners if not other.has_stopped]
+        self._running_owners.append(owner)
         return owner
 
-    def handle_stopped(self, question: OwnerStoppedRequest) -> OwnerStoppedResponse:
+    def handle_stopped(self, request: OwnerStoppedRequest) -> OwnerStoppedResponse:
         """Tell whether no owner of a pool under a token or a lower one gives orders here.
 
         None will later: whoever asks has shut such owners out of the pool's journal, which
         an owner must open before its first order.
         """
         is_running = any(
-            owner.pool == question.pool and owner.token <= question.token and not owner.has_stopped
-            for owner in self._unstopped
+            owner.pool == request.pool and owner.token <= request.token and not owner.has_stopped
+            for owner in self._running_owners
         )
         return OwnerStoppedResponse(self._context.settings.name, not is_running)
 
-    async def handle_job(self, question: JobRequest) -> JobResponse:
+    async def handle_job(self, request: JobRequest) -> JobResponse:
         """Tell what is known of a job, reading the inbox again before saying nothing is."""
-        owner = self.owners.get(question.pool)
+        owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return JobResponse(is_owner=False)
-        indexed = self._context.job_index.jobs.get(question.job_id)
+        indexed = self._context.job_index.jobs.get(request.job_id)
         if indexed is None:
             try:
                 await self._context.read_inbox_once()
             except StoreError:
                 return JobResponse(is_owner=False)
-            indexed = self._context.job_index.jobs.get(question.job_id)
+            indexed = self._context.job_index.jobs.get(request.job_id)
         if indexed is None:
             return JobResponse(is_owner=True)
         pool = indexed.spec.pool
         holder = self.owners.get(pool)
-        status = holder.get_status(question.job_id) if holder and holder.is_open else None
-        return JobResponse(True, pool, _format(status), indexed.spec.workspace)
+        status = holder.get_status(request.job_id) if holder and holder.is_open else None
+        return JobResponse(True, pool, _format_status(status), indexed.spec.workspace)
 
-    def handle_pending(self, question: PendingCountsRequest) -> PendingCountsResponse:
+    def handle_pending(self, request: PendingCountsRequest) -> PendingCountsResponse:
         """Count the pending jobs of a pool by queue."""
-        owner = self.owners.get(question.pool)
+        owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return PendingCountsResponse(is_owner=False)
         return PendingCountsResponse(is_owner=True, counts=owner.count_pending())
 
-    def handle_fleet_report(self, question: FleetReportRequest) -> PoolReport:
+    def handle_fleet_report(self, request: FleetReportRequest) -> PoolReport:
         """Tell how a pool stands."""
-        owner = self.owners.get(question.pool)
+        owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return PoolReport(is_owner=False)
-        return owner.report(question)
+        return owner.report(request)
 
 
-def _format(status: JobStatus | None) -> str:
+def _format_status(status: JobStatus | None) -> str:
     return "" if status is None else status.value
--- a/src/robinthread/_internal/node/owner_liveness.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -15,7 +15,7 @@
 MISSING_CONFIRM_S: Final = 0.25
 # How long the word of an owner counts that the store answers it.  It is asked again
 # meanwhile, once for each time that an answer may take.
-ANSWER_COUNTS_S: Final = 2 * MISSING_CONFIRM_S
+RESULT_VALID_S: Final = 2 * MISSING_CONFIRM_S
 # By how much the own loop may run late while an answer is waited for, so that silence still
 # counts: what is left is three times the 50 ms that a peer needs that runs five times slower.
 LATE_MAX_S: Final = 0.1
@@ -30,39 +30,43 @@
 STAGE_DELAY_S: Final = 1.0
 
 
-class _Word(Enum):
+class _QueryResult(Enum):
     """What came of asking an owner."""
 
-    LIVES = auto()
+    ALIVE = auto()
     # It did not answer, or answered that the store does not.
-    IS_SILENT = auto()
+    UNCONFIRMED = auto()
     # Another process has its address.
-    HAS_ENDED = auto()
+    ENDED = auto()
 
 
 @dataclass
 class _Absence:
-    """An owner that is missing; ``word`` is the last one that was had since.
+    """An owner that is missing; ``query_result`` is the last one that was had since.
 
-    ``patience_s`` is how much longer than the first ones this node waits before it asks.
+    ``delay_s`` is how much longer than the first ones this node waits before it asks.
     """
 
     since_s: float
-    patience_s: float = 0.0
-    word: _Word | None = None
-    heard_at_s: float = 0.0
-    lives_until_s: float = 0.0
+    delay_s: float = 0.0
+    query_result: _QueryResult | None = None
+    result_at_s: float = 0.0
+    alive_until_s: float = 0.0
 
-    def note(self, word: _Word, now_s: float) -> None:
+    def record_result(self, query_result: _QueryResult, now_s: float) -> None:
         """Note what came of asking the owner."""
-        self.word, self.heard_at_s = word, now_s
-        if word is _Word.LIVES:
-            self.lives_until_s = now_s + ANSWER_COUNTS_S
+        self.query_result, self.result_at_s = query_result, now_s
+        if query_result is _QueryResult.ALIVE:
+            self.alive_until_s = now_s + RESULT_VALID_S
 
-    def is_silent(self, now_s: float) -> bool:
+    def is_unconfirmed(self, now_s: float) -> bool:
         """Tell whether the owner was asked of late and did not say that it lives."""
-        is_recent = now_s - self.heard_at_s < ANSWER_COUNTS_S
-        return self.word is _Word.IS_SILENT and is_recent and now_s >= self.lives_until_s
+        is_recent = now_s - self.result_at_s < RESULT_VALID_S
+        return (
+            self.query_result is _QueryResult.UNCONFIRMED
+            and is_recent
+            and now_s >= self.alive_until_s
+        )
 
 
 class OwnerLiveness:
@@ -82,14 +86,14 @@
     def is_list_due(self, listed_at_s: float) -> bool:
         """Tell whether members listed last at a moment are to be listed for missing owners."""
         listed_for_s = asyncio.get_running_loop().time() - listed_at_s
-        return any(listed_for_s >= absence.patience_s for absence in self._absences.values())
+        return any(listed_for_s >= absence.delay_s for absence in self._absences.values())
 
     async def run(self) -> None:
         """Ask the owners that are missing until cancelled."""
-        async with asyncio.TaskGroup() as asking:
+        async with asyncio.TaskGroup() as queries:
             while True:
                 owner, absence = await self._added.get()
-                asking.create_task(self._keep_asking(owner, absence))
+                queries.create_task(self._query_repeatedly(owner, absence))
 
     def is_confirmed_lost(self, owner: Member, rank: int = 0) -> bool:
         """Note that an owner is not listed, and tell whether it is gone.
@@ -101,15 +105,15 @@
         if absence is None:
             absence = self._absences[owner] = _Absence(now_s)
             self._added.put_nowait((owner, absence))
-        absence.patience_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
-        if absence.word is _Word.HAS_ENDED:
+        absence.delay_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
+        if absence.query_result is _QueryResult.ENDED:
             return True
-        return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_silent(now_s)
+        return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_unconfirmed(now_s)
 
     def has_ended(self, owner: Member) -> bool:
         """Tell whether another life answers where an owner was that is missing."""
         absence = self._absences.get(owner)
-        return absence is not None and absence.word is _Word.HAS_ENDED
+        return absence is not None and absence.query_result is _QueryResult.ENDED
 
     def get_missing_s(self, owner: Member) -> float | None:
         """Return for how long an owner has been missing; None where it was listed."""
@@ -129,50 +133,56 @@
         """Forget all absences: the members have not been seen without a gap."""
         self._absences.clear()
 
-    async def _keep_asking(self, owner: Member, absence: _Absence) -> None:
+    async def _query_repeatedly(self, owner: Member, absence: _Absence) -> None:
         """Ask an owner time and again until it is not missing any more, or has ended."""
         loop = asyncio.get_running_loop()
-        late_s, from_s = 0.0, absence.since_s
-        while self._absences.get(owner) is absence and absence.word is not _Word.HAS_ENDED:
+        late_s, last_query_at_s = 0.0, absence.since_s
+        while (
+            self._absences.get(owner) is absence and absence.query_result is not _QueryResult.ENDED
+        ):
             # The patience may change meanwhile.
-            if loop.time() < from_s + absence.patience_s:
+            if loop.time() < last_query_at_s + absence.delay_s:
                 await asyncio.sleep(TICK_S)
                 continue
-            began_at_s = from_s = loop.time()
+            began_at_s = last_query_at_s = loop.time()
             # What the loop was late the last time is added: one that always is late must
             # come to an end too.
-            word, late_s = await self._ask(owner, MISSING_CONFIRM_S + late_s)
-            if word is not None:
-                absence.note(word, loop.time())
+            query_result, late_s = await self._query(owner, MISSING_CONFIRM_S + late_s)
+            if query_result is not None:
+                absence.record_result(query_result, loop.time())
                 await asyncio.sleep(max(0.0, began_at_s + MISSING_CONFIRM_S - loop.time()))
 
-    async def _ask(self, owner: Member, timeout_s: float) -> tuple[_Word | None, float]:
+    async def _query(self, owner: Member, timeout_s: float) -> tuple[_QueryResult | None, float]:
         """Return what came of asking an owner, None for nothing, and how late the loop ran.
 
         Nothing follows from an answer that did not come while the own loop could not read it.
         """
         loop = asyncio.get_running_loop()
         began_at_s = loop.time()
-        asking = asyncio.ensure_future(
+        query = asyncio.ensure_future(
             self._peers.send_request(
                 owner.address, StoreStatusRequest(), StoreStatusResponse, timeout_s
             )
         )
-        late_s = await _measure_late_s(asking)
+        late_s = await _measure_late_s(query)
         try:
-            return _read_answer(owner, asking.result()), late_s
+            return _read_response(owner, query.result()), late_s
         except PeerUnreachableError:
             took_s = loop.time() - began_at_s
-            was_told = took_s < timeout_s - TICK_S
+            has_failed_early = took_s < timeout_s - TICK_S
             was_on_time = took_s - late_s >= MISSING_CONFIRM_S - LATE_MAX_S
-            return _Word.IS_SILENT if was_told or was_on_time else None, late_s
+            return _QueryResult.UNCONFIRMED if has_failed_early or was_on_time else None, late_s
 
 
-def _read_answer(owner: Member, answer: StoreStatusResponse) -> _Word:
+def _read_response(owner: Member, response: StoreStatusResponse) -> _QueryResult:
     # A node of an older version does not tell its life.
-    if answer.incarnation and answer.incarnation != owner.incarnation:
-        return _Word.HAS_ENDED
-    return _Word.LIVES if answer.incarnation and answer.is_member else _Word.IS_SILENT
+    if response.incarnation and response.incarnation != owner.incarnation:
+        return _QueryResult.ENDED
+    return (
+        _QueryResult.ALIVE
+        if response.incarnation and response.is_member
+        else _QueryResult.UNCONFIRMED
+    )
 
 
 async def _measure_late_s(work: asyncio.Future[StoreStatusResponse]) -> float:
--- a/src/robinthread/_internal/node/pool_hosts.py
+++ b/src/robinthread/_internal/node/pool_hosts.py
@@ -24,23 +24,23 @@
         self._jobs = runtime.jobs
         self._progress_recorder = progress_recorder
         self._orders = orders
-        self._followers: dict[str, HostMonitor] = {}
+        self._monitors: dict[str, HostMonitor] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._numbers = itertools.count()
-        self._told: dict[str, frozenset[str]] = {}
+        self._reported_ended: dict[str, frozenset[str]] = {}
 
     def update(self) -> None:
         """Take in the listed hosts; one host of a machine ends with the next one."""
         listed = self._runtime.context.host_directory.hosts
-        lives = {record.machine: record for record in listed.values()}
+        by_machine = {record.machine: record for record in listed.values()}
         own = {record.id: record for record in listed.values() if record.pool == self._runtime.pool}
         for record in own.values():
-            self._follow(record)
-        for host_id, follower in self._followers.items():
-            follower.is_listed = host_id in own
+            self._start_monitor(record)
+        for host_id, monitor in self._monitors.items():
+            monitor.is_listed = host_id in own
         for host in list(self._jobs.hosts.values()):
             host.record_listing(self._is_listed(host, own))
-            successor = lives.get(host.record.machine)
+            successor = by_machine.get(host.record.machine)
             if not host.is_listed and successor is not None and successor.id != host.record.id:
                 self._remove(host, "its machine is another host now", successor.id)
         self._runtime.wake()
@@ -52,18 +52,20 @@
         are told for seconds may be up again under their ids: it is the lives of that moment that
         have ended, and one that is awaited may be another.
         """
-        self._told = {
-            host_id: self._told.get(
+        self._reported_ended = {
+            host_id: self._reported_ended.get(
                 host_id, frozenset(host.id for host in find_incarnations(self._jobs, host_id))
             )
             for host_id in ended
         }
         for host in [
-            host for host_id in self._told for host in find_incarnations(self._jobs, host_id)
+            host
+            for host_id in self._reported_ended
+            for host in find_incarnations(self._jobs, host_id)
         ]:
             is_silent = host.contact is not HostContact.ANSWERING
-            is_told = host.id in self._told[host.record.id]
-            if is_silent and is_told and not host.is_awaited(get_loop_s()):
+            is_reported = host.id in self._reported_ended[host.record.id]
+            if is_silent and is_reported and not host.is_awaited(get_loop_s()):
                 self._end(host, "its machine does not have it any more", has_crashed=True)
 
     def end_unlisted(self, now_s: float) -> None:
@@ -72,45 +74,45 @@
         Nobody follows them, so they are over with their lease.
         """
         for host in list(self._jobs.hosts.values()):
-            if not self._is_followed(host) and now_s > host.lease.over_at_s:
+            if not self._is_monitored(host) and now_s > host.lease.over_at_s:
                 self._end(host, "it is not listed and its lease is over", has_crashed=False)
 
     def _is_listed(self, host: Host, own: dict[str, UpstreamHost]) -> bool:
         """Tell whether a host's entry is there; of the life that is followed, whatever it tells."""
         record = own.get(host.record.id)
         return record is not None and (
-            self._is_followed(host)
+            self._is_monitored(host)
             or record.host_started_at_ms in (None, host.record.host_started_at_ms)
         )
 
-    def _is_followed(self, host: Host) -> bool:
-        follower = self._followers.get(host.record.id)
-        return follower is not None and follower.lives.host is host
+    def _is_monitored(self, host: Host) -> bool:
+        monitor = self._monitors.get(host.record.id)
+        return monitor is not None and monitor.incarnations.host is host
 
-    def _follow(self, record: UpstreamHost) -> None:
-        follower = self._followers.get(record.id)
-        if follower is not None:
-            follower.lives.record_listing(record)
+    def _start_monitor(self, record: UpstreamHost) -> None:
+        monitor = self._monitors.get(record.id)
+        if monitor is not None:
+            monitor.incarnations.record_listing(record)
             return
         number = next(self._numbers)
-        follower = HostMonitor(self._runtime, record, self._progress_recorder, self._orders, number)
-        self._followers[record.id] = follower
-        self._tasks[record.id] = self._runtime.spawn(self._run(record.id, follower))
+        monitor = HostMonitor(self._runtime, record, self._progress_recorder, self._orders, number)
+        self._monitors[record.id] = monitor
+        self._tasks[record.id] = self._runtime.spawn(self._run(record.id, monitor))
 
-    async def _run(self, host_id: str, follower: HostMonitor) -> None:
-        await follower.run()
-        self._followers.pop(host_id, None)
+    async def _run(self, host_id: str, monitor: HostMonitor) -> None:
+        await monitor.run()
+        self._monitors.pop(host_id, None)
         self._tasks.pop(host_id, None)
 
     def _end(self, host: Host, reason: str, has_crashed: bool) -> None:
-        if self._is_followed(host):
-            self._followers[host.record.id].lives.end_life(reason, has_crashed)
+        if self._is_monitored(host):
+            self._monitors[host.record.id].incarnations.end_incarnation(reason, has_crashed)
         else:
             end_host(self._runtime, host, reason, has_crashed)
 
     def _remove(self, host: Host, reason: str, successor: str) -> None:
         """End a host that is not listed any more, and follow it no longer."""
-        if self._is_followed(host):
-            self._followers.pop(host.record.id)
+        if self._is_monitored(host):
+            self._monitors.pop(host.record.id)
             self._tasks.pop(host.record.id).cancel()
         end_host(self._runtime, host, reason, True, successor)
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -38,7 +38,7 @@
 PROGRESS_TOPIC: Final = "keyed.progress"
 # After tasks were placed, so many times as long as that took is left to other work: what
 # changes meanwhile is placed together.  A quarter of the processor at most goes there.
-PLACING_PAUSE_SHARE: Final = 3.0
+PLACING_PAUSE_FACTOR: Final = 3.0
 # Longest such pause: a tenth of the time that callers bear beside the work itself.
 PLACING_PAUSE_MAX_S: Final = 0.05
 # How often the pool looks for what time alone changes: due jobs, hung runs.
@@ -52,7 +52,7 @@
 HOST_START_S: Final = 0.3
 # An owner that no steward has told any shares of limits begins work by the part that is never
 # lent after so long: the steward may be cut off from it, or lost as well.
-UNTOLD_S: Final = 1.0
+SHARES_AWAITED_MAX_S: Final = 1.0
 
 
 class PoolOwner:
@@ -116,7 +116,7 @@
         )
         if self._is_stopped:
             return
-        self._context.job_index.subscribe(self._take_job)
+        self._context.job_index.subscribe(self._handle_job)
         self._context.host_directory.subscribe(self._hosts.update)
         self._hosts.update()
         self.is_open = True
@@ -149,7 +149,7 @@
         if self._is_stopped:
             return
         if self.is_open:
-            self._context.job_index.unsubscribe(self._take_job)
+            self._context.job_index.unsubscribe(self._handle_job)
             self._context.host_directory.unsubscribe(self._hosts.update)
             if is_planned and not self.fenced.is_set():
                 await self._progress_recorder.flush(FLUSH_WAIT_S)
@@ -176,28 +176,28 @@
         """Count, by queue, the jobs of which nothing has begun."""
         return count_pending(self.jobs)
 
-    def report(self, question: FleetReportRequest) -> PoolReport:
+    def report(self, request: FleetReportRequest) -> PoolReport:
         """Tell the steward how the pool stands, and empty what it asks for."""
         now_s = get_loop_s()
         for host in self.jobs.hosts.values():
-            is_vacating = host.record.machine in question.vacate
+            is_vacating = host.record.machine in request.vacate
             host.vacating_until_s = now_s + VACATE_S if is_vacating else 0.0
-        if question.expects_hosts:
+        if request.expects_hosts:
             self._context.poll_hosts_faster()
-        self._hosts.end_lost(question.ended)
-        self._take_limits()
-        share_state = self.jobs.workspaces.apply_order(question.shares)
+        self._hosts.end_lost(request.ended)
+        self._apply_limits()
+        share_state = self.jobs.workspaces.apply_order(request.shares)
         self._runtime.wake()
         demand = self._demand.forecast(self.jobs, now_s, self._context.get_wall_ms())
         return make_pool_report(self.jobs, demand, now_s, share_state)
 
-    def _take_limits(self) -> None:
+    def _apply_limits(self) -> None:
         """Have workspaces bound by the configuration in force."""
         holder = self._context.config_holder
         if holder.config is None:
             return
         self.jobs.workspaces.set_limits(holder.config, holder.limit_lowered_in)
-        if get_loop_s() - self._runtime.opened_at_s >= UNTOLD_S:
+        if get_loop_s() - self._runtime.opened_at_s >= SHARES_AWAITED_MAX_S:
             kept = self._context.policy.workspaces.kept_share
             self.jobs.workspaces.default_share = get_reserved_share(kept, holder.config)
 
@@ -228,7 +228,7 @@
         await asyncio.sleep(max(0.0, self.jobs.foreign_leases.over_at_s - get_loop_s()))
         await self._journal.write([make_settled_record(self.pool, self.token)])
 
-    def _take_job(self, indexed: IndexedJob) -> None:
+    def _handle_job(self, indexed: IndexedJob) -> None:
         """Take in a job that is new or newly cancelled."""
         spec = indexed.spec
         if spec.pool != self.pool:
@@ -285,7 +285,7 @@
                 self._hosts.end_unlisted(now_s)
             began_at_s = get_loop_s()
             self.jobs.are_capacities_known = self._runtime.are_capacities_known()
-            self._take_limits()
+            self._apply_limits()
             clear_surviving_suspects(self.jobs, now_s)
             place_waiting(self.jobs, now_s, self._context.get_wall_ms())
             log_crash_events(self._events, self.pool, self.jobs.crash_tracker.drain_events())
@@ -296,5 +296,5 @@
                 self._runtime.unrecorded.set()
             self._runtime.changed.clear()
             took_s = get_loop_s() - began_at_s
-            await asyncio.sleep(min(PLACING_PAUSE_MAX_S, PLACING_PAUSE_SHARE * took_s))
+            await asyncio.sleep(min(PLACING_PAUSE_MAX_S, PLACING_PAUSE_FACTOR * took_s))
             await wait_for_event(self._runtime.changed, TICK_S)
--- a/src/robinthread/_internal/node/pool_rebalancing.py
+++ b/src/robinthread/_internal/node/pool_rebalancing.py
@@ -16,7 +16,7 @@
 from robinthread._internal.settings.policy_settings import OwnerPolicy
 
 # What a node may have that is to take a pool, as a share of the bound.
-TAKER_LAG_SHARE: Final = 0.5
+NEW_OWNER_LAG_SHARE: Final = 0.5
 # A node passes a pool on that is crowded where another's load would be so much smaller.
 CROWDED_SHARE: Final = 0.75
 # For how long a node must have been crowded or late.
@@ -28,7 +28,7 @@
 LATE_PAUSE_S: Final = 0.3
 # How many nodes are asked in turn whether they have room: one that is out of reach takes
 # 0.4 s, in which this node takes no pool.
-TAKERS_ASKED_MAX: Final = 3
+CANDIDATES_QUERIED_MAX: Final = 3
 
 
 @dataclass(frozen=True)
@@ -67,7 +67,7 @@
         self._owned = owned
         self._lag = lag
         self._policy = policy
-        self._wanting_since_s: float | None = None
+        self._imbalanced_since_s: float | None = None
         self._paused_until_s = 0.0
 
     async def plan_transfer(self) -> PoolTransfer | None:
@@ -77,34 +77,34 @@
             return None
         is_late = self._policy.relieves_late_nodes and self._lag.lag_s > LAG_MAX_S
         loads = self._count_loads()
-        choices = self._list_takers(loads, 1.0 if is_late else CROWDED_SHARE)
-        if not choices or not (is_late or self._policy.spreads_pools):
-            self._wanting_since_s = None
+        candidates = self._list_candidates(loads, 1.0 if is_late else CROWDED_SHARE)
+        if not candidates or not (is_late or self._policy.spreads_pools):
+            self._imbalanced_since_s = None
             return None
-        if self._wanting_since_s is None:
-            self._wanting_since_s = now_s
-        if now_s - self._wanting_since_s < CONFIRM_S:
+        if self._imbalanced_since_s is None:
+            self._imbalanced_since_s = now_s
+        if now_s - self._imbalanced_since_s < CONFIRM_S:
             return None
-        return await self._choose(choices, is_late)
+        return await self._choose(candidates, is_late)
 
     def record_transfer(self) -> None:
         """Note that a pool has been passed on: no more for a while."""
-        self._wanting_since_s = None
+        self._imbalanced_since_s = None
         pause_s = LATE_PAUSE_S if self._lag.lag_s > LAG_MAX_S else PAUSE_S
         self._paused_until_s = asyncio.get_running_loop().time() + pause_s
 
-    async def _choose(self, choices: Iterable[Member], is_late: bool) -> PoolTransfer | None:
-        pools = self._list_own()
+    async def _choose(self, candidates: Iterable[Member], is_late: bool) -> PoolTransfer | None:
+        pools = self._list_transferable()
         if not pools:
             return None
-        for taker in islice(choices, TAKERS_ASKED_MAX):
-            answer = await self._handover.query_store_status(taker)
-            if answer.is_served and answer.lag_s <= TAKER_LAG_SHARE * LAG_MAX_S:
+        for candidate in islice(candidates, CANDIDATES_QUERIED_MAX):
+            response = await self._handover.query_store_status(candidate)
+            if response.is_served and response.lag_s <= NEW_OWNER_LAG_SHARE * LAG_MAX_S:
                 reason = f"the loop is {self._lag.lag_s:.3f} s late" if is_late else "crowded"
-                return PoolTransfer(taker, pools[0], reason)
+                return PoolTransfer(candidate, pools[0], reason)
         return None
 
-    def _list_own(self) -> tuple[str, ...]:
+    def _list_transferable(self) -> tuple[str, ...]:
         """List what may be passed on.
 
         Where a host with runs does not answer, they run elsewhere once its lease is over:
@@ -113,10 +113,10 @@
         return tuple(
             pool
             for pool, found in sorted(self._table.owners.items())
-            if found.owner == self._me and not found.is_released and not self._is_waiting(pool)
+            if found.owner == self._me and not found.is_released and not self._has_silent_runs(pool)
         )
 
-    def _is_waiting(self, pool: str) -> bool:
+    def _has_silent_runs(self, pool: str) -> bool:
         owner = self._owned.owners.get(pool)
         return owner is not None and owner.jobs.has_silent_runs()
 
@@ -125,11 +125,11 @@
             found.owner for found in self._table.owners.values() if not found.is_released
         )
 
-    def _list_takers(self, loads: Counter[Member], share: float) -> list[Member]:
+    def _list_candidates(self, loads: Counter[Member], share: float) -> list[Member]:
         """Return the others that would carry less than this node does, the idlest first."""
-        most = share * loads[self._me] / self._me.capacity_millicores
+        load_max = share * loads[self._me] / self._me.capacity_millicores
         ranked = sorted(
             ((loads[member] + 1) / member.capacity_millicores, member)
             for member in self._member.members - {self._me}
         )
-        return [member for load, member in ranked if load <= most]
+        return [member for load, member in ranked if load <= load_max]
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -18,21 +18,21 @@
 from robinthread._internal.telemetry.event_log import EventLog
 
 # So many of the runs that a host took with it are named in its line.
-NEWEST_TOLD_MAX: Final = 12
+NEWEST_RUNS_MAX: Final = 12
 
 
 def make_pool_report(
     pool: PoolJobs, demand: Demand, now_s: float, share_state: ShareState | None = None
 ) -> PoolReport:
     """Tell how a pool stands, and which of its listed hosts can be used."""
-    doubted = list_unresponsive(pool, now_s)
+    unresponsive = list_unresponsive(pool, now_s)
     needed = demand.host_requirements.host_ids
     return PoolReport(
         is_owner=True,
         fetch_resources=demand.fetch.astuple(),
         keep_resources=demand.keep.astuple(),
         hosts=tuple(
-            _make_standing(host, host.id not in doubted, host.id in needed, now_s)
+            _make_host_status(host, host.id not in unresponsive, host.id in needed, now_s)
             for host in pool.hosts.values()
             if host.is_listed
         ),
@@ -67,7 +67,7 @@
     if host.runs:
         broke_at_s = now_s if host.connection_broken_at_s is None else host.connection_broken_at_s
         newest = heapq.nlargest(
-            NEWEST_TOLD_MAX,
+            NEWEST_RUNS_MAX,
             (run for run in host.runs.values() if run.sent_at_s is not None),
             key=lambda run: run.sent_at_s or 0.0,
         )
@@ -82,32 +82,32 @@
             broke_ago_s=None
             if host.connection_broken_at_s is None
             else round(now_s - broke_at_s, 3),
-            newest=[_name_run(run, broke_at_s) for run in newest],
+            newest=[_format_run(run, broke_at_s) for run in newest],
         )
     else:
         events.gather("host_ended", {"pool": pool, "reason": reason}, listed={"hosts": host.id})
 
 
-def log_crash_events(events: EventLog, pool: str, notes: Iterable[CrashEvent]) -> None:
+def log_crash_events(events: EventLog, pool: str, crash_events: Iterable[CrashEvent]) -> None:
     """Tell what crashes of hosts said of tasks."""
-    for note in notes:
+    for crash_event in crash_events:
         events.write(
-            note.kind.value,
-            job=note.task.job_id,
-            task=note.task.position,
+            crash_event.kind.value,
+            job=crash_event.task.job_id,
+            task=crash_event.task.position,
             pool=pool,
-            run=note.run,
-            hosts=note.host_ids,
+            run=crash_event.run,
+            hosts=crash_event.host_ids,
             crashes=[
                 f"{crash.host_id}/{crash.machine}/{crash.run} {crash.age_ms} ms"
                 f"{' close' * crash.is_near_start}{' sure' * crash.is_confirmed}"
                 f"{' explained' * crash.has_other_cause}"
-                for crash in note.crashes
+                for crash in crash_event.crashes
             ],
         )
 
 
-def _name_run(run: Run, broke_at_s: float) -> str:
+def _format_run(run: Run, broke_at_s: float) -> str:
     """Name a run, with how long before its host broke its start was sent."""
     ago_ms = (broke_at_s - (run.sent_at_s or 0.0)) * 1000
     return f"{run.task.job_id}/{run.task.position}/{run.number} {ago_ms:.1f} ms"
@@ -115,8 +115,8 @@
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
     """Return what the waiting tasks would take of those workspaces that are to be told of."""
-    told = pool.workspaces.list_reported()
-    sums = dict.fromkeys(told, NO_RESOURCES)
+    reported = pool.workspaces.list_reported()
+    sums = dict.fromkeys(reported, NO_RESOURCES)
     if sums:
         for task in pool.waiting.values():
             workspace = pool.jobs[task.key.job_id].spec.workspace
@@ -125,7 +125,7 @@
     return sums
 
 
-def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
+def _make_host_status(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
     return HostStatus(
         machine=host.record.machine,
         host_id=host.record.id,
--- a/src/robinthread/_internal/node/pool_runtime.py
+++ b/src/robinthread/_internal/node/pool_runtime.py
@@ -44,7 +44,7 @@
         self.unrecorded = asyncio.Event()
         self.fenced = asyncio.Event()
         self.opened_at_s = math.inf
-        self._has_started = False
+        self._has_logged_first_start = False
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def wake(self) -> None:
@@ -61,8 +61,8 @@
 
     def log_first_start(self, run: Run) -> None:
         """Write a line for the first run that was started since the pool was opened."""
-        if not self._has_started:
-            self._has_started = True
+        if not self._has_logged_first_start:
+            self._has_logged_first_start = True
             self.events.write(
                 "pool_first_start",
                 job=run.task.job_id,
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -16,7 +16,7 @@
 
 # How often an earlier owner is asked whether it has stopped, while tasks wait for that:
 # small beside the lease that they wait for in any case.
-ASK_PERIOD_S: Final = 0.3
+QUERY_PERIOD_S: Final = 0.3
 
 QueryStopped = Callable[[Member, str, int], Awaitable[bool]]
 
@@ -34,7 +34,7 @@
         self._pool = pool
         self._query_stopped = query_stopped
         self._grants_until_s = {lost: lost.replaced_at_s + UNCONFIRMED_MAX_S for lost in found}
-        self._taken_at_s = get_loop_s()
+        self._acquired_at_s = get_loop_s()
         self._leases = ForeignLeases()
 
     def mark_fenced(self, now_s: float, leases: ForeignLeases) -> None:
@@ -48,7 +48,7 @@
             lost: min(now_s + UNCONFIRMED_MAX_S, lost.replaced_at_s + OWNERS_UNREAD_MAX_S)
             for lost in self._grants_until_s
         }
-        self._update()
+        self._update_lapse_time()
 
     @property
     def is_empty(self) -> bool:
@@ -66,7 +66,7 @@
             for lost, until_s in self._grants_until_s.items()
             if lost.token >= before_token
         }
-        self._update()
+        self._update_lapse_time()
 
     async def poll_until_stopped(self, is_awaited: Callable[[], bool], events: EventLog) -> None:
         """Ask earlier owners whether they have stopped, while that is awaited.
@@ -75,18 +75,18 @@
         """
         while running := self._list_running():
             if is_awaited():
-                await asyncio.gather(*(self._ask(lost, events) for lost in running))
-            await asyncio.sleep(ASK_PERIOD_S)
+                await asyncio.gather(*(self._query(lost, events) for lost in running))
+            await asyncio.sleep(QUERY_PERIOD_S)
 
     def _list_running(self) -> list[UnreleasedOwner]:
         now_s = get_loop_s()
         return [lost for lost, until_s in self._grants_until_s.items() if until_s > now_s]
 
-    async def _ask(self, lost: UnreleasedOwner, events: EventLog) -> None:
+    async def _query(self, lost: UnreleasedOwner, events: EventLog) -> None:
         if not await self._query_stopped(lost.owner, self._pool, lost.token):
             return
         self._grants_until_s[lost] = get_loop_s()
-        self._update()
+        self._update_lapse_time()
         events.write(
             "predecessor_stopped",
             pool=self._pool,
@@ -95,9 +95,9 @@
             leases_over_in_s=round(self._leases.over_at_s - get_loop_s(), 3),
         )
 
-    def _update(self) -> None:
+    def _update_lapse_time(self) -> None:
         # Owners that are not known here had stopped when this one took the pool.
-        last_grant_s = max(self._taken_at_s, *self._grants_until_s.values(), 0.0)
+        last_grant_s = max(self._acquired_at_s, *self._grants_until_s.values(), 0.0)
         self._leases.over_at_s = get_lapse_time_s(LEASE_MS, last_grant_s)
 
 
--- a/src/robinthread/_internal/node/progress_loader.py
+++ b/src/robinthread/_internal/node/progress_loader.py
@@ -39,13 +39,13 @@
             if record.key == KEY_PREFIX + pool:
                 settled_before_token = parse_settled_record(record).before_token
             elif not record.key.startswith(KEY_PREFIX):
-                _add(found, record)
+                _add_progress(found, record)
         except msgspec.MsgspecError as error:
             events.write("record_malformed", key=record.key, error=str(error))
     return LoadedProgress(found, settled_before_token)
 
 
-def _add(found: dict[str, JobProgress], record: KeyedRecord) -> None:
+def _add_progress(found: dict[str, JobProgress], record: KeyedRecord) -> None:
     progress = decode_progress(record.value or b"")
     if progress.job_id != record.key:
         raise msgspec.ValidationError("its key names another job")
--- a/src/robinthread/_internal/node/progress_recorder.py
+++ b/src/robinthread/_internal/node/progress_recorder.py
@@ -25,7 +25,7 @@
         self._runtime = runtime
         self._journal = journal
         self._orders = orders
-        self._batches_taken = 0
+        self._batches_started = 0
         self._batches_recorded = 0
         self._recorded = asyncio.Event()
 
@@ -46,7 +46,7 @@
     @property
     def next_batch(self) -> int:
         """Return the batch that records all that has changed until now."""
-        return self._batches_taken + bool(self._runtime.jobs.unrecorded)
+        return self._batches_started + bool(self._runtime.jobs.unrecorded)
 
     async def wait(self, batch: int, wait_s: float) -> bool:
         """Wait until a batch is recorded; return whether it is."""
@@ -58,26 +58,26 @@
         return True
 
     async def _record(self, jobs: list[Job]) -> None:
-        self._batches_taken += 1
+        self._batches_started += 1
         statuses = [(job, job.status) for job in jobs]
-        runs = [run for job in jobs for run in _iter_unsent(job)]
+        runs = [run for job in jobs for run in _list_unsent(job)]
         await self._journal.write([KeyedRecord(job.id, encode_progress(job)) for job in jobs])
         self._batches_recorded += 1
         recorded, self._recorded = self._recorded, asyncio.Event()
         recorded.set()
         for job, status in statuses:
-            self._show(job, status)
+            self._publish_status(job, status)
         for run in runs:
             if run.phase is RunPhase.RECORDING:
                 run.phase = RunPhase.SENDING
                 self._runtime.spawn(self._orders.send_start(run))
 
-    def _show(self, job: Job, status: JobStatus) -> None:
+    def _publish_status(self, job: Job, status: JobStatus) -> None:
         if status.is_final and not job.recorded_status.is_final:
-            self._note_end(job, status)
+            self._log_job_end(job, status)
         job.recorded_status = status
 
-    def _note_end(self, job: Job, status: JobStatus) -> None:
+    def _log_job_end(self, job: Job, status: JobStatus) -> None:
         """Write the last word on a job, with what it was allowed to take."""
         took_ms = job.ended_at_ms - job.spec.accepted_at_ms
         pool = self._runtime.pool
@@ -95,7 +95,7 @@
         )
 
 
-def _iter_unsent(job: Job) -> list[Run]:
+def _list_unsent(job: Job) -> list[Run]:
     return [
         run for task in job.iter_running() for run in task.runs if run.phase is RunPhase.RECORDING
     ]
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -61,11 +61,11 @@
         if self._member.is_cut_off:
             outcome = await self._relay(record, deadline_s)
         elif self._writer.latency.is_slow or self._member.join_latency.is_slow:
-            outcome = await self._gather(record, deadline_s)
+            outcome = await self._append_through_steward(record, deadline_s)
         else:
             outcome = await self._append(record, deadline_s)
             if outcome is JobRequestOutcome.REFUSED:
-                outcome = await self._gather(record, deadline_s, may_append=False)
+                outcome = await self._append_through_steward(record, deadline_s, may_append=False)
         if outcome is JobRequestOutcome.REFUSED:
             self._events.write(
                 "record_refused",
@@ -83,23 +83,23 @@
             return JobRequestOutcome.REFUSED
         return await self._append(record, deadline_s)
 
-    async def _gather(
+    async def _append_through_steward(
         self, record: KeyedRecord, deadline_s: float, may_append: bool = True
     ) -> JobRequestOutcome:
         """Have the one node append a record that does so for all; else, perhaps, this one.
 
         A relay that takes long tells that the store is slow still.
         """
-        gatherer = self._find_gatherer()
-        if gatherer is not None:
+        remote_steward = self._find_remote_steward()
+        if remote_steward is not None:
             began_at_s = asyncio.get_running_loop().time()
-            outcome = await self._relay_to(gatherer, record, deadline_s)
+            outcome = await self._relay_to(remote_steward, record, deadline_s)
             self._writer.latency.record_duration(asyncio.get_running_loop().time() - began_at_s)
             if outcome is not JobRequestOutcome.REFUSED:
                 return outcome
         return await self._append(record, deadline_s) if may_append else JobRequestOutcome.REFUSED
 
-    def _find_gatherer(self) -> Member | None:
+    def _find_remote_steward(self) -> Member | None:
         """Return the node that appends for all, unless that is this one or there is none."""
         steward = self._table.get(FLEET_POOL)
         if not self._policy.gathers_while_store_slow or steward is None:
@@ -121,17 +121,17 @@
         if left_s <= 0:
             return JobRequestOutcome.REFUSED
         timeout_s = min(left_s, RELAY_TIMEOUT_S)
-        question = RelayRequest(record.key, record.value or b"", timeout_s)
+        request = RelayRequest(record.key, record.value or b"", timeout_s)
         try:
-            answer = await self._peers.send_request(
-                member.address, question, RelayResponse, timeout_s
+            response = await self._peers.send_request(
+                member.address, request, RelayResponse, timeout_s
             )
         except PeerUnsentError:
             return JobRequestOutcome.REFUSED
         except PeerUnreachableError as error:
-            self._note_unknown(record, member.node, error)
+            self._log_unknown(record, member.node, error)
             return JobRequestOutcome.UNKNOWN
-        outcome = JobRequestOutcome(answer.outcome)
+        outcome = JobRequestOutcome(response.outcome)
         if outcome is not JobRequestOutcome.REFUSED:
             self._events.gather(
                 "request_relayed",
@@ -152,11 +152,11 @@
             )
             return JobRequestOutcome.REFUSED
         except StoreNoAnswerError as error:
-            self._note_unknown(record, "", error)
+            self._log_unknown(record, "", error)
             return JobRequestOutcome.UNKNOWN
         return JobRequestOutcome.DONE
 
-    def _note_unknown(self, record: KeyedRecord, relay: str, error: Exception) -> None:
+    def _log_unknown(self, record: KeyedRecord, relay: str, error: Exception) -> None:
         self._events.write(
             "request_unknown",
             job=record.key.split("/")[1],
--- a/src/robinthread/_internal/node/retention.py
+++ b/src/robinthread/_internal/node/retention.py
@@ -35,8 +35,8 @@
         self._runtime = runtime
         self._context = runtime.context
         self._journal = journal
-        keep_s = self._context.settings.bounds.keep_ended_s + DROP_MARGIN_S
-        self._keep_ms = keep_s * 1000
+        retention_s = self._context.settings.bounds.keep_ended_s + DROP_MARGIN_S
+        self._retention_ms = retention_s * 1000
 
     async def run(self) -> None:
         """Drop what is due until cancelled."""
@@ -48,12 +48,12 @@
             if due:
                 await self._drop(due)
 
-    async def drop_orphans(self, left: Iterable[JobProgress]) -> None:
+    async def drop_orphans(self, unclaimed: Iterable[JobProgress]) -> None:
         """Drop progress whose job the inbox does not hold any more."""
         known = self._context.job_index.jobs
         orphans = [
             KeyedRecord(progress.job_id, None)
-            for progress in left
+            for progress in unclaimed
             if progress.job_id not in known and JobStatus(progress.status).is_final
         ]
         await self._journal.write(orphans)
@@ -61,7 +61,9 @@
     def _is_due(self, job: Job) -> bool:
         age_ms = self._context.get_wall_ms() - job.ended_at_ms
         return (
-            job.recorded_status.is_final and age_ms > self._keep_ms and not any(job.iter_running())
+            job.recorded_status.is_final
+            and age_ms > self._retention_ms
+            and not any(job.iter_running())
         )
 
     async def _drop(self, jobs: list[Job]) -> None:
--- a/src/robinthread/_internal/node/run_monitor.py
+++ b/src/robinthread/_internal/node/run_monitor.py
@@ -38,7 +38,7 @@
 
     def _stop_stalled(self, now_s: float) -> None:
         for run in stop_stalled(self._pool, now_s):
-            self._tell(
+            self._log_run(
                 "run_stalled",
                 run,
                 progress_percent=run.progress_percent,
@@ -48,7 +48,7 @@
     def _move_stragglers(self, now_s: float) -> None:
         for straggler in move_stragglers(self._pool, now_s):
             run = straggler.run
-            self._tell(
+            self._log_run(
                 "run_lags",
                 run,
                 progress_percent=run.progress_percent,
@@ -63,9 +63,9 @@
 
     def _evacuate(self, now_s: float) -> None:
         for run in evacuate(self._pool, now_s):
-            self._tell("run_moved", run)
+            self._log_run("run_moved", run)
 
-    def _tell(self, event: str, run: Run, **fields: Any) -> None:
+    def _log_run(self, event: str, run: Run, **fields: Any) -> None:
         self._runtime.events.write(
             event,
             job=run.task.job_id,
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -23,7 +23,7 @@
 
     def __init__(self, runtime: PoolRuntime) -> None:
         self._runtime = runtime
-        self._told_at_s: dict[str, float] = {}
+        self._logged_at_s: dict[str, float] = {}
 
     def report(self, now_s: float) -> None:
         """Write a line for each job that has waited since the last one."""
@@ -32,17 +32,17 @@
         by_job = {
             job_id: list(tasks) for job_id, tasks in groupby(waiting, lambda task: task.key.job_id)
         }
-        self._told_at_s = {job_id: self._told_at_s.get(job_id, now_s) for job_id in by_job}
+        self._logged_at_s = {job_id: self._logged_at_s.get(job_id, now_s) for job_id in by_job}
         due = [
             job_id
-            for job_id, told_s in self._told_at_s.items()
-            if now_s - told_s >= REPORT_PERIOD_S
+            for job_id, logged_at_s in self._logged_at_s.items()
+            if now_s - logged_at_s >= REPORT_PERIOD_S
         ]
         for job_id in due[:JOBS_MAX]:
-            self._told_at_s[job_id] = now_s
-            self._tell(pool.jobs[job_id], by_job[job_id], now_s)
+            self._logged_at_s[job_id] = now_s
+            self._log_wait(pool.jobs[job_id], by_job[job_id], now_s)
 
-    def _tell(self, job: Job, tasks: list[Task], now_s: float) -> None:
+    def _log_wait(self, job: Job, tasks: list[Task], now_s: float) -> None:
         pool = self._runtime.jobs
         now_ms = self._runtime.context.get_wall_ms()
         first = tasks[0]
@@ -61,9 +61,9 @@
             usable_hosts=len(usable),
             free_cpu_max_millicores=max((host.free.cpu_millicores for host in usable), default=0),
             are_rooms_known=pool.are_capacities_known,
-            **_tell_workspace(pool, job.spec.workspace),
-            silent_hosts=_count(pool.hosts.values(), HostContact.SILENT),
-            unheard_hosts=_count(pool.hosts.values(), HostContact.NOT_CONTACTED),
+            **_make_workspace_fields(pool, job.spec.workspace),
+            silent_hosts=_count_contacts(pool.hosts.values(), HostContact.SILENT),
+            unheard_hosts=_count_contacts(pool.hosts.values(), HostContact.NOT_CONTACTED),
             suspect_count=sum(pool.crash_tracker.is_suspect(task) for task in tasks),
             is_held=bool(job.culprits),
             reserved_hosts=len(pool.crash_tracker.trials.reserved),
@@ -72,7 +72,7 @@
         )
 
 
-def _tell_workspace(pool: PoolJobs, workspace: str) -> dict[str, Any]:
+def _make_workspace_fields(pool: PoolJobs, workspace: str) -> dict[str, Any]:
     """Tell what a workspace takes and may take, and whether its tasks wait for that."""
     limit = pool.workspaces.get_limit(workspace)
     if limit is None:
@@ -86,5 +86,5 @@
     }
 
 
-def _count(hosts: Iterable[Host], contact: HostContact) -> int:
+def _count_contacts(hosts: Iterable[Host], contact: HostContact) -> int:
     return sum(host.contact is contact for host in hosts)
