--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -1,7 +1,7 @@
-"""Passing work to other nodes while the store does not serve this one.
+"""Handover of pools to other nodes while the store does not serve this one.
 
-The store may turn one node away and serve the others.  Those would notice only
-when the node's membership has lapsed; the node itself knows at once.
+The store may reject one node and serve the others.  The others notice only when the node's
+membership has lapsed; the node itself knows at once.
 """
 
 import asyncio
@@ -25,19 +25,19 @@
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
-# Two appends and a read of the store, each of which may be slow.
+# A takeover makes two appends and one read of the store, each of which may be slow.
 TAKEOVER_TIMEOUT_S: Final = 1.0
-# How often a node that the store does not serve asks whom it does serve.
+# Interval at which a node that the store does not serve polls which other nodes it serves.
 QUERY_PERIOD_S: Final = 0.4
 
 
 class Handover:
-    """Finds nodes that the store serves, and takes over what others pass on.
+    """Finds nodes that the store serves, and takes over pools that other nodes hand over.
 
-    ``stopped_tokens`` are the tokens of owners that stopped before they passed
-    their pool on: by pool, the newest.  ``served`` are the other nodes that the
-    store serves while it does not serve this one, the one first that would have the
-    least load for its capacity; there are none in an outage for all.
+    ``stopped_tokens`` maps a pool to the newest token whose owner stopped before it handed the
+    pool over.  ``served`` lists the other nodes that the store serves while it does not serve
+    this one, ordered by the load relative to capacity that each would have with one more pool.
+    It is empty while the store serves this node or no node at all.
     """
 
     def __init__(
@@ -83,13 +83,13 @@
         return tuple(member for _load, _weight, member in served)
 
     async def request_takeover(self, new_owner: Member, tokens: dict[str, int]) -> None:
-        """Have a node take pools over whose owner here has stopped."""
+        """Request that a node take over pools whose owner here has stopped."""
         try:
             response = await self._peers.send_request(
                 new_owner.address, TakeoverRequest(tokens), TakeoverResponse, TAKEOVER_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            # Whoever owns them next takes them when this node's membership has lapsed.
+            # The next owner acquires these pools once this node's membership has lapsed.
             self._events.write("pools_not_passed_on", taker=new_owner.node, error=str(error))
             return
         self._events.write(
@@ -97,7 +97,7 @@
         )
 
     def log_acquired(self, pool: str, token: int) -> None:
-        """Write that this node has taken a pool, why, and from whom."""
+        """Log that this node has acquired a pool, with the reason and the previous owner."""
         previous = self._table.previous.get(pool)
         self._events.write(
             "pool_taken",
@@ -120,7 +120,7 @@
         return "owner missing" if missing_s is None else f"owner missing for {missing_s:.2f} s"
 
     def handle_store_status(self) -> StoreStatusResponse:
-        """Tell whether the store serves this node."""
+        """Return whether the store serves this node, with its pool count and loop lag."""
         return StoreStatusResponse(
             self._election.may_acquire,
             len(self._owned.owners),
@@ -130,7 +130,7 @@
         )
 
     async def handle_takeover(self, request: TakeoverRequest) -> TakeoverResponse:
-        """Take over the pools whose owners have not changed meanwhile."""
+        """Take over the requested pools whose owners have not changed since the request."""
         if not self._election.may_acquire or self._lag.lag_s > LAG_MAX_S:
             return TakeoverResponse(())
         self.stopped_tokens |= request.tokens
@@ -145,25 +145,26 @@
             return TakeoverResponse(())
 
     async def query_stopped(self, owner: Member, pool: str, token: int) -> bool:
-        """Ask an earlier owner's node whether it has stopped under a token and lower ones.
+        """Return whether an earlier owner's node has stopped under a token and all lower ones.
 
-        Another life that answers there tells as much: the process before it has ended.
+        A response from a later incarnation of that node proves it too: the process before it
+        has ended.
         """
         try:
             response = await self._peers.send_request(
                 owner.address, OwnerStoppedRequest(pool, token), OwnerStoppedResponse
             )
         except PeerUnreachableError:
-            # It may be running, cut off from here: nothing is known.
+            # The node may be running but cut off from this one, so its state is unknown.
             return False
         return response.node == owner.node and response.has_stopped
 
     async def query_store_status(self, member: Member) -> StoreStatusResponse:
-        """Ask a node whether the store serves it, and how it fares."""
+        """Query whether the store serves a node, its pool count and its loop lag."""
         try:
             return await self._peers.send_request(
                 member.address, StoreStatusRequest(), StoreStatusResponse
             )
         except PeerUnreachableError:
-            # A node that does not answer is no candidate; nothing else follows from it.
+            # An unreachable node is not a candidate; the result is used for nothing else.
             return StoreStatusResponse(is_served=False, owned_count=0)
--- a/src/robinthread/_internal/node/job_request_outcome.py
+++ b/src/robinthread/_internal/node/job_request_outcome.py
@@ -1,14 +1,15 @@
-"""How a caller's request ends."""
+"""Outcomes of callers' requests for jobs."""
 
 import enum
 
 
 class JobRequestOutcome(enum.Enum):
-    """Outcome of a caller's request.
+    """Outcome of a caller's request for a job.
 
-    REFUSED: the store does not take it, so it has not run and will not.
-    OWNER_UNREACHABLE: what is asked for cannot be told now.
-    ID_TAKEN: the id is that of another workspace's job.
+    REFUSED: the record was not appended, so the request has no effect, now or later.
+    OWNER_UNREACHABLE: the pool's owner did not respond, so the job's state is unknown.
+    UNKNOWN: an append or its relay had no response, so the request may or may not take effect.
+    ID_TAKEN: a job of another workspace has this id.
     """
 
     DONE = "done"
--- a/src/robinthread/_internal/node/job_service.py
+++ b/src/robinthread/_internal/node/job_service.py
@@ -1,4 +1,4 @@
-"""What callers may ask of any node."""
+"""Callers' requests for jobs, which any node serves."""
 
 import asyncio
 import itertools
@@ -23,9 +23,10 @@
 from robinthread._internal.node.record_writer import RecordWriter
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How old a count of pending jobs may be; callers bear 2 s.
+# Maximum age of a cached count of pending jobs.  Callers accept a count that is 2 s old.
 PENDING_AGE_MAX_S: Final = 0.8
-# Accepted ids that are remembered, to answer repeats without another record.
+# Maximum number of accepted and of ended jobs that a node caches, to respond to repeated
+# requests without another record or another query.
 REMEMBERED_JOBS_MAX: Final = 20_000
 
 T = TypeVar("T")
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """Outcome of asking for a job, and its status where there is one."""
+    """Outcome of a query for a job, and the job's status, or None if it is unknown."""
 
     outcome: JobRequestOutcome
     status: JobStatus | None = None
@@ -46,10 +47,10 @@
 
 
 class JobService:
-    """Takes jobs in, cancels them and tells their state, at any node.
+    """Accepts and cancels jobs and returns their state, on any node.
 
-    A caller's ``workspace`` is None where the queue asks for no key.  What is another one's
-    is to that caller as if it did not exist.
+    A caller's ``workspace`` is None if the queue requires no key.  A job of another workspace
+    is reported to a caller as nonexistent.
     """
 
     def __init__(
@@ -73,10 +74,10 @@
         self._pending: dict[str, tuple[float, dict[str, int]]] = {}
 
     async def accept(self, spec: JobSpec, deadline_s: float) -> JobRequestOutcome:
-        """Take a job in; done means that the store keeps it."""
+        """Accept a job; the outcome is DONE once the store has its record."""
         accepted_of = self._accepted.get(spec.job_id)
         if accepted_of is not None:
-            # One without a workspace was handed in while its queue was public.
+            # A job without a workspace was submitted while its queue was public.
             is_same = not spec.workspace or may_access(spec.workspace, accepted_of)
             return JobRequestOutcome.DONE if is_same else JobRequestOutcome.ID_TAKEN
         copy = f"{self._me.incarnation}.{next(self._copies)}"
@@ -101,9 +102,10 @@
     async def cancel(
         self, queue: QueuePolicy, job_id: str, deadline_s: float, workspace: str | None = None
     ) -> JobRequestOutcome:
-        """Cancel a job; done means that the store keeps it.
+        """Cancel a job; the outcome is DONE once the store has the cancel record.
 
-        Where it can't be told now whose job it is, its owner sees that when it reads the record.
+        If the job's workspace cannot be determined now, the pool's owner checks it when it
+        reads the record.
         """
         state = await self.get_status(queue, job_id, workspace)
         if state.outcome is JobRequestOutcome.NO_SUCH_JOB:
@@ -115,7 +117,7 @@
     async def get_status(
         self, queue: QueuePolicy, job_id: str, workspace: str | None = None
     ) -> JobState:
-        """Tell a job's status as its pool's owner knows it."""
+        """Return a job's status as its pool's owner reports it; final statuses are cached."""
         ended = self._ended.get(job_id)
         if ended is not None:
             if not may_access(workspace, ended.workspace):
@@ -134,7 +136,7 @@
         return JobState(JobRequestOutcome.DONE, status)
 
     async def count_pending(self, queue: QueuePolicy) -> int | None:
-        """Count the queue's jobs of which nothing has begun; None where unknown."""
+        """Count the queue's jobs of which no task has started; None if the owner is unreachable."""
         now_s = asyncio.get_running_loop().time()
         read_at_s, counts = self._pending.get(queue.pool, (-PENDING_AGE_MAX_S, {}))
         if now_s - read_at_s >= PENDING_AGE_MAX_S:
--- a/src/robinthread/_internal/node/owned_pools.py
+++ b/src/robinthread/_internal/node/owned_pools.py
@@ -1,4 +1,4 @@
-"""The pools that this node owns."""
+"""Owners of this node's pools, and responses to requests for their state."""
 
 import zlib
 
@@ -19,7 +19,7 @@
 
 
 class OwnedPools:
-    """Owners by pool, and answers about their jobs."""
+    """Owners by pool; handles other nodes' requests for the state of pools and jobs."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -27,7 +27,7 @@
         self._running_owners: list[PoolOwner] = []
 
     def make_owner(self, pool: str, token: int, predecessors: Predecessors) -> PoolOwner:
-        """Make the owner of a pool."""
+        """Create and register the owner of a pool under a token."""
         partitions = self._context.settings.store.partition_count
         partition = zlib.crc32(pool.encode()) % partitions
         owner = self.owners[pool] = PoolOwner(self._context, pool, token, partition, predecessors)
@@ -36,10 +36,10 @@
         return owner
 
     def handle_stopped(self, request: OwnerStoppedRequest) -> OwnerStoppedResponse:
-        """Tell whether no owner of a pool under a token or a lower one gives orders here.
+        """Return whether all owners of a pool under a token or a lower one have stopped here.
 
-        None will later: whoever asks has shut such owners out of the pool's journal, which
-        an owner must open before its first order.
+        None can start later: the requesting node has fenced such owners out of the pool's
+        journal, which an owner must open before its first order.
         """
         is_running = any(
             owner.pool == request.pool and owner.token <= request.token and not owner.has_stopped
@@ -48,7 +48,7 @@
         return OwnerStoppedResponse(self._context.settings.name, not is_running)
 
     async def handle_job(self, request: JobRequest) -> JobResponse:
-        """Tell what is known of a job, reading the inbox again before saying nothing is."""
+        """Return a job's pool and status; an unknown job is looked up again in a fresh inbox."""
         owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return JobResponse(is_owner=False)
@@ -67,14 +67,14 @@
         return JobResponse(True, pool, _format_status(status), indexed.spec.workspace)
 
     def handle_pending(self, request: PendingCountsRequest) -> PendingCountsResponse:
-        """Count the pending jobs of a pool by queue."""
+        """Return the number of pending jobs of a pool by queue."""
         owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return PendingCountsResponse(is_owner=False)
         return PendingCountsResponse(is_owner=True, counts=owner.count_pending())
 
     def handle_fleet_report(self, request: FleetReportRequest) -> PoolReport:
-        """Tell how a pool stands."""
+        """Apply the steward's request and return a pool's status report."""
         owner = self.owners.get(request.pool)
         if owner is None or not owner.is_open:
             return PoolReport(is_owner=False)
--- a/src/robinthread/_internal/node/owner_liveness.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -1,4 +1,4 @@
-"""Asking owners that the store does not list whether they live."""
+"""Liveness queries to pool owners that the store does not list as members."""
 
 import asyncio
 from collections.abc import Iterable
@@ -10,41 +10,42 @@
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import StoreStatusRequest, StoreStatusResponse
 
-# How long an owner must be missing from the members: while partitions pass from
-# one member to another, a living one may hold none for a moment.  It has as long to answer.
+# An owner must be missing from the list of members for this long: a live one may hold no
+# partition for a moment while partitions move between members.  This is also its response time.
 MISSING_CONFIRM_S: Final = 0.25
-# How long the word of an owner counts that the store answers it.  It is asked again
-# meanwhile, once for each time that an answer may take.
+# The result of a query is valid for this long.  Meanwhile the owner is queried again, once every
+# ``MISSING_CONFIRM_S``.
 RESULT_VALID_S: Final = 2 * MISSING_CONFIRM_S
-# By how much the own loop may run late while an answer is waited for, so that silence still
-# counts: what is left is three times the 50 ms that a peer needs that runs five times slower.
+# A missing response counts only if this node's event loop was late by no more than this during
+# the wait.  The rest of the wait is three times the 50 ms that a peer at a fifth of the usual
+# speed needs.
 LATE_MAX_S: Final = 0.1
-# How often it is looked whether the loop runs late: a stall below that is not seen.
+# Interval at which the lateness of the event loop is measured.  Shorter stalls are not detected.
 TICK_S: Final = 0.05
-# So many nodes ask at once whether a missing owner lives, those that would take its pool
-# first: one is to take it, and nodes may differ in whom they see.  With all of 37 asking, a
-# living owner was asked 144 times a second, and the members were listed 122 times.
+# Number of nodes per stage that query a missing owner, in the order in which they would acquire
+# its pool.  One of them is to acquire it, and nodes may see different members.  When all of 37
+# nodes queried, a live owner got 144 queries a second and the members were listed 122 times.
 QUERIERS_PER_STAGE: Final = 3
-# Each further such number of nodes asks so much later and more rarely, in case that those
-# before it do not know of each other: a takeover takes some 2 s, so half of that.
+# Each further stage of nodes queries later and less often by this delay, in case the nodes of
+# the stages before it do not see each other.  It is half of a takeover, which takes some 2 s.
 STAGE_DELAY_S: Final = 1.0
 
 
 class _QueryResult(Enum):
-    """What came of asking an owner."""
+    """Result of a liveness query to an owner."""
 
     ALIVE = auto()
-    # It did not answer, or answered that the store does not.
+    # The owner did not respond, or responded that the store does not serve it.
     UNCONFIRMED = auto()
-    # Another process has its address.
+    # Another incarnation responded at the owner's address.
     ENDED = auto()
 
 
 @dataclass
 class _Absence:
-    """An owner that is missing; ``query_result`` is the last one that was had since.
+    """Absence of an owner from the list of members, with the last query result since then.
 
-    ``delay_s`` is how much longer than the first ones this node waits before it asks.
+    ``delay_s`` is the stage delay of this node's queries; 0 for the nodes of the first stage.
     """
 
     since_s: float
@@ -54,13 +55,13 @@
     alive_until_s: float = 0.0
 
     def record_result(self, query_result: _QueryResult, now_s: float) -> None:
-        """Note what came of asking the owner."""
+        """Record the result of a query to the owner."""
         self.query_result, self.result_at_s = query_result, now_s
         if query_result is _QueryResult.ALIVE:
             self.alive_until_s = now_s + RESULT_VALID_S
 
     def is_unconfirmed(self, now_s: float) -> bool:
-        """Tell whether the owner was asked of late and did not say that it lives."""
+        """Return whether a recent query failed and no earlier confirmation is still valid."""
         is_recent = now_s - self.result_at_s < RESULT_VALID_S
         return (
             self.query_result is _QueryResult.UNCONFIRMED
@@ -70,12 +71,13 @@
 
 
 class OwnerLiveness:
-    """Owners that are missing from the members, and what they say themselves.
+    """Monitors owners that are missing from the list of members by querying them directly.
 
-    The store lists only the members that hold a partition; one that lives may hold none.
-    An owner is gone that has been missing for a while, was asked since it is missing and
-    did not say that the store answers it.  Each is asked by itself while its absence is
-    confirmed, so that delays nothing.  Where another life answers, it is gone at once.
+    The store lists only members that hold a partition, and a live member may hold none.  An
+    owner is confirmed lost once it has been missing for ``MISSING_CONFIRM_S`` and a query since
+    then did not confirm that the store serves it.  The queries run during that time, one task
+    per owner, so they add no delay.  An owner is confirmed lost at once if another incarnation
+    responds at its address.
     """
 
     def __init__(self, peers: PeerCalls) -> None:
@@ -84,21 +86,24 @@
         self._added: asyncio.Queue[tuple[Member, _Absence]] = asyncio.Queue()
 
     def is_list_due(self, listed_at_s: float) -> bool:
-        """Tell whether members listed last at a moment are to be listed for missing owners."""
+        """Return whether the members, last listed at ``listed_at_s``, must be listed again.
+
+        This is so if an owner is missing and the list is older than this node's stage delay.
+        """
         listed_for_s = asyncio.get_running_loop().time() - listed_at_s
         return any(listed_for_s >= absence.delay_s for absence in self._absences.values())
 
     async def run(self) -> None:
-        """Ask the owners that are missing until cancelled."""
+        """Query missing owners until cancelled."""
         async with asyncio.TaskGroup() as queries:
             while True:
                 owner, absence = await self._added.get()
                 queries.create_task(self._query_repeatedly(owner, absence))
 
     def is_confirmed_lost(self, owner: Member, rank: int = 0) -> bool:
-        """Note that an owner is not listed, and tell whether it is gone.
+        """Record that an owner is not listed, and return whether it is confirmed lost.
 
-        ``rank`` counts the nodes that would take a pool of it before this one.
+        ``rank`` is the number of nodes that would acquire one of its pools before this one.
         """
         now_s = asyncio.get_running_loop().time()
         absence = self._absences.get(owner)
@@ -111,51 +116,51 @@
         return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_unconfirmed(now_s)
 
     def has_ended(self, owner: Member) -> bool:
-        """Tell whether another life answers where an owner was that is missing."""
+        """Return whether another incarnation responds at a missing owner's address."""
         absence = self._absences.get(owner)
         return absence is not None and absence.query_result is _QueryResult.ENDED
 
     def get_missing_s(self, owner: Member) -> float | None:
-        """Return for how long an owner has been missing; None where it was listed."""
+        """Return for how many seconds an owner has been missing; None if it is listed."""
         absence = self._absences.get(owner)
         return None if absence is None else asyncio.get_running_loop().time() - absence.since_s
 
     def record_listing(self, owner: Member) -> None:
-        """Note that an owner is listed."""
+        """Record that an owner is listed, which ends its absence."""
         self._absences.pop(owner, None)
 
     def retain_only(self, owners: Iterable[Member]) -> None:
-        """Forget the members that own nothing any more."""
+        """Drop the absences of members that no longer own a pool."""
         for gone in self._absences.keys() - set(owners):
             del self._absences[gone]
 
     def clear(self) -> None:
-        """Forget all absences: the members have not been seen without a gap."""
+        """Drop all absences, because the list of members was not read without a gap."""
         self._absences.clear()
 
     async def _query_repeatedly(self, owner: Member, absence: _Absence) -> None:
-        """Ask an owner time and again until it is not missing any more, or has ended."""
+        """Query an owner repeatedly until its absence is over or it has ended."""
         loop = asyncio.get_running_loop()
         late_s, last_query_at_s = 0.0, absence.since_s
         while (
             self._absences.get(owner) is absence and absence.query_result is not _QueryResult.ENDED
         ):
-            # The patience may change meanwhile.
+            # The delay changes with this node's rank, so it is checked every ``TICK_S``.
             if loop.time() < last_query_at_s + absence.delay_s:
                 await asyncio.sleep(TICK_S)
                 continue
             began_at_s = last_query_at_s = loop.time()
-            # What the loop was late the last time is added: one that always is late must
-            # come to an end too.
+            # The lateness of the last query extends the timeout, so that a node whose loop is
+            # always late also gets a result.
             query_result, late_s = await self._query(owner, MISSING_CONFIRM_S + late_s)
             if query_result is not None:
                 absence.record_result(query_result, loop.time())
                 await asyncio.sleep(max(0.0, began_at_s + MISSING_CONFIRM_S - loop.time()))
 
     async def _query(self, owner: Member, timeout_s: float) -> tuple[_QueryResult | None, float]:
-        """Return what came of asking an owner, None for nothing, and how late the loop ran.
+        """Query an owner once; return the result and the lateness of the event loop in seconds.
 
-        Nothing follows from an answer that did not come while the own loop could not read it.
+        The result is None if the query timed out while the loop was too late to read a response.
         """
         loop = asyncio.get_running_loop()
         began_at_s = loop.time()
@@ -175,7 +180,7 @@
 
 
 def _read_response(owner: Member, response: StoreStatusResponse) -> _QueryResult:
-    # A node of an older version does not tell its life.
+    # A node of an older version does not send its incarnation.
     if response.incarnation and response.incarnation != owner.incarnation:
         return _QueryResult.ENDED
     return (
@@ -186,7 +191,7 @@
 
 
 async def _measure_late_s(work: asyncio.Future[StoreStatusResponse]) -> float:
-    """Wait for some work; return how late the loop came back to what was due meanwhile."""
+    """Wait for ``work``; return the total lateness of the loop's timers meanwhile, in seconds."""
     loop = asyncio.get_running_loop()
     late_s = 0.0
     try:
--- a/src/robinthread/_internal/node/pool_rebalancing.py
+++ b/src/robinthread/_internal/node/pool_rebalancing.py
@@ -1,4 +1,4 @@
-"""Passing pools to nodes that have more room for them."""
+"""Rebalancing of pools: transfer from crowded or late nodes to nodes with less load."""
 
 import asyncio
 from collections import Counter
@@ -15,25 +15,25 @@
 from robinthread._internal.node.owned_pools import OwnedPools
 from robinthread._internal.settings.policy_settings import OwnerPolicy
 
-# What a node may have that is to take a pool, as a share of the bound.
+# Maximum loop lag of a node that is to acquire a pool, as a share of ``LAG_MAX_S``.
 NEW_OWNER_LAG_SHARE: Final = 0.5
-# A node passes a pool on that is crowded where another's load would be so much smaller.
+# A node is crowded if another node's load with one more pool would be at most this share of its
+# own.
 CROWDED_SHARE: Final = 0.75
-# For how long a node must have been crowded or late.
+# A node transfers a pool only after it has been crowded or late for this long.
 CONFIRM_S: Final = 0.5
-# Least time between two times that a node passes pools on.  A pool stands still for some
-# 0.1 s each time.
+# Minimum time between two transfers from a node.  Each one stops a pool for some 0.1 s.
 PAUSE_S: Final = 3.0
-# The same while the loop runs late: all that waits there waits for long.
+# The same for a node whose loop is late, where all work is delayed.
 LATE_PAUSE_S: Final = 0.3
-# How many nodes are asked in turn whether they have room: one that is out of reach takes
-# 0.4 s, in which this node takes no pool.
+# Maximum number of candidates that are queried in turn.  An unreachable one takes 0.4 s, during
+# which this node acquires no pool.
 CANDIDATES_QUERIED_MAX: Final = 3
 
 
 @dataclass(frozen=True)
 class PoolTransfer:
-    """A pool to pass on, who should take it, and why."""
+    """A pool to transfer, the node that is to own it, and the reason for the log."""
 
     new_owner: Member
     pool: str
@@ -41,11 +41,12 @@
 
 
 class RebalancePlanner:
-    """Decides when a node passes pools on, and to whom.
+    """Decides when this node transfers a pool, and to which node.
 
-    It does so where its loop runs late, for its processor is slow or it owns too much, and
-    where another node could carry one of its pools more easily.  No pool goes to a node
-    that would have more to carry for its capacity, so that none goes to and fro.
+    It does so if its event loop is late, because its processor is slow or it owns too many
+    pools, or if another node would have clearly less load with one more pool.  A pool never
+    moves to a node that would then have more load for its capacity, so that no pool moves back
+    and forth.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._paused_until_s = 0.0
 
     async def plan_transfer(self) -> PoolTransfer | None:
-        """Return what to pass on now, if anything."""
+        """Return the transfer that is due now, or None."""
         now_s = asyncio.get_running_loop().time()
         if now_s < self._paused_until_s or not self._election.may_acquire:
             return None
@@ -88,7 +89,7 @@
         return await self._choose(candidates, is_late)
 
     def record_transfer(self) -> None:
-        """Note that a pool has been passed on: no more for a while."""
+        """Record a transfer, which starts the pause before the next one."""
         self._imbalanced_since_s = None
         pause_s = LATE_PAUSE_S if self._lag.lag_s > LAG_MAX_S else PAUSE_S
         self._paused_until_s = asyncio.get_running_loop().time() + pause_s
@@ -105,10 +106,11 @@
         return None
 
     def _list_transferable(self) -> tuple[str, ...]:
-        """List what may be passed on.
+        """Return the pools that may be transferred.
 
-        Where a host with runs does not answer, they run elsewhere once its lease is over:
-        the next owner would count that lease from its own beginning, 4.2 s more.
+        A pool with runs on a silent host is left out.  These runs are restarted elsewhere once
+        the host's lease has lapsed, and a new owner would count that lease from its own start,
+        which adds 4.2 s.
         """
         return tuple(
             pool
@@ -126,7 +128,10 @@
         )
 
     def _list_candidates(self, loads: Counter[Member], share: float) -> list[Member]:
-        """Return the others that would carry less than this node does, the idlest first."""
+        """Return the nodes with at most ``share`` of this node's load, least loaded first.
+
+        Their load is counted with one more pool, and all loads are relative to capacity.
+        """
         load_max = share * loads[self._me] / self._me.capacity_millicores
         ranked = sorted(
             ((loads[member] + 1) / member.capacity_millicores, member)
--- a/src/robinthread/_internal/node/record_writer.py
+++ b/src/robinthread/_internal/node/record_writer.py
@@ -1,4 +1,4 @@
-"""Getting a record into the inbox, by this node's append or another's."""
+"""Appends of records to the inbox, by this node or through another one."""
 
 import asyncio
 from typing import Final
@@ -20,20 +20,20 @@
 from robinthread._internal.settings.policy_settings import EntryPolicy
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Nodes asked in turn to append what the store does not take here.
+# Maximum number of nodes that are tried in turn to relay a record that the store rejects here.
 RELAYS_MAX: Final = 3
-# Longest wait for one of them: one append takes 1.2 s at most, and the way.  A caller that
-# has time left then asks again elsewhere; its job stays one.
+# Maximum wait for one relay: an append takes at most 1.2 s, plus the latency between nodes.  A
+# caller with time left then retries at another node; the job id prevents a duplicate job.
 RELAY_TIMEOUT_S: Final = 1.5
 
 
 class RecordWriter:
-    """Appends records to the inbox, or has another node do so.
+    """Appends records to the inbox, directly or through another node.
 
-    A partition takes its appends one by one.  While the store is slow, each of some tens of
-    nodes would append its few records by itself, and the queue outlasts all their callers: with
-    32 nodes and a store 35 times slower 30 of 1,030 requests were accepted.  Then all send their
-    records to one node, the fleet's steward, which appends what has come together.
+    A partition processes its appends one by one.  If dozens of nodes each appended their few
+    records to a slow store, the queue would outlast all callers' deadlines: with 32 nodes and a
+    store slowed down 35 times, 30 of 1,030 requests were accepted.  While the store is slow,
+    all nodes therefore send their records to the fleet's steward, which appends them in batches.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._policy = policy
 
     async def write(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
-        """Append a record, here or through another node."""
+        """Append a record, here or through another node, before ``deadline_s``."""
         if self._member.is_cut_off:
             outcome = await self._relay(record, deadline_s)
         elif self._writer.latency.is_slow or self._member.join_latency.is_slow:
@@ -78,7 +78,7 @@
         return outcome
 
     async def write_relayed(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
-        """Append a record for a node that the store does not serve, or serves slowly."""
+        """Append a record for another node; REFUSED if the store does not serve this one."""
         if self._member.is_cut_off:
             return JobRequestOutcome.REFUSED
         return await self._append(record, deadline_s)
@@ -86,9 +86,10 @@
     async def _append_through_steward(
         self, record: KeyedRecord, deadline_s: float, may_append: bool = True
     ) -> JobRequestOutcome:
-        """Have the one node append a record that does so for all; else, perhaps, this one.
+        """Append a record through the steward, or here if that is refused and ``may_append``.
 
-        A relay that takes long tells that the store is slow still.
+        The duration of the relay counts as append latency, so a slow relay shows that the store
+        is still slow.
         """
         remote_steward = self._find_remote_steward()
         if remote_steward is not None:
@@ -100,14 +101,17 @@
         return await self._append(record, deadline_s) if may_append else JobRequestOutcome.REFUSED
 
     def _find_remote_steward(self) -> Member | None:
-        """Return the node that appends for all, unless that is this one or there is none."""
+        """Return the steward's node, or None if it is this node or unknown.
+
+        Also return None if the policy disables appends through the steward.
+        """
         steward = self._table.get(FLEET_POOL)
         if not self._policy.gathers_while_store_slow or steward is None:
             return None
         return None if steward.owner.node == self._me.node else steward.owner
 
     async def _relay(self, record: KeyedRecord, deadline_s: float) -> JobRequestOutcome:
-        """Have a node that the store serves append a record; refused where none will."""
+        """Append a record through a node that the store serves; REFUSED if none accepts it."""
         for member in self._handover.served[:RELAYS_MAX]:
             outcome = await self._relay_to(member, record, deadline_s)
             if outcome is not JobRequestOutcome.REFUSED:
