--- a/src/robinthread/_internal/node/pool_opening.py
+++ b/src/robinthread/_internal/node/pool_opening.py
@@ -1,4 +1,4 @@
-"""How far the opening of a pool has come."""
+"""Progress of the opening of a pool."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -10,10 +10,10 @@
 
 
 class PoolOpening:
-    """The parts of an opening, what each took, and which are still missing.
+    """Duration of each part of a pool's opening, and the parts that are not done.
 
-    ``journal`` shuts out older owners, ``progress`` reads what they recorded; ``inbox``
-    and ``hosts`` bring this node's copies up to date meanwhile.
+    ``journal`` fences earlier owners and ``progress`` reads their records.  Meanwhile ``inbox``
+    and ``hosts`` bring this node's copies up to date.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self.opened_at_s: float | None = None
 
     async def time(self, part: str, work: Awaitable[T]) -> T:
-        """Await a part and note how long it took."""
+        """Await a part, record its duration and return its result."""
         began_at_s = _get_now_s()
         result = await work
         self._durations_ms[part] = round((_get_now_s() - began_at_s) * 1000, 1)
@@ -31,15 +31,15 @@
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """Return the parts that are not done."""
+        """Return the names of the parts that are not done."""
         return tuple(part for part in PARTS if part not in self._durations_ms)
 
     def end(self) -> None:
-        """Note that the pool is open."""
+        """Record that the pool is open."""
         self.opened_at_s = _get_now_s()
 
     def make_end_fields(self) -> dict[str, float]:
-        """Return what opening took and for how long the pool is open, as fields of a line."""
+        """Return log fields: how long the opening took and the pool has been open, in seconds."""
         if self.opened_at_s is None:
             return {}
         return {
@@ -48,7 +48,7 @@
         }
 
     def make_timing_fields(self) -> dict[str, float]:
-        """Return what the whole and each part that is done took, as fields of a line."""
+        """Return log fields: the total duration and that of each finished part, in ms."""
         parts = {
             f"{part}_ms": self._durations_ms[part] for part in PARTS if part in self._durations_ms
         }
@@ -56,7 +56,7 @@
         return {"took_ms": round((until_s - self._began_at_s) * 1000, 1)} | parts
 
     def is_report_due(self, period_s: float) -> bool:
-        """Tell whether so long has passed since the beginning, or since this was last so."""
+        """Return whether ``period_s`` has passed since the start or the last report."""
         is_due = _get_now_s() - self._last_report_at_s >= period_s
         if is_due:
             self._last_report_at_s = _get_now_s()
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -1,4 +1,4 @@
-"""Owning one pool: its jobs, its hosts and every order to them."""
+"""Owner of one pool, which schedules its jobs and sends all orders to its hosts."""
 
 import asyncio
 from typing import Final
@@ -36,30 +36,29 @@
 from robinthread._internal.utils.waiting import wait_for_event
 
 PROGRESS_TOPIC: Final = "keyed.progress"
-# After tasks were placed, so many times as long as that took is left to other work: what
-# changes meanwhile is placed together.  A quarter of the processor at most goes there.
+# After placing tasks, the owner pauses for this multiple of the time that the placement took, and
+# then places all changes since then together.  Placement uses at most a quarter of a processor.
 PLACING_PAUSE_FACTOR: Final = 3.0
-# Longest such pause: a tenth of the time that callers bear beside the work itself.
+# Maximum of that pause: a tenth of the overhead that callers accept beside the work itself.
 PLACING_PAUSE_MAX_S: Final = 0.05
-# How often the pool looks for what time alone changes: due jobs, hung runs.
+# Interval of checks for changes that depend on time alone, such as due jobs and hung runs.
 TICK_S: Final = 0.2
-# Longest wait for the last records of an owner that stops as planned.
+# Maximum wait for the last records of an owner whose stop is planned.
 FLUSH_WAIT_S: Final = 0.5
-# How long a machine gets no work after the steward last asked to empty it.
+# A machine gets no work for this long after the steward's last request to empty it.
 VACATE_S: Final = 2.0
-# From a machine's arrival in the pool to the first task on it: its entry in the
-# store, and a first look at it.
+# Time from a machine's arrival in the pool to the first task on it: its entry in the store and
+# the first poll of its host.
 HOST_START_S: Final = 0.3
-# An owner that no steward has told any shares of limits begins work by the part that is never
-# lent after so long: the steward may be cut off from it, or lost as well.
+# An owner that has received no shares of workspace limits from a steward waits this long, then
+# uses the part of each share that is never lent.  The steward may be cut off from it or lost too.
 SHARES_AWAITED_MAX_S: Final = 1.0
 
 
 class PoolOwner:
-    """The owner of one pool under one token, until it is fenced or stopped.
+    """Owns one pool under one token, until it is fenced or stopped.
 
-    ``predecessors`` are earlier owners, which may be running without knowing that they
-    were replaced.
+    ``predecessors`` are earlier owners, which may still run unaware that they were replaced.
     """
 
     def __init__(
@@ -98,16 +97,16 @@
 
     @property
     def has_stopped(self) -> bool:
-        """Tell whether no order is made any more."""
+        """Return whether the owner has stopped and sends no more orders."""
         return self._is_stopped
 
     @property
     def fenced(self) -> asyncio.Event:
-        """Return the event that is set once the owner must stop for good."""
+        """Return the event that is set once the owner must stop permanently."""
         return self._runtime.fenced
 
     async def start(self) -> None:
-        """Shut out older owners, load what they recorded, and begin."""
+        """Fence earlier owners, load their records and open the pool."""
         time = self.opening.time
         await asyncio.gather(
             self._load_progress(),
@@ -141,10 +140,10 @@
         )
 
     async def stop(self, is_planned: bool = False) -> None:
-        """Stop owning: no order is made after this returns.
+        """Stop the owner; it sends no order after this returns.
 
-        A planned stop records what is known first, so that the next owner
-        need not ask for it again.
+        A planned stop first records the latest progress, so that the next owner need not query
+        it again.
         """
         if self._is_stopped:
             return
@@ -159,25 +158,25 @@
         self._events.write("pool_closed", pool=self.pool, token=self.token, planned=is_planned)
 
     def cancel(self) -> None:
-        """End at once, recording nothing."""
+        """Cancel all tasks at once, without recording progress."""
         self._is_stopped = True
         self._runtime.cancel()
 
     def get_status(self, job_id: str) -> JobStatus | None:
-        """Return what a caller may be told of a job, or None for an unknown one."""
+        """Return the job status that callers may see, or None for an unknown job."""
         job = self.jobs.jobs.get(job_id)
         return None if job is None else job.shown_status
 
     def get_unconfirmed_s(self) -> float:
-        """Return for how long the store has not confirmed this owner."""
+        """Return for how many seconds the store has not confirmed this owner."""
         return self._runtime.get_unconfirmed_s()
 
     def count_pending(self) -> dict[str, int]:
-        """Count, by queue, the jobs of which nothing has begun."""
+        """Return the number of jobs of which no task has started, by queue."""
         return count_pending(self.jobs)
 
     def report(self, request: FleetReportRequest) -> PoolReport:
-        """Tell the steward how the pool stands, and empty what it asks for."""
+        """Apply a steward's request, including hosts to empty, and return the pool's status."""
         now_s = get_loop_s()
         for host in self.jobs.hosts.values():
             is_vacating = host.record.machine in request.vacate
@@ -192,7 +191,7 @@
         return make_pool_report(self.jobs, demand, now_s, share_state)
 
     def _apply_limits(self) -> None:
-        """Have workspaces bound by the configuration in force."""
+        """Apply the workspace limits of the current configuration."""
         holder = self._context.config_holder
         if holder.config is None:
             return
@@ -202,15 +201,15 @@
             self.jobs.workspaces.default_share = get_reserved_share(kept, holder.config)
 
     async def _load_progress(self) -> None:
-        """Shut out older owners, then read what they have recorded, and of which jobs."""
+        """Fence earlier owners, then read their progress records and the inbox."""
         await self.opening.time("journal", self._journal.open())
-        # From here on no older owner is confirmed any more.
+        # From here on the store confirms no earlier owner.
         self._predecessors.mark_fenced(get_loop_s(), self.jobs.foreign_leases)
         self._runtime.spawn(self._settle_predecessors())
         reading = load_progress(self._context.store, self._partition, self.pool, self._events)
         loaded, _ = await asyncio.gather(
             self.opening.time("progress", reading),
-            # The last owner may have taken jobs in, and recorded them, until now.
+            # The previous owner may have accepted and recorded jobs until now.
             self._context.read_inbox_to_end(),
         )
         self._predecessors.drop_settled(loaded.settled_before_token)
@@ -218,10 +217,10 @@
         self._progress_count = len(self._progress)
 
     async def _settle_predecessors(self) -> None:
-        """Record once that all that earlier owners granted has lapsed, where there were any."""
+        """Write a settled record once all leases granted by earlier owners have lapsed."""
         if self._predecessors.is_empty:
             return
-        # Until the pool is open it is not known here what runs on which host.
+        # Until the pool is open, its hosts' runs are unknown.
         await self._predecessors.poll_until_stopped(
             lambda: not self.is_open or self.jobs.has_silent_runs(), self._events
         )
@@ -229,7 +228,7 @@
         await self._journal.write([make_settled_record(self.pool, self.token)])
 
     def _handle_job(self, indexed: IndexedJob) -> None:
-        """Take in a job that is new or newly cancelled."""
+        """Add a new job to the pool, or cancel a job that has a new cancel record."""
         spec = indexed.spec
         if spec.pool != self.pool:
             return
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -1,4 +1,4 @@
-"""What a pool's owner tells of its pool."""
+"""Status reports and log lines of a pool's owner."""
 
 import heapq
 from collections import Counter
@@ -17,14 +17,14 @@
 from robinthread._internal.models.workspace_shares import ShareState
 from robinthread._internal.telemetry.event_log import EventLog
 
-# So many of the runs that a host took with it are named in its line.
+# Maximum number of lost runs that the log line of an ended host names.
 NEWEST_RUNS_MAX: Final = 12
 
 
 def make_pool_report(
     pool: PoolJobs, demand: Demand, now_s: float, share_state: ShareState | None = None
 ) -> PoolReport:
-    """Tell how a pool stands, and which of its listed hosts can be used."""
+    """Return a pool's status report for the steward, with the status of each listed host."""
     unresponsive = list_unresponsive(pool, now_s)
     needed = demand.host_requirements.host_ids
     return PoolReport(
@@ -52,7 +52,7 @@
 
 
 def count_pending(pool: PoolJobs) -> dict[str, int]:
-    """Count, by queue, the jobs of which nothing has begun."""
+    """Return the number of jobs of which no task has started, by queue."""
     return Counter(
         job.spec.queue
         for job in pool.jobs.values()
@@ -63,7 +63,10 @@
 def log_host_ended(
     events: EventLog, pool: str, host: Host, reason: str, now_s: float, successor: str = ""
 ) -> None:
-    """Tell of a host that has ended, and which runs began there last; one without with others."""
+    """Log that a host has ended, with the runs that were last sent to it.
+
+    Hosts without runs are gathered into one line.
+    """
     if host.runs:
         broke_at_s = now_s if host.connection_broken_at_s is None else host.connection_broken_at_s
         newest = heapq.nlargest(
@@ -89,7 +92,7 @@
 
 
 def log_crash_events(events: EventLog, pool: str, crash_events: Iterable[CrashEvent]) -> None:
-    """Tell what crashes of hosts said of tasks."""
+    """Log events about tasks that are suspected of crashing hosts, with the crashes."""
     for crash_event in crash_events:
         events.write(
             crash_event.kind.value,
@@ -108,13 +111,13 @@
 
 
 def _format_run(run: Run, broke_at_s: float) -> str:
-    """Name a run, with how long before its host broke its start was sent."""
+    """Format a run with the time from its start order to the break of its host's connection."""
     ago_ms = (broke_at_s - (run.sent_at_s or 0.0)) * 1000
     return f"{run.task.job_id}/{run.task.position}/{run.number} {ago_ms:.1f} ms"
 
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
-    """Return what the waiting tasks would take of those workspaces that are to be told of."""
+    """Return the resources that waiting tasks need, for each workspace to be reported."""
     reported = pool.workspaces.list_reported()
     sums = dict.fromkeys(reported, NO_RESOURCES)
     if sums:
--- a/src/robinthread/_internal/node/pool_runtime.py
+++ b/src/robinthread/_internal/node/pool_runtime.py
@@ -1,4 +1,4 @@
-"""What the parts of a pool's owner share."""
+"""State, leases and background tasks that the parts of a pool's owner share."""
 
 import asyncio
 import math
@@ -12,24 +12,26 @@
 from robinthread._internal.jobs.run import Run
 from robinthread._internal.node.context import NodeContext
 
-# How long a task may run on without word from its pool's owner.  It must outlast a
-# change of owner (about 2 s); a cut-off host's tasks run nowhere else for as long.
+# A task may run for this long without contact with its pool's owner.  It must outlast a change of
+# owner (about 2 s).  The tasks of a cut-off host cannot run elsewhere for the same time.
 LEASE_MS: Final = 4000
-# An owner that has not been confirmed by the store for so long grants nothing more.
-# It must outlast the store's usual outages (4 to 6 s), and bounds how long a new
-# owner waits for hosts that it cannot reach but an older owner may.
+# An owner that the store has not confirmed for this long grants no more leases.  It must outlast
+# the store's usual outages (4 to 6 s).  It also bounds how long a new owner waits for hosts that
+# it cannot reach but an earlier owner may.
 UNCONFIRMED_MAX_S: Final = 6.0
-# Records that the store takes confirm an owner too, for nobody has opened its journal since:
-# they carry it over an outage of the owners' partition alone.  One that has not read the
-# owners for so long grants nothing all the same: by then a later owner need not wait for it.
+# A record that the store accepts also confirms an owner, because it proves that no other owner has
+# opened the journal since.  This carries an owner over an outage of the owners' partition alone.
+# An owner that has not read the owners for this long still grants no more leases, because a later
+# owner then no longer waits for it.
 OWNERS_UNREAD_MAX_S: Final = 2 * UNCONFIRMED_MAX_S
-# A host's room may have shrunk since its entry was last read.  One that shrank must be known
-# after 3 s and a heartbeat; a read may take as long as it waits for a change, and a call more.
+# Maximum age of the hosts' entries, because a host's capacity may have shrunk since the last read.
+# A smaller capacity must be known after 3 s and a heartbeat.  A read may take as long as it waits
+# for a change, plus one call.
 CAPACITIES_UNREAD_MAX_S: Final = 3.0
 
 
 class PoolRuntime:
-    """A pool's jobs, its owner's token, and the tasks that run for the owner."""
+    """A pool's jobs, its owner's token, and the owner's background tasks."""
 
     def __init__(
         self, context: NodeContext, pool: str, token: int, jobs: PoolJobs, journal: Journal
@@ -48,19 +50,19 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def wake(self) -> None:
-        """Have waiting tasks placed, orders sent and progress recorded."""
+        """Trigger placement of waiting tasks, pending orders and the recording of progress."""
         self.changed.set()
         if self.jobs.unrecorded:
             self.unrecorded.set()
 
     def get_unconfirmed_s(self) -> float:
-        """Return for how long the store has not confirmed the owner."""
+        """Return for how many seconds the store has not confirmed the owner."""
         return min(
             self.context.get_owners_unconfirmed_s(), get_loop_s() - self.journal.confirmed_at_s
         )
 
     def log_first_start(self, run: Run) -> None:
-        """Write a line for the first run that was started since the pool was opened."""
+        """Log the first run that started since the pool was opened; do nothing for later ones."""
         if not self._has_logged_first_start:
             self._has_logged_first_start = True
             self.events.write(
@@ -74,7 +76,7 @@
             )
 
     def get_lease_ms(self) -> float | None:
-        """Return how long a lease to grant now, or None where none may be granted."""
+        """Return the length in ms of a lease granted now, or None if none may be granted."""
         if self.get_unconfirmed_s() > UNCONFIRMED_MAX_S:
             return None
         if self.context.get_owners_unconfirmed_s() > OWNERS_UNREAD_MAX_S:
@@ -82,9 +84,10 @@
         return min(LEASE_MS, self.context.settings.bounds.lease_max_ms)
 
     def are_capacities_known(self) -> bool:
-        """Tell whether what hosts have room for is known well enough to place runs there.
+        """Return whether hosts' capacities are recent enough to place runs by them.
 
-        Hosts that check their room reject what does not fit; others start it.
+        Hosts that check their capacity reject a run that does not fit, so any age will do.
+        Other hosts start it.
         """
         config = self.context.config_holder.config
         policy = config.pools.get(self.pool) if config is not None else None
@@ -93,23 +96,23 @@
         return self.context.get_hosts_unconfirmed_s() <= CAPACITIES_UNREAD_MAX_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task until the owner stops; one that is fenced fences the owner."""
+        """Run a task until the owner stops; a fencing error in it fences the owner."""
         task = asyncio.get_running_loop().create_task(self._guard(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        # A guard that is cancelled before its first step leaves the work not begun.
+        # If the guard is cancelled before its first step, ``work`` was never awaited.
         task.add_done_callback(lambda _: work.close())
         return task
 
     def cancel(self) -> list[asyncio.Task[Any]]:
-        """Have all tasks end, and return them."""
+        """Cancel all tasks and return them."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         return tasks
 
     async def cancel_all(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = self.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
@@ -123,7 +126,8 @@
                 )
             self.fenced.set()
         except Exception as error:
-            # A defect must not leave a pool half owned: another life takes it over.
+            # An unexpected error must not leave the pool partly served.  Fencing the owner lets
+            # the pool be acquired again under a new token.
             self.events.write("task_failed", pool=self.pool, token=self.token, error=repr(error))
             self.fenced.set()
             raise
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -1,4 +1,4 @@
-"""Earlier owners of a pool, which may be running without knowing that they were replaced."""
+"""Earlier owners of a pool, which may still run unaware that they were replaced."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable, Mapping
@@ -14,18 +14,18 @@
 )
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How often an earlier owner is asked whether it has stopped, while tasks wait for that:
-# small beside the lease that they wait for in any case.
+# Interval of queries to an earlier owner whether it has stopped, while tasks wait for that.  It
+# is short compared with the lease, which they wait for in any case.
 QUERY_PERIOD_S: Final = 0.3
 
 QueryStopped = Callable[[Member, str, int], Awaitable[bool]]
 
 
 class Predecessors:
-    """Until when earlier owners of a pool may have granted leases.
+    """Tracks until when earlier owners of a pool may have granted leases.
 
-    One that cannot be asked may go on until it has not been confirmed for too long.  One
-    that has stopped says so, or the next life of its process does.
+    An unreachable owner may continue until the store has not confirmed it for too long.  An
+    owner that has stopped confirms that itself, or its node's next incarnation does.
     """
 
     def __init__(
@@ -38,10 +38,10 @@
         self._leases = ForeignLeases()
 
     def mark_fenced(self, now_s: float, leases: ForeignLeases) -> None:
-        """Note that no earlier owner is confirmed any more; keep ``leases`` from now on.
+        """Record that earlier owners are fenced; update ``leases`` from now on.
 
-        Until now records may have confirmed any of them: whoever came between need not have
-        opened the journal.  None has read the owners since it was replaced.
+        Until now, accepted records may have confirmed any of them, because an owner in between
+        need not have opened the journal.  None has read the owners since it was replaced.
         """
         self._leases = leases
         self._grants_until_s = {
@@ -52,14 +52,14 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no earlier owner that may have granted leases."""
+        """Return whether there is no earlier owner that may have granted leases."""
         return not self._grants_until_s
 
     def drop_settled(self, before_token: int) -> None:
-        """Forget owners with a lower token: a later one saw all their leases lapse.
+        """Drop owners with a token below ``before_token``; a later owner saw their leases lapse.
 
-        The store does not tell how long ago an owner was replaced, so a process that begins
-        anew would count each from its own start, for up to a minute after it was lost.
+        The store does not record when an owner was replaced, so a restarted process would count
+        each from its own start, for up to a minute after the owner was lost.
         """
         self._grants_until_s = {
             lost: until_s
@@ -69,9 +69,10 @@
         self._update_lapse_time()
 
     async def poll_until_stopped(self, is_awaited: Callable[[], bool], events: EventLog) -> None:
-        """Ask earlier owners whether they have stopped, while that is awaited.
+        """Query earlier owners whether they have stopped, whenever ``is_awaited`` returns True.
 
-        Not before they are shut out of the journal: one that has not begun might begin still.
+        Call this only once they are fenced out of the journal, because an owner that has not
+        started yet could otherwise still start.  Returns once no earlier owner can grant leases.
         """
         while running := self._list_running():
             if is_awaited():
@@ -96,7 +97,7 @@
         )
 
     def _update_lapse_time(self) -> None:
-        # Owners that are not known here had stopped when this one took the pool.
+        # Earlier owners that are unknown here had stopped when this one acquired the pool.
         last_grant_s = max(self._acquired_at_s, *self._grants_until_s.values(), 0.0)
         self._leases.over_at_s = get_lapse_time_s(LEASE_MS, last_grant_s)
 
@@ -108,9 +109,10 @@
     stopped_tokens: Mapping[str, int],
     query_stopped: QueryStopped,
 ) -> Predecessors:
-    """Return the earlier owners of a pool that this node has taken.
+    """Return the earlier owners of a pool that this node has acquired.
 
-    An earlier life of this node has ended; one that passed the pool on here stopped first.
+    Earlier incarnations of this node are left out, because they have ended, and so is an owner
+    that handed the pool over to this node, because it stopped first.
     """
     found = (
         lost
--- a/src/robinthread/_internal/node/progress_loader.py
+++ b/src/robinthread/_internal/node/progress_loader.py
@@ -1,4 +1,4 @@
-"""Loading what earlier owners of a pool recorded of its jobs."""
+"""Loading of the job progress that earlier owners of a pool recorded."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,13 +13,13 @@
 from robinthread._internal.jobs.progress import JobProgress, decode_progress
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pause before a failed read of the store is made again.
+# Pause before a failed read of the store is retried.
 RETRY_PAUSE_S: Final = 0.1
 
 
 @dataclass(frozen=True)
 class LoadedProgress:
-    """The progress of each job by id, and below which token owners' leases have lapsed."""
+    """Progress of each job by id, and the token below which all owners' leases have lapsed."""
 
     jobs: dict[str, JobProgress] = field(default_factory=dict)
     settled_before_token: int = 0
@@ -28,7 +28,10 @@
 async def load_progress(
     store: Store, partition: Partition, pool: str, events: EventLog
 ) -> LoadedProgress:
-    """Return what is recorded, trying until the store has told all of it."""
+    """Return all recorded progress of a pool, retrying until the read is complete.
+
+    Malformed records are logged and skipped.
+    """
     records = (await _read_all(store, partition, pool, events)).records
     found: dict[str, JobProgress] = {}
     settled_before_token = 0
@@ -48,7 +51,7 @@
 def _add_progress(found: dict[str, JobProgress], record: KeyedRecord) -> None:
     progress = decode_progress(record.value or b"")
     if progress.job_id != record.key:
-        raise msgspec.ValidationError("its key names another job")
+        raise msgspec.ValidationError("the record's key is not its job's id")
     found[progress.job_id] = progress
 
 
--- a/src/robinthread/_internal/node/progress_recorder.py
+++ b/src/robinthread/_internal/node/progress_recorder.py
@@ -1,4 +1,4 @@
-"""Recording the progress of a pool's jobs, batch by batch."""
+"""Recording of the progress of a pool's jobs in batches."""
 
 import asyncio
 
@@ -15,10 +15,10 @@
 
 
 class ProgressRecorder:
-    """Writes what has changed, then lets out what had to be kept first.
+    """Writes jobs' changes to the journal, then performs the steps that depend on the record.
 
-    Starts are sent and final states shown only once they are recorded.  While
-    one batch is under way the next one gathers.
+    Starts are sent and final statuses are published only once they are recorded.  Changes made
+    while a batch is being written go into the next batch.
     """
 
     def __init__(self, runtime: PoolRuntime, journal: Journal, orders: OrderSender) -> None:
@@ -30,7 +30,7 @@
         self._recorded = asyncio.Event()
 
     async def run(self) -> None:
-        """Record until cancelled."""
+        """Record changed jobs until cancelled."""
         while True:
             await self._runtime.unrecorded.wait()
             self._runtime.unrecorded.clear()
@@ -39,17 +39,17 @@
                 await self._record(jobs)
 
     async def flush(self, wait_s: float) -> bool:
-        """Record all there is now; return whether that was done in time."""
+        """Record all current changes; return whether that took no longer than ``wait_s``."""
         self._runtime.unrecorded.set()
         return await self.wait(self.next_batch, wait_s)
 
     @property
     def next_batch(self) -> int:
-        """Return the batch that records all that has changed until now."""
+        """Return the number of the batch that contains all changes made until now."""
         return self._batches_started + bool(self._runtime.jobs.unrecorded)
 
     async def wait(self, batch: int, wait_s: float) -> bool:
-        """Wait until a batch is recorded; return whether it is."""
+        """Wait at most ``wait_s`` until a batch is recorded; return whether it is."""
         deadline_s = get_loop_s() + wait_s
         while self._batches_recorded < batch:
             left_s = deadline_s - get_loop_s()
@@ -78,7 +78,7 @@
         job.recorded_status = status
 
     def _log_job_end(self, job: Job, status: JobStatus) -> None:
-        """Write the last word on a job, with what it was allowed to take."""
+        """Log the end of a job, with its duration and the duration that it was allowed."""
         took_ms = job.ended_at_ms - job.spec.accepted_at_ms
         pool = self._runtime.pool
         self._runtime.events.metrics.note_job_end(pool, status.value, took_ms / 1000)
--- a/src/robinthread/_internal/node/retention.py
+++ b/src/robinthread/_internal/node/retention.py
@@ -1,4 +1,4 @@
-"""Dropping jobs that ended long ago, from the store and from memory."""
+"""Removal of jobs that ended long ago, from the store and from memory."""
 
 import asyncio
 from collections.abc import Iterable
@@ -13,22 +13,23 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
-# How often ended jobs are looked for, and how many are dropped at a time: one append
-# for each of the two topics.
+# Interval at which expired jobs are dropped, and the maximum per interval.  Each batch needs one
+# append for each of the two topics.
 DROP_PERIOD_S: Final = 5.0
 DROP_BATCH_MAX: Final = 500
-# Kept beyond what callers are promised: an append without answer may arrive 12 s
-# late, and nodes' clocks differ.
+# Jobs are retained for this long beyond the time promised to callers, because an append without
+# a response may arrive 12 s late and nodes' clocks differ.
 DROP_MARGIN_S: Final = 15.0
-# Longest wait for the records to be dropped; what failed is dropped the next time.
+# Maximum wait for the removal of records from the inbox.  A failed batch is retried at the next
+# interval.
 DROP_WAIT_S: Final = 2.0
 
 
 class Retention:
-    """Drops a pool's ended jobs once callers may no longer ask for them.
+    """Drops a pool's ended jobs once their promised retention time is over.
 
-    A job's records in the inbox go first: one that is there without progress
-    would be run again.
+    A job's records in the inbox are removed before its progress, because a job in the inbox
+    without progress would run again.
     """
 
     def __init__(self, runtime: PoolRuntime, journal: Journal) -> None:
@@ -39,7 +40,7 @@
         self._retention_ms = retention_s * 1000
 
     async def run(self) -> None:
-        """Drop what is due until cancelled."""
+        """Drop expired jobs until cancelled."""
         while True:
             await asyncio.sleep(DROP_PERIOD_S)
             due = list(
@@ -49,7 +50,7 @@
                 await self._drop(due)
 
     async def drop_orphans(self, unclaimed: Iterable[JobProgress]) -> None:
-        """Drop progress whose job the inbox does not hold any more."""
+        """Drop the progress of ended jobs that the inbox no longer contains."""
         known = self._context.job_index.jobs
         orphans = [
             KeyedRecord(progress.job_id, None)
--- a/src/robinthread/_internal/node/run_monitor.py
+++ b/src/robinthread/_internal/node/run_monitor.py
@@ -1,4 +1,4 @@
-"""What time alone brings to a pool's runs."""
+"""Periodic checks of a pool's jobs and runs."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 class RunMonitor:
-    """Looks at a pool's jobs and runs again and again, and tells what it does."""
+    """Starts due occurrences and stops, moves, copies or paces runs, and logs each action."""
 
     def __init__(self, runtime: PoolRuntime, orders: OrderSender) -> None:
         self._runtime = runtime
@@ -22,7 +22,7 @@
         self._wait_reporter = WaitReporter(runtime)
 
     def check(self, now_s: float) -> None:
-        """Open what is due; stop, move, copy and pace what asks for it."""
+        """Open due occurrences of jobs; stop, move, copy and pace runs that need it."""
         self._wait_reporter.report(now_s)
         self._open_due()
         self._stop_stalled(now_s)
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -1,4 +1,4 @@
-"""Lines that tell why accepted jobs wait."""
+"""Periodic log lines that show why accepted jobs wait."""
 
 from collections.abc import Iterable
 from itertools import groupby
@@ -12,21 +12,21 @@
 from robinthread._internal.jobs.task import Task
 from robinthread._internal.node.pool_runtime import PoolRuntime
 
-# How often one job's wait is told.
+# Interval between two log lines for one waiting job.
 REPORT_PERIOD_S: Final = 1.0
-# Waits of the jobs that wait longest are told; the others wait for the same hosts.
+# Maximum number of jobs logged at once.  The other jobs wait for the same hosts.
 JOBS_MAX: Final = 20
 
 
 class WaitReporter:
-    """Tells of jobs whose tasks wait for a host, and what hosts there are."""
+    """Logs jobs whose tasks wait for a host, with the state of the pool's hosts."""
 
     def __init__(self, runtime: PoolRuntime) -> None:
         self._runtime = runtime
         self._logged_at_s: dict[str, float] = {}
 
     def report(self, now_s: float) -> None:
-        """Write a line for each job that has waited since the last one."""
+        """Log each job that has waited for ``REPORT_PERIOD_S`` since its last line."""
         pool = self._runtime.jobs
         waiting = sorted(pool.waiting.values(), key=lambda task: task.key.job_id)
         by_job = {
@@ -73,7 +73,7 @@
 
 
 def _make_workspace_fields(pool: PoolJobs, workspace: str) -> dict[str, Any]:
-    """Tell what a workspace takes and may take, and whether its tasks wait for that."""
+    """Return log fields with a workspace's usage, limit and share; empty if it has no limit."""
     limit = pool.workspaces.get_limit(workspace)
     if limit is None:
         return {}
