--- a/tests/functional/test_owners_asked_in_time.py
+++ b/tests/functional/test_owners_asked_in_time.py
@@ -12,10 +12,10 @@
 from robinthread._internal.node.peer_messages import StoreStatusResponse
 from tests.lib.virtual import run_virtual
 
-DEAD, LIVING = Member("dead", "life", "dead"), Member("living", "life", "living")
+DEAD, LIVE = Member("dead", "life", "dead"), Member("living", "life", "living")
 # How long a living owner takes to answer, well below the time that it is given.
-ANSWER_S = 0.1
-LOOK_PERIOD_S = 0.01
+RESPONSE_S = 0.1
+CHECK_PERIOD_S = 0.01
 
 
 class _Peers:
@@ -28,8 +28,8 @@
         if address == DEAD.address:
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError(address)
-        await asyncio.sleep(ANSWER_S)
-        return StoreStatusResponse(True, 1, 0.0, True, LIVING.incarnation)
+        await asyncio.sleep(RESPONSE_S)
+        return StoreStatusResponse(True, 1, 0.0, True, LIVE.incarnation)
 
 
 class OwnersAskedInTimeTest(TestCase):
@@ -38,19 +38,19 @@
 
         async def work() -> None:
             owner_liveness = OwnerLiveness(_Peers())  # type: ignore[arg-type]
-            asking = asyncio.create_task(owner_liveness.run())
+            queries = asyncio.create_task(owner_liveness.run())
             await asyncio.sleep(miss(owner_liveness))
-            for _look in range(200):
-                self.assertFalse(owner_liveness.is_confirmed_lost(LIVING))
-                await asyncio.sleep(LOOK_PERIOD_S)
-            asking.cancel()
+            for _check_number in range(200):
+                self.assertFalse(owner_liveness.is_confirmed_lost(LIVE))
+                await asyncio.sleep(CHECK_PERIOD_S)
+            queries.cancel()
 
         run_virtual(work())
 
-    def test_living_owner_alone(self) -> None:
+    def test_live_owner_alone(self) -> None:
         self._check(lambda owner_liveness: 0.0)
 
-    def test_living_owner_that_is_missed_just_after_another_one_that_is_dead(self) -> None:
+    def test_live_owner_that_is_missing_just_after_a_dead_one(self) -> None:
         def miss(owner_liveness: OwnerLiveness) -> float:
             owner_liveness.is_confirmed_lost(DEAD)
             return MISSING_CONFIRM_S / 10
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_pool_rebalancing.py
@@ -28,7 +28,7 @@
 POOLS = (POOL, "maps", "proofs", "tiles")
 LATE_S = 0.5
 # Shorter than a lease, so that the runs of a host that is cut off go on.
-HELD_S = 3.0
+SILENT_S = 3.0
 
 
 def make_platform() -> PlatformStandin:
@@ -46,7 +46,7 @@
     return Counter(owner for pool in POOLS if (owner := get_owner(platform, pool)))
 
 
-async def keep_late(platform: PlatformStandin, name: str) -> None:
+async def hold_loop_late(platform: PlatformStandin, name: str) -> None:
     """Have a node's loop run late for as long as this runs."""
     while True:
         platform.nodes[name].assembled.lag.lag_s = LATE_S
@@ -54,7 +54,7 @@
 
 
 class PoolRebalancingTest(TestCase):
-    def test_pools_spread_over_nodes_that_come_later(self) -> None:
+    def test_pools_spread_over_nodes_that_start_later(self) -> None:
         async def work() -> None:
             platform = make_platform()
             platform.start_node("first")
@@ -65,7 +65,7 @@
 
         run_virtual(work())
 
-    def test_switched_off_they_stay(self) -> None:
+    def test_pools_stay_if_the_policy_is_off(self) -> None:
         async def work() -> None:
             policy = PolicySettings(OwnerPolicy(spreads_pools=False))
             platform = make_platform()
@@ -77,7 +77,7 @@
 
         run_virtual(work())
 
-    def test_larger_node_takes_what_a_small_one_owns(self) -> None:
+    def test_larger_node_acquires_the_pools_of_a_small_one(self) -> None:
         async def work() -> None:
             platform = make_platform()
             platform.start_node("small", 250)
@@ -87,7 +87,7 @@
 
         run_virtual(work())
 
-    def test_node_that_the_store_turns_away_passes_its_pool_to_a_large_one(self) -> None:
+    def test_node_that_the_store_rejects_transfers_its_pool_to_a_large_one(self) -> None:
         async def work() -> None:
             platform = make_platform()
             for number in range(6):
@@ -105,7 +105,7 @@
 
         run_virtual(work())
 
-    def test_late_node_passes_its_pool_on_and_jobs_go_on(self) -> None:
+    def test_late_node_transfers_its_pool_and_jobs_continue(self) -> None:
         async def work() -> None:
             platform = make_platform()
             for number in range(7):
@@ -116,7 +116,7 @@
             assert late is not None
             await hand_in(platform, late, make_job(1))
             await asyncio.sleep(0.5)
-            task = asyncio.get_running_loop().create_task(keep_late(platform, late))
+            task = asyncio.get_running_loop().create_task(hold_loop_late(platform, late))
             took_s = await wait_until(lambda: get_owner(platform) not in (late, None), 5)
             self.assertLess(took_s, 2.0)
             await wait_for_status(platform, f"{1:016x}", JobStatus.SUCCEEDED, 5)
@@ -127,7 +127,7 @@
 
         run_virtual(work())
 
-    def test_pools_do_not_go_to_and_fro_where_all_are_late(self) -> None:
+    def test_pools_do_not_move_back_and_forth_if_all_nodes_are_late(self) -> None:
         async def work() -> None:
             platform = make_platform()
             for number in range(7):
@@ -135,7 +135,7 @@
             await wait_until(lambda: len(count_owned(platform)) == len(POOLS))
             await asyncio.sleep(5)
             loop = asyncio.get_running_loop()
-            tasks = [loop.create_task(keep_late(platform, name)) for name in platform.nodes]
+            tasks = [loop.create_task(hold_loop_late(platform, name)) for name in platform.nodes]
             before = len(platform.events)
             await asyncio.sleep(30)
             moved = [line for line in platform.events[before:] if b'"pool_relieved"' in line]
@@ -145,7 +145,7 @@
 
         run_virtual(work())
 
-    def test_pool_stays_while_runs_of_a_silent_host_may_go_on(self) -> None:
+    def test_pool_stays_while_runs_of_a_silent_host_may_continue(self) -> None:
         """The next owner would count the leases of this one from the change on."""
 
         async def work() -> None:
@@ -161,7 +161,7 @@
             for number in range(5):
                 platform.start_node(f"later{number}")
                 platform.hosts.cut_ways.add((f"later{number}", host.record.address))
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(SILENT_S)
             self.assertEqual("first", get_owner(platform))
             await wait_until(lambda: max(count_owned(platform).values()) == 1)
             self.assertEqual([], find_breaks(platform))
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -35,18 +35,18 @@
         self.lines: list[dict[str, Any]] = []
         self.events = EventLog("n", lambda line: self.lines.append(json.loads(line)))
 
-    def tell(self, host: Host) -> None:
+    def log_ended(self, host: Host) -> None:
         log_host_ended(self.events, "press", host, "its machine is another host now", 5.0, "h9")
 
-    def test_host_with_runs_has_a_line_of_its_own(self) -> None:
+    def test_host_with_runs_is_logged_by_itself(self) -> None:
         for name in ("h1", "h2"):
             host = make_host(name)
             host.add_run(Run(TaskKey("0" * 16, 0, 0, 0), 1, name, ""), NO_RESOURCES)
-            self.tell(host)
+            self.log_ended(host)
         self.assertEqual(["h1", "h2"], [line["host"] for line in self.lines])
         self.assertEqual({("h9", 1)}, {(x["successor"], x["run_count"]) for x in self.lines})
 
-    def test_line_tells_what_began_just_before_the_connection_broke(self) -> None:
+    def test_line_names_the_runs_started_last_before_the_connection_broke(self) -> None:
         """Of ten runs that a host took with it, nobody could tell which had just begun."""
         host = make_host("h1")
         for number, sent_at_s in enumerate((3.0, 4.99, None)):
@@ -55,11 +55,11 @@
             host.add_run(run, NO_RESOURCES)
         host.record_failure(HostNoAnswerError("reset by peer"), 5.0)
         host.record_failure(HostRefusedError("refused"), 5.2)
-        self.tell(host)
+        self.log_ended(host)
         names = [f"{'0' * 16}/0.0.1/1 10.0 ms", f"{'0' * 16}/0.0.0/1 2000.0 ms"]
         self.assertEqual((names, 0.0), (self.lines[0]["newest"], self.lines[0]["broke_ago_s"]))
 
-    def test_silence_is_no_break_and_an_answer_ends_one(self) -> None:
+    def test_silence_is_not_a_broken_connection_and_a_response_ends_one(self) -> None:
         host = make_host("h1")
         host.record_failure(HostSilentError("timed out"), 5.0)
         self.assertIsNone(host.connection_broken_at_s)
@@ -68,16 +68,16 @@
         host.record_response()
         self.assertIsNone(host.connection_broken_at_s)
 
-    def test_hosts_without_runs_are_told_together(self) -> None:
+    def test_hosts_without_runs_are_gathered_into_one_line(self) -> None:
         for number in range(30):
-            self.tell(make_host(f"h{number}"))
+            self.log_ended(make_host(f"h{number}"))
         self.events.tell_gathered(is_last=True)
         self.assertEqual([1, 29], [line["count"] for line in self.lines])
         self.assertEqual(["h0"], self.lines[0]["hosts"])
 
 
 class AwaitedTest(TestCase):
-    def test_host_is_awaited_for_a_bounded_time_and_while_it_may_serve(self) -> None:
+    def test_host_is_awaited_for_a_bounded_time_while_it_is_listed_and_not_contacted(self) -> None:
         host = make_host("h1")
         self.assertFalse(host.is_awaited(0.0))
         host.awaited_until_s = 3.0
@@ -89,7 +89,7 @@
         host.contact, host.is_listed = HostContact.NOT_CONTACTED, False
         self.assertFalse(host.is_awaited(0.0))
 
-    def test_report_tells_of_it(self) -> None:
+    def test_report_shows_awaited_hosts(self) -> None:
         pool = PoolJobs()
         record = UpstreamHost("h1", "m1", "", "", "", "", NO_RESOURCES, frozenset())
         pool.add_host(record).awaited_until_s = 3.0
--- a/tests/unit/test_predecessors.py
+++ b/tests/unit/test_predecessors.py
@@ -14,45 +14,45 @@
 LOST = Member("lost", "life", "lost")
 EVENTS = EventLog("n", write=lambda line: None)
 # From a take to the shutting out of earlier owners, and on to an open pool, on a slow store.
-SHUT_OUT_S = 0.5
+FENCED_AFTER_S = 0.5
 OPENING_S = 2.0
 
 
-async def say_stopped(owner: Member, pool: str, token: int) -> bool:
+async def respond_stopped(owner: Member, pool: str, token: int) -> bool:
     """Answer for an owner that has stopped."""
     return True
 
 
 class PredecessorsTest(TestCase):
-    def test_owner_is_asked_as_soon_as_it_is_shut_out(self) -> None:
+    def test_owner_is_queried_as_soon_as_it_is_fenced(self) -> None:
         """What it says counts from then on, however long the pool takes to open."""
 
         async def work() -> None:
             loop = asyncio.get_running_loop()
             leases = ForeignLeases()
             predecessors = Predecessors(
-                "press", [UnreleasedOwner(LOST, 7, loop.time())], say_stopped
+                "press", [UnreleasedOwner(LOST, 7, loop.time())], respond_stopped
             )
-            await asyncio.sleep(SHUT_OUT_S)
-            shut_out_at_s = loop.time()
-            predecessors.mark_fenced(shut_out_at_s, leases)
-            watching = asyncio.create_task(predecessors.poll_until_stopped(lambda: True, EVENTS))
+            await asyncio.sleep(FENCED_AFTER_S)
+            fenced_at_s = loop.time()
+            predecessors.mark_fenced(fenced_at_s, leases)
+            polling = asyncio.create_task(predecessors.poll_until_stopped(lambda: True, EVENTS))
             await asyncio.sleep(OPENING_S)
             self.assertAlmostEqual(
-                get_lapse_time_s(LEASE_MS, shut_out_at_s), leases.over_at_s, delta=0.1
+                get_lapse_time_s(LEASE_MS, fenced_at_s), leases.over_at_s, delta=0.1
             )
-            await watching
+            await polling
 
         run_virtual(work())
 
-    def test_leases_count_from_the_take_where_all_before_it_have_stopped(self) -> None:
+    def test_leases_count_from_the_acquisition_if_all_earlier_owners_have_stopped(self) -> None:
         async def work() -> None:
             loop = asyncio.get_running_loop()
-            taken_at_s = loop.time()
+            acquired_at_s = loop.time()
             leases = ForeignLeases()
-            predecessors = Predecessors("press", [], say_stopped)
-            await asyncio.sleep(SHUT_OUT_S)
+            predecessors = Predecessors("press", [], respond_stopped)
+            await asyncio.sleep(FENCED_AFTER_S)
             predecessors.mark_fenced(loop.time(), leases)
-            self.assertEqual(get_lapse_time_s(LEASE_MS, taken_at_s), leases.over_at_s)
+            self.assertEqual(get_lapse_time_s(LEASE_MS, acquired_at_s), leases.over_at_s)
 
         run_virtual(work())
