--- a/tests/functional/test_owners_asked_in_time.py
+++ b/tests/functional/test_owners_asked_in_time.py
@@ -1,4 +1,4 @@
-"""An owner that is not listed is asked before it counts as gone."""
+"""An owner that is not listed is queried before it counts as lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,18 +13,18 @@
 from tests.lib.virtual import run_virtual
 
 DEAD, LIVE = Member("dead", "life", "dead"), Member("living", "life", "living")
-# How long a living owner takes to answer, well below the time that it is given.
+# Response time of a live owner, well below the time-out.
 RESPONSE_S = 0.1
 CHECK_PERIOD_S = 0.01
 
 
 class _Peers:
-    """Peers of which one lives."""
+    """Peers, one of which is alive."""
 
     async def send_request(
         self, address: str, request: msgspec.Struct, response_type: type, timeout_s: float
     ) -> StoreStatusResponse:
-        """Answer as the node that lives, or not in time."""
+        """Respond as the live node, or time out as the dead one."""
         if address == DEAD.address:
             await asyncio.sleep(timeout_s)
             raise PeerUnreachableError(address)
@@ -34,7 +34,7 @@
 
 class OwnersAskedInTimeTest(TestCase):
     def _check(self, miss: Callable[[OwnerLiveness], float]) -> None:
-        """Have owners miss; the living one must never count as gone."""
+        """Have owners missing from the list; the live one must never count as lost."""
 
         async def work() -> None:
             owner_liveness = OwnerLiveness(_Peers())  # type: ignore[arg-type]
--- a/tests/functional/test_pool_rebalancing.py
+++ b/tests/functional/test_pool_rebalancing.py
@@ -1,4 +1,4 @@
-"""Pools pass from nodes that are crowded or late to nodes that have room."""
+"""Transfer of pools from crowded or late nodes to nodes with less load."""
 
 import asyncio
 from collections import Counter
@@ -27,12 +27,12 @@
 
 POOLS = (POOL, "maps", "proofs", "tiles")
 LATE_S = 0.5
-# Shorter than a lease, so that the runs of a host that is cut off go on.
+# Shorter than a lease, so that the runs of a cut-off host continue.
 SILENT_S = 3.0
 
 
 def make_platform() -> PlatformStandin:
-    """Make a platform with four pools, of which one has hosts."""
+    """Make a platform with four pools, one of which has hosts."""
     platform = PlatformStandin(plan_second, 1)
     policies = (*map(PoolPolicy, POOLS), PoolPolicy(RESERVE, is_reserve=True))
     platform.configure(1, (QUEUE,), policies)
@@ -47,7 +47,7 @@
 
 
 async def hold_loop_late(platform: PlatformStandin, name: str) -> None:
-    """Have a node's loop run late for as long as this runs."""
+    """Simulate a late event loop of a node until cancelled."""
     while True:
         platform.nodes[name].assembled.lag.lag_s = LATE_S
         await asyncio.sleep(0.01)
@@ -146,7 +146,7 @@
         run_virtual(work())
 
     def test_pool_stays_while_runs_of_a_silent_host_may_continue(self) -> None:
-        """The next owner would count the leases of this one from the change on."""
+        """The next owner would count this owner's leases from the change of owner."""
 
         async def work() -> None:
             platform = make_platform()
--- a/tests/unit/test_owner_liveness.py
+++ b/tests/unit/test_owner_liveness.py
@@ -1,4 +1,4 @@
-"""Owners that are not listed, and what follows from what they answer or do not."""
+"""Liveness of owners that are not listed, by their response or lack of one."""
 
 import asyncio
 import itertools
@@ -20,18 +20,18 @@
 
 OWNER = Member("owner", "life", "owner")
 LIVE = StoreStatusResponse(True, 1, 0.0, True, OWNER.incarnation)
-# How long a living owner takes to answer.
+# Response time of a live owner.
 RESPONSE_S = 0.01
-# As long as a new node's loop may be held by what it loads, and more.
+# Longer than the stall of a new node's event loop while it loads its state.
 STALL_S = 0.3
 CHECK_PERIOD_S = 0.01
 WATCH_S = 2.0
-# How much later than the absence is confirmed an owner may count as gone: a look or two.
+# Time from the confirmed absence until the owner counts as lost: one or two checks.
 SLACK_S = 0.03
 
 
 class _Peers:
-    """A peer that answers in time, or none."""
+    """A peer that responds in time, refuses connections or does not respond."""
 
     def __init__(self, response: StoreStatusResponse | None, refuses: bool = False) -> None:
         self.query_count = 0
@@ -41,7 +41,7 @@
     async def send_request(
         self, address: str, request: msgspec.Struct, response_type: type, timeout_s: float
     ) -> StoreStatusResponse:
-        """Answer, but not to one whose time-out has passed when it could read that."""
+        """Respond, unless the time-out has passed by the time the response can be read."""
         self.query_count += 1
         began_at_s = asyncio.get_running_loop().time()
         responds_in_time = self.response is not None or self._refuses
@@ -58,9 +58,9 @@
     get_rank: Callable[[float], int] = lambda at_s: 0,
     from_s: float = 0.0,
 ) -> float | None:
-    """Miss the owner; return when it counted as gone, from a moment on, None for not at all.
+    """Check a missing owner repeatedly; return the time until it counts as lost, or None.
 
-    ``hinder`` is called before each look.
+    Losses before ``from_s`` are ignored.  ``hinder`` is called before each check.
     """
 
     async def work() -> float | None:
@@ -80,7 +80,7 @@
 
 
 def stall_at(*moments_s: float) -> Callable[[float], None]:
-    """Stall the loop once at each of some moments."""
+    """Return a function that stalls the loop once at each of the given times."""
     left = list(moments_s)
 
     def stall(at_s: float) -> None:
@@ -92,7 +92,7 @@
 
 
 def stall_always(stall_s: float) -> Callable[[float], None]:
-    """Stall the loop before each look."""
+    """Return a function that stalls the loop before each check."""
     return lambda at_s: stall_loop(stall_s)
 
 
@@ -130,7 +130,7 @@
     def test_dead_owner_is_lost_soon_after_a_stall(self) -> None:
         for number in range(30):
             lost_at_s = get_lost_at_s(_Peers(None), stall_at(0.02 * number))
-            # One ask that proves nothing, and one that has the time of the stall added.
+            # One inconclusive query, and one whose timeout is extended by the stall.
             self._check_lost_at(lost_at_s, 2 * MISSING_CONFIRM_S + 2 * STALL_S + SLACK_S)
 
     def test_dead_owner_is_lost_even_if_the_loop_is_always_late(self) -> None:
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -1,4 +1,4 @@
-"""What an owner tells of its pool."""
+"""Status reports and log lines of a pool's owner."""
 
 import json
 from typing import Any
@@ -47,7 +47,7 @@
         self.assertEqual({("h9", 1)}, {(x["successor"], x["run_count"]) for x in self.lines})
 
     def test_line_names_the_runs_started_last_before_the_connection_broke(self) -> None:
-        """Of ten runs that a host took with it, nobody could tell which had just begun."""
+        """When a host ended with ten runs, the log did not show which had just started."""
         host = make_host("h1")
         for number, sent_at_s in enumerate((3.0, 4.99, None)):
             run = Run(TaskKey("0" * 16, 0, 0, number), 1, "h1", "")
--- a/tests/unit/test_predecessors.py
+++ b/tests/unit/test_predecessors.py
@@ -1,4 +1,4 @@
-"""Until when earlier owners of a pool may have granted leases."""
+"""Time until which earlier owners of a pool may have granted leases."""
 
 import asyncio
 
@@ -13,19 +13,20 @@
 
 LOST = Member("lost", "life", "lost")
 EVENTS = EventLog("n", write=lambda line: None)
-# From a take to the shutting out of earlier owners, and on to an open pool, on a slow store.
+# Time from an acquisition to the fencing of earlier owners, and from there to an open pool, with
+# a slow store.
 FENCED_AFTER_S = 0.5
 OPENING_S = 2.0
 
 
 async def respond_stopped(owner: Member, pool: str, token: int) -> bool:
-    """Answer for an owner that has stopped."""
+    """Respond as an owner that has stopped."""
     return True
 
 
 class PredecessorsTest(TestCase):
     def test_owner_is_queried_as_soon_as_it_is_fenced(self) -> None:
-        """What it says counts from then on, however long the pool takes to open."""
+        """Its response counts from then on, however long the pool takes to open."""
 
         async def work() -> None:
             loop = asyncio.get_running_loop()
