--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -25,9 +25,9 @@
 
 WATCH_S = 15.0
 # In this time a host that answers has heard of an owner that has opened its pool,
-HEARD_S = 0.2
+CONTACTED_S = 0.2
 # and tasks whose host's lease is over are begun on another one.
-AGAIN_S = 0.8
+RESTART_S = 0.8
 NAMES = [f"node{number}" for number in range(9)]
 
 
@@ -42,8 +42,8 @@
     old = next(name for name in platform.nodes if owns(platform, name))
     others = [name for name in NAMES if name != old]
     platform.hosts.cut_ways |= {(name, host.record.address) for name in others}
-    away = platform.hosts.hosts.keys() - {host.record.address}
-    platform.hosts.cut_ways |= {(old, address) for address in away}
+    unreachable = platform.hosts.hosts.keys() - {host.record.address}
+    platform.hosts.cut_ways |= {(old, address) for address in unreachable}
     platform.store.faults.silent.add(old)
     platform.cut_nodes.add(old)
     return old
@@ -60,7 +60,7 @@
 
 
 class ForgottenOwnerTest(TestCase):
-    def test_next_owner_that_begins_anew_waits_for_the_one_that_is_cut_off(self) -> None:
+    def test_restarted_next_owner_waits_for_the_cut_off_one(self) -> None:
         """The next owner's new life reads only the newest record, in which it finds itself."""
 
         async def work() -> None:
@@ -77,7 +77,7 @@
 
         run_virtual(work())
 
-    def test_node_that_joined_late_waits_for_the_owner_that_is_cut_off(self) -> None:
+    def test_node_that_joined_late_waits_for_the_cut_off_owner(self) -> None:
         """The third owner hears that the second one has ended; it has not seen the first."""
 
         async def work() -> None:
@@ -92,7 +92,7 @@
 
         run_virtual(work())
 
-    def test_owner_after_a_planned_stop_waits_for_the_one_that_is_cut_off(self) -> None:
+    def test_owner_after_a_planned_stop_waits_for_the_cut_off_one(self) -> None:
         """The second owner gives the pool back; the third one has not seen the first."""
 
         async def work() -> None:
@@ -105,7 +105,7 @@
 
         run_virtual(work())
 
-    def test_host_that_heard_of_the_next_owner_is_waited_for_no_longer_than_its_lease(
+    def test_host_contacted_by_the_next_owner_delays_its_tasks_by_its_lease_at_most(
         self,
     ) -> None:
         """Nobody tells whether the owner that was killed has stopped; the host refuses it."""
@@ -114,12 +114,12 @@
             platform = await start_lasting()
             host, old = get_first_host(platform), kill_owner(platform)
             await wait_until(lambda: get_owner(platform) not in (None, old))
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(CONTACTED_S)
             cut_host(platform, host)
             cut_at_s = asyncio.get_running_loop().time()
             await asyncio.sleep(WATCH_S)
-            again = max(run.began_at_s for run in list_runs(platform))
-            self.assertLess(again - cut_at_s, get_lapse_time_s(LEASE_MS, AGAIN_S))
+            restarted_at_s = max(run.began_at_s for run in list_runs(platform))
+            self.assertLess(restarted_at_s - cut_at_s, get_lapse_time_s(LEASE_MS, RESTART_S))
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
--- a/tests/functional/test_job_retention.py
+++ b/tests/functional/test_job_retention.py
@@ -22,7 +22,7 @@
 
 
 class RetentionTest(TestCase):
-    def test_ended_jobs_are_dropped_once_callers_may_no_longer_ask(self) -> None:
+    def test_ended_jobs_are_dropped_after_their_retention_time(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             specs = [make_job(number) for number in range(1, 4)]
@@ -47,7 +47,7 @@
 
         run_virtual(work())
 
-    def test_job_dropped_in_part_is_not_run_again_by_the_next_owner(self) -> None:
+    def test_partly_dropped_job_is_not_run_again_by_the_next_owner(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             spec = make_job(1)
--- a/tests/functional/test_jobs_dropped_meanwhile.py
+++ b/tests/functional/test_jobs_dropped_meanwhile.py
@@ -26,7 +26,7 @@
 
 
 class DroppedMeanwhileTest(TestCase):
-    def test_job_that_ended_long_ago_does_not_run_again_at_its_former_owner(self) -> None:
+    def test_job_that_ended_long_ago_does_not_run_again_at_its_earlier_owner(self) -> None:
         """The first owner is cut off, and has its pool again once the job is dropped."""
 
         async def work() -> None:
--- a/tests/functional/test_jobs_of_workspaces.py
+++ b/tests/functional/test_jobs_of_workspaces.py
@@ -30,7 +30,7 @@
 LONG = StepSpec(1, cpu_millicores=1000, memory_mb=100, is_lasting=True)
 
 
-def make_owned(number: int, workspace: str, *steps: StepSpec) -> JobSpec:
+def make_workspace_job(number: int, workspace: str, *steps: StepSpec) -> JobSpec:
     """Make a job of a workspace."""
     return replace_spec(make_job(number, *steps), workspace)
 
@@ -40,11 +40,13 @@
     return JobSpec(spec.job_id, spec.queue, spec.pool, spec.text, spec.steps, workspace=workspace)
 
 
-async def ask(platform: PlatformStandin, node: str, job_id: str, workspace: str | None) -> object:
+async def query_job(
+    platform: PlatformStandin, node: str, job_id: str, workspace: str | None
+) -> object:
     """Ask for a job; return its status, or the outcome where there is none."""
     job_service = platform.nodes[node].assembled.job_service
-    told = await job_service.get_status(QUEUE, job_id, workspace)
-    return told.status or told.outcome
+    state = await job_service.get_status(QUEUE, job_id, workspace)
+    return state.status or state.outcome
 
 
 async def cancel_as(
@@ -55,7 +57,7 @@
     return await job_service.cancel(QUEUE, job_id, asyncio.get_running_loop().time() + 3, workspace)
 
 
-def list_known(platform: PlatformStandin, node: str) -> list[str]:
+def list_accepted_keys(platform: PlatformStandin, node: str) -> list[str]:
     """List the keys that a node takes."""
     config = platform.nodes[node].assembled.config_holder.config
     assert config is not None
@@ -63,14 +65,15 @@
 
 
 class JobsOfWorkspacesTest(TestCase):
-    def test_other_workspace_learns_nothing_of_a_job_and_cannot_cancel_it(self) -> None:
+    def test_other_workspace_cannot_see_or_cancel_a_job(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            spec = make_owned(1, "maps")
+            spec = make_workspace_job(1, "maps")
             await hand_in(platform, "node0", spec)
             for node in platform.nodes:
                 self.assertEqual(
-                    JobRequestOutcome.NO_SUCH_JOB, await ask(platform, node, spec.job_id, "shop")
+                    JobRequestOutcome.NO_SUCH_JOB,
+                    await query_job(platform, node, spec.job_id, "shop"),
                 )
                 self.assertEqual(
                     JobRequestOutcome.NO_SUCH_JOB,
@@ -79,21 +82,21 @@
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             for node in platform.nodes:
                 for _ in range(2):
-                    told = [
-                        await ask(platform, node, spec.job_id, workspace)
+                    states = [
+                        await query_job(platform, node, spec.job_id, workspace)
                         for workspace in ("maps", None, "shop")
                     ]
                     self.assertEqual(
                         [JobStatus.SUCCEEDED, JobStatus.SUCCEEDED, JobRequestOutcome.NO_SUCH_JOB],
-                        told,
+                        states,
                     )
 
         run_virtual(work())
 
-    def test_foreign_cancel_whose_target_is_unknown_changes_nothing(self) -> None:
+    def test_foreign_cancel_while_the_owner_is_unreachable_has_no_effect(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(None, Resources(1000, 100)))
-            spec = make_owned(1, "maps", LONG)
+            spec = make_workspace_job(1, "maps", LONG)
             await hand_in(platform, "node0", spec)
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 1)
             owner = get_owner(platform)
@@ -106,7 +109,9 @@
                 self.assertEqual(JobRequestOutcome.DONE, outcome)
             platform.cut_nodes.discard(owner)
             await asyncio.sleep(4)
-            self.assertEqual(JobStatus.RUNNING, await ask(platform, other, spec.job_id, "maps"))
+            self.assertEqual(
+                JobStatus.RUNNING, await query_job(platform, other, spec.job_id, "maps")
+            )
             platform.cut_nodes.add(owner)
             self.assertEqual(
                 JobRequestOutcome.DONE, await cancel_as(platform, other, spec.job_id, "maps")
@@ -117,10 +122,10 @@
 
         run_virtual(work())
 
-    def test_foreign_cancel_that_comes_before_the_job_changes_nothing(self) -> None:
+    def test_foreign_cancel_before_the_job_has_no_effect(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            spec = make_owned(1, "maps")
+            spec = make_workspace_job(1, "maps")
             owner = get_owner(platform)
             assert owner is not None
             other = next(name for name in platform.nodes if name != owner)
@@ -132,10 +137,10 @@
 
         run_virtual(work())
 
-    def test_id_that_another_workspace_took_stays_its_job(self) -> None:
+    def test_id_used_by_another_workspace_keeps_its_job(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            first = make_owned(1, "maps")
+            first = make_workspace_job(1, "maps")
             second = replace_spec(make_job(1, LONG), "shop")
             self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", first))
             self.assertEqual(JobRequestOutcome.ID_TAKEN, await hand_in(platform, "node0", second))
@@ -143,23 +148,25 @@
             await hand_in(platform, "node1", second)
             await wait_for_status(platform, first.job_id, JobStatus.SUCCEEDED)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
-            told = await ask(platform, "node2", first.job_id, "shop")
-            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, told)
+            state = await query_job(platform, "node2", first.job_id, "shop")
+            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, state)
             self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", first))
 
         run_virtual(work())
 
-    def test_job_from_before_its_queue_asked_for_keys_can_still_be_asked_for(self) -> None:
+    def test_job_accepted_before_its_queue_required_keys_can_still_be_queried(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             spec = make_job(1)
             await hand_in(platform, "node0", spec)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual(JobStatus.SUCCEEDED, await ask(platform, "node1", spec.job_id, "maps"))
+            self.assertEqual(
+                JobStatus.SUCCEEDED, await query_job(platform, "node1", spec.job_id, "maps")
+            )
 
         run_virtual(work())
 
-    def test_withdrawal_reaches_every_node_within_its_bound(self) -> None:
+    def test_withdrawn_key_is_rejected_by_every_node_within_the_bound(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=8)
             platform.store.faults.latency_s = 0.2
@@ -168,17 +175,19 @@
                 maps = WorkspacePolicy("maps", digest_keys(keys))
                 platform.configure(version, (queue,), POOLS, (maps,))
                 await wait_until(
-                    lambda: all(list_known(platform, node) == keys for node in platform.nodes),
+                    lambda: all(
+                        list_accepted_keys(platform, node) == keys for node in platform.nodes
+                    ),
                     CONFIG_APPLY_S,
                 )
 
         run_virtual(work())
 
-    def test_node_that_cannot_hear_the_store_goes_on_and_learns_when_it_can_again(self) -> None:
+    def test_node_cut_off_from_the_store_keeps_its_keys_and_catches_up_later(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=6)
             queue = replace(QUEUE, is_public=False)
-            away = {"node1", "node4"}
+            cut_off = {"node1", "node4"}
 
             def put(version: int, keys: list[str]) -> None:
                 maps = WorkspacePolicy("maps", digest_keys(keys))
@@ -186,23 +195,23 @@
 
             async def wait_for(names: set[str], keys: list[str]) -> float:
                 return await wait_until(
-                    lambda: all(list_known(platform, name) == keys for name in names), 10.0
+                    lambda: all(list_accepted_keys(platform, name) == keys for name in names), 10.0
                 )
 
             put(2, ["a", "b"])
             await wait_for(set(platform.nodes), ["a", "b"])
-            platform.store.faults.silent |= away
+            platform.store.faults.silent |= cut_off
             put(3, ["b"])
             # Versions that follow each other fast, as in a storm.
             for version in range(4, 24):
                 await asyncio.sleep(0.1)
                 put(version, ["b"])
-            took_s = await wait_for(platform.nodes.keys() - away, ["b"])
+            took_s = await wait_for(platform.nodes.keys() - cut_off, ["b"])
             self.assertLess(took_s, CONFIG_APPLY_S)
             await asyncio.sleep(5)
-            for name in away:
-                self.assertEqual(["a", "b"], list_known(platform, name))
-            platform.store.faults.silent -= away
+            for name in cut_off:
+                self.assertEqual(["a", "b"], list_accepted_keys(platform, name))
+            platform.store.faults.silent -= cut_off
             # It counts as in touch 3 s after the store is there again.
             took_s = await wait_for(set(platform.nodes), ["b"])
             self.assertLess(took_s, 3.0 + CONFIG_APPLY_S)
@@ -210,6 +219,6 @@
             platform.start_node("node2")
             holder = platform.nodes["node2"].assembled.config_holder
             await wait_until(lambda: holder.config is not None)
-            self.assertEqual(["b"], list_known(platform, "node2"))
+            self.assertEqual(["b"], list_accepted_keys(platform, "node2"))
 
         run_virtual(work())
--- a/tests/functional/test_lost_hosts.py
+++ b/tests/functional/test_lost_hosts.py
@@ -22,25 +22,25 @@
 # An entry lapses so long after its host has ended.
 LISTED_FOR_S = 4.0
 # A look that is not answered, a list of machines, a step of the steward, and a start.
-AGAIN_SOON_S = 1.2
+RESTARTED_MAX_S = 1.2
 # Looks after 0, 0.2, 0.6, 1.4, 2.4 and 3.4 s.
-LOOKS_MAX = 8
+POLLS_MAX = 8
 # Looks each 0.2 s.
-LOOKS_MIN = 12
+POLLS_MIN = 12
 # A look under way that will not be answered, and the longest pause.
-BACK_MAX_S = 1.5
+POLLED_AGAIN_MAX_S = 1.5
 # Three hosts are needed for these.
 SPREAD = StepSpec(5, cpu_millicores=1000, memory_mb=100, is_lasting=True, per_host_max=2)
 # Two looks that time out, the pause between them, and two steps of the steward.
 REPLACED_MAX_S = 0.4 + 0.2 + 0.4 + 0.2
 # Moments of the second that a look lasts.
-MOMENTS_S = (0.0, 0.25, 0.5, 0.75)
+OFFSETS_S = (0.0, 0.25, 0.5, 0.75)
 # Each host of a quiet pool runs one task that lasts.
 QUIET_HOSTS = 12
 ALONE = StepSpec(QUIET_HOSTS, cpu_millicores=1000, memory_mb=100, is_lasting=True, per_host_max=1)
 
 
-async def count_looks(platform: PlatformStandin, host_id: str) -> int:
+async def count_polls(platform: PlatformStandin, host_id: str) -> int:
     """Count the looks at a host that refuses connections from now on, while it is listed."""
     host = next(host for host in platform.hosts.hosts.values() if host.record.id == host_id)
     platform.hosts.refused_ways |= {(name, host.record.address) for name in platform.nodes}
@@ -50,7 +50,7 @@
     return platform.hosts.looks[host_id]
 
 
-async def lose_task(lose: Callable[[PlatformStandin, JobHostStandin], None]) -> float:
+async def measure_lost_task_s(lose: Callable[[PlatformStandin, JobHostStandin], None]) -> float:
     """Lose the host of a lasting task; return for how long the task did not run."""
     platform = await start_lasting(hosts=4)
     lose(platform, get_first_host(platform))
@@ -66,31 +66,31 @@
 
 
 class LostHostsTest(TestCase):
-    def test_task_of_a_host_that_its_machine_has_no_more_runs_again_soon(self) -> None:
+    def test_task_of_a_host_that_its_machine_no_longer_has_is_restarted_soon(self) -> None:
         """It waited for the lease of its host: 3.6 s in place of 0.7 s."""
-        self.assertLess(run_virtual(lose_task(crash_silently)), AGAIN_SOON_S)
+        self.assertLess(run_virtual(measure_lost_task_s(crash_silently)), RESTARTED_MAX_S)
 
-    def test_task_of_a_host_that_is_cut_off_runs_on_until_its_lease_is_over(self) -> None:
+    def test_task_of_a_cut_off_host_runs_until_its_lease_lapses(self) -> None:
         """The list of machines shows it as before; no task may run twice meanwhile."""
-        self.assertLess(run_virtual(lose_task(cut_host)), AGAIN_SOON_S)
+        self.assertLess(run_virtual(measure_lost_task_s(cut_host)), RESTARTED_MAX_S)
 
-    def test_host_on_which_nothing_runs_is_looked_at_less_and_less(self) -> None:
+    def test_host_without_runs_is_polled_less_and_less_often(self) -> None:
         async def work() -> None:
             platform = await start_platform(hosts=2)
             host = next(iter(platform.hosts.hosts.values()))
-            self.assertLess(await count_looks(platform, host.record.id), LOOKS_MAX)
+            self.assertLess(await count_polls(platform, host.record.id), POLLS_MAX)
 
         run_virtual(work())
 
-    def test_host_with_runs_is_looked_at_until_its_lease_is_over(self) -> None:
+    def test_host_with_runs_is_polled_until_its_lease_lapses(self) -> None:
         async def work() -> None:
             platform = await start_lasting(hosts=2)
             host = get_first_host(platform)
-            self.assertGreater(await count_looks(platform, host.record.id), LOOKS_MIN)
+            self.assertGreater(await count_polls(platform, host.record.id), POLLS_MIN)
 
         run_virtual(work())
 
-    def test_host_that_answers_again_is_heard_soon(self) -> None:
+    def test_host_that_responds_again_is_polled_soon(self) -> None:
         async def work() -> None:
             platform = await start_platform(hosts=2)
             host = next(iter(platform.hosts.hosts.values()))
@@ -101,13 +101,13 @@
             await asyncio.sleep(5)
             platform.hosts.cut_ways.discard(way)
             platform.hosts.looks.clear()
-            await asyncio.sleep(BACK_MAX_S)
+            await asyncio.sleep(POLLED_AGAIN_MAX_S)
             self.assertGreater(platform.hosts.looks[host.record.id], 0)
             self.assertEqual(0, len(list_runs(platform)))
 
         run_virtual(work())
 
-    def test_host_that_the_next_owner_never_hears_is_replaced_soon(self) -> None:
+    def test_host_that_never_responds_to_the_next_owner_is_replaced_soon(self) -> None:
         async def work() -> None:
             platform = await start_lasting(hosts=3, reserve=2, step=SPREAD)
             moves_before = platform.machines.move_count
@@ -142,12 +142,12 @@
     def test_two_hosts_cut_off_at_once_leave_the_others_in_use(self) -> None:
         """They say nothing at all, so that they might be the first of their hall."""
 
-        async def work(moment_s: float) -> None:
+        async def work(offset_s: float) -> None:
             platform = await start_lasting(hosts=QUIET_HOSTS, reserve=QUIET_HOSTS, step=ALONE)
             owner = kill_owner(platform)
             await asyncio.sleep(1)
             platform.start_node(owner)
-            await asyncio.sleep(4 + moment_s)
+            await asyncio.sleep(4 + offset_s)
             moves_before = platform.machines.move_count
             lost = [host for host in platform.hosts.hosts.values() if host.is_up][:2]
             for host in lost:
@@ -157,5 +157,5 @@
             self.assertEqual(len(lost), platform.machines.move_count - moves_before)
             self.assertEqual([], [run for run in list_runs(platform) if run.end == "stopped"])
 
-        for moment_s in MOMENTS_S:
-            run_virtual(work(moment_s))
+        for offset_s in OFFSETS_S:
+            run_virtual(work(offset_s))
--- a/tests/functional/test_recorded_while_opening.py
+++ b/tests/functional/test_recorded_while_opening.py
@@ -33,7 +33,7 @@
 QUICK = StepSpec(1, cpu_millicores=1000, memory_mb=100)
 WORK_S = 0.05
 # How long the first try of a call goes unanswered that is made again then.
-HELD_S = 0.6
+UNANSWERED_S = 0.6
 
 
 def plan_quick(task: TaskKey) -> TaskPlan:
@@ -71,7 +71,7 @@
     async def lose(partition: Partition, *rest: Any, **options: Any) -> Any:
         if partition.topic == topic and not lost:
             lost.append(partition)
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(UNANSWERED_S)
             raise StoreNoAnswerError("lost")
         return await append(partition, *rest, **options)
 
@@ -89,7 +89,7 @@
 
 
 class RecordedWhileOpeningTest(TestCase):
-    def test_job_that_was_done_while_the_next_owner_opened_does_not_run_again(self) -> None:
+    def test_job_completed_while_the_next_owner_opens_does_not_run_again(self) -> None:
         """The next owner has read the inbox; its first append to the journal is lost."""
 
         async def work() -> None:
