--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -1,4 +1,4 @@
-"""An owner that lives on, cut off, when those that know of it have gone."""
+"""A cut-off owner that keeps running after the nodes that knew of it have ended."""
 
 import asyncio
 
@@ -24,9 +24,9 @@
 from tests.lib.virtual import run_virtual
 
 WATCH_S = 15.0
-# In this time a host that answers has heard of an owner that has opened its pool,
+# Time within which an owner that has opened its pool contacts a responding host.
 CONTACTED_S = 0.2
-# and tasks whose host's lease is over are begun on another one.
+# Time within which the tasks of a host whose lease has lapsed are restarted on another one.
 RESTART_S = 0.8
 NAMES = [f"node{number}" for number in range(9)]
 
@@ -37,7 +37,7 @@
 
 
 def cut_with_a_host(platform: PlatformStandin) -> str:
-    """Cut the owner off with one host that it alone reaches; return its name."""
+    """Cut the owner off together with one host that only it reaches; return its name."""
     host = get_first_host(platform)
     old = next(name for name in platform.nodes if owns(platform, name))
     others = [name for name in NAMES if name != old]
@@ -50,7 +50,10 @@
 
 
 async def start_with_second_owner() -> tuple[PlatformStandin, str]:
-    """Cut the first owner off and start a node once another owns the pool; return that one."""
+    """Cut the first owner off and start a node once another owns the pool.
+
+    Return the platform and the second owner's name.
+    """
     platform = await start_lasting(nodes=2)
     old = cut_with_a_host(platform)
     (second,) = [name for name in platform.nodes if name != old]
@@ -61,7 +64,7 @@
 
 class ForgottenOwnerTest(TestCase):
     def test_restarted_next_owner_waits_for_the_cut_off_one(self) -> None:
-        """The next owner's new life reads only the newest record, in which it finds itself."""
+        """The next owner restarts and reads only the newest record, which names itself."""
 
         async def work() -> None:
             platform = await start_lasting()
@@ -78,7 +81,7 @@
         run_virtual(work())
 
     def test_node_that_joined_late_waits_for_the_cut_off_owner(self) -> None:
-        """The third owner hears that the second one has ended; it has not seen the first."""
+        """The third owner learns that the second one has ended; it has not seen the first."""
 
         async def work() -> None:
             platform, second = await start_with_second_owner()
@@ -93,7 +96,7 @@
         run_virtual(work())
 
     def test_owner_after_a_planned_stop_waits_for_the_cut_off_one(self) -> None:
-        """The second owner gives the pool back; the third one has not seen the first."""
+        """The second owner releases the pool; the third one has not seen the first."""
 
         async def work() -> None:
             platform, second = await start_with_second_owner()
@@ -108,7 +111,7 @@
     def test_host_contacted_by_the_next_owner_delays_its_tasks_by_its_lease_at_most(
         self,
     ) -> None:
-        """Nobody tells whether the owner that was killed has stopped; the host refuses it."""
+        """No node confirms that the killed owner has stopped, but the host rejects its orders."""
 
         async def work() -> None:
             platform = await start_lasting()
--- a/tests/functional/test_job_retention.py
+++ b/tests/functional/test_job_retention.py
@@ -1,4 +1,4 @@
-"""How long ended jobs are kept."""
+"""Retention of ended jobs."""
 
 import asyncio
 
--- a/tests/functional/test_jobs_dropped_meanwhile.py
+++ b/tests/functional/test_jobs_dropped_meanwhile.py
@@ -1,4 +1,4 @@
-"""Jobs that another owner of a pool dropped while a node owned none."""
+"""Jobs that another owner dropped while a node did not own the pool."""
 
 import asyncio
 
@@ -21,13 +21,13 @@
 )
 from tests.lib.virtual import run_virtual
 
-# By then a job that has ended is dropped from the store.
+# Time after which an ended job is dropped from the store.
 DROPPED_AFTER_S = BOUNDS.keep_ended_s + DROP_MARGIN_S + 2 * DROP_PERIOD_S
 
 
 class DroppedMeanwhileTest(TestCase):
     def test_job_that_ended_long_ago_does_not_run_again_at_its_earlier_owner(self) -> None:
-        """The first owner is cut off, and has its pool again once the job is dropped."""
+        """The first owner is cut off, and acquires its pool again after the job is dropped."""
 
         async def work() -> None:
             platform = await start_platform(nodes=2)
--- a/tests/functional/test_jobs_of_workspaces.py
+++ b/tests/functional/test_jobs_of_workspaces.py
@@ -1,4 +1,4 @@
-"""What one workspace can see and change of another one's jobs."""
+"""Isolation of one workspace's jobs from other workspaces."""
 
 import asyncio
 from dataclasses import replace
@@ -36,14 +36,14 @@
 
 
 def replace_spec(spec: JobSpec, workspace: str) -> JobSpec:
-    """Return the job as another workspace hands it in."""
+    """Return the job as submitted by another workspace."""
     return JobSpec(spec.job_id, spec.queue, spec.pool, spec.text, spec.steps, workspace=workspace)
 
 
 async def query_job(
     platform: PlatformStandin, node: str, job_id: str, workspace: str | None
 ) -> object:
-    """Ask for a job; return its status, or the outcome where there is none."""
+    """Query a job; return its status, or the outcome if it has none."""
     job_service = platform.nodes[node].assembled.job_service
     state = await job_service.get_status(QUEUE, job_id, workspace)
     return state.status or state.outcome
@@ -52,13 +52,13 @@
 async def cancel_as(
     platform: PlatformStandin, node: str, job_id: str, workspace: str | None
 ) -> JobRequestOutcome:
-    """Cancel a job in a workspace's name."""
+    """Cancel a job as a workspace."""
     job_service = platform.nodes[node].assembled.job_service
     return await job_service.cancel(QUEUE, job_id, asyncio.get_running_loop().time() + 3, workspace)
 
 
 def list_accepted_keys(platform: PlatformStandin, node: str) -> list[str]:
-    """List the keys that a node takes."""
+    """List the keys that a node accepts."""
     config = platform.nodes[node].assembled.config_holder.config
     assert config is not None
     return [key for key in ("a", "b") if config.find_workspace(key)]
@@ -102,7 +102,7 @@
             owner = get_owner(platform)
             assert owner is not None
             other = next(name for name in platform.nodes if name != owner)
-            # The owner does not answer, so the one asked can't tell whose job it is.
+            # The owner is unreachable, so the other node cannot determine the job's workspace.
             platform.cut_nodes.add(owner)
             for workspace in ("shop", "maps-2"):
                 outcome = await cancel_as(platform, other, spec.job_id, workspace)
@@ -144,7 +144,7 @@
             second = replace_spec(make_job(1, LONG), "shop")
             self.assertEqual(JobRequestOutcome.DONE, await hand_in(platform, "node0", first))
             self.assertEqual(JobRequestOutcome.ID_TAKEN, await hand_in(platform, "node0", second))
-            # Another node has not seen the first one: the log's order decides.
+            # Another node has not seen the first job, so the order of the log decides.
             await hand_in(platform, "node1", second)
             await wait_for_status(platform, first.job_id, JobStatus.SUCCEEDED)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
@@ -202,7 +202,7 @@
             await wait_for(set(platform.nodes), ["a", "b"])
             platform.store.faults.silent |= cut_off
             put(3, ["b"])
-            # Versions that follow each other fast, as in a storm.
+            # Versions in quick succession.
             for version in range(4, 24):
                 await asyncio.sleep(0.1)
                 put(version, ["b"])
@@ -212,7 +212,7 @@
             for name in cut_off:
                 self.assertEqual(["a", "b"], list_accepted_keys(platform, name))
             platform.store.faults.silent -= cut_off
-            # It counts as in touch 3 s after the store is there again.
+            # A node counts as connected 3 s after the store is reachable again.
             took_s = await wait_for(set(platform.nodes), ["b"])
             self.assertLess(took_s, 3.0 + CONFIG_APPLY_S)
             platform.kill_node("node2")
--- a/tests/functional/test_keys_at_the_door.py
+++ b/tests/functional/test_keys_at_the_door.py
@@ -1,4 +1,4 @@
-"""Calls with and without a workspace's key, from the configuration to the gate."""
+"""Calls with and without a workspace's key, from the configuration to the job service."""
 
 import asyncio
 import json
--- a/tests/functional/test_lost_hosts.py
+++ b/tests/functional/test_lost_hosts.py
@@ -1,4 +1,4 @@
-"""How often a host that does not answer is looked at."""
+"""Polling and replacement of unresponsive hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,29 +19,29 @@
 )
 from tests.lib.virtual import run_virtual
 
-# An entry lapses so long after its host has ended.
+# Time from the end of a host until its entry lapses.
 LISTED_FOR_S = 4.0
-# A look that is not answered, a list of machines, a step of the steward, and a start.
+# A poll without a response, a list of machines, a step of the steward, and a start.
 RESTARTED_MAX_S = 1.2
-# Looks after 0, 0.2, 0.6, 1.4, 2.4 and 3.4 s.
+# Above the number of polls after 0, 0.2, 0.6, 1.4, 2.4 and 3.4 s.
 POLLS_MAX = 8
-# Looks each 0.2 s.
+# Below the number of polls every 0.2 s.
 POLLS_MIN = 12
-# A look under way that will not be answered, and the longest pause.
+# A pending poll that gets no response, and the longest pause.
 POLLED_AGAIN_MAX_S = 1.5
-# Three hosts are needed for these.
+# These tasks need three hosts.
 SPREAD = StepSpec(5, cpu_millicores=1000, memory_mb=100, is_lasting=True, per_host_max=2)
-# Two looks that time out, the pause between them, and two steps of the steward.
+# Two polls that time out, the pause between them, and two steps of the steward.
 REPLACED_MAX_S = 0.4 + 0.2 + 0.4 + 0.2
-# Moments of the second that a look lasts.
+# Offsets within the second that a poll lasts.
 OFFSETS_S = (0.0, 0.25, 0.5, 0.75)
-# Each host of a quiet pool runs one task that lasts.
+# Each host of a quiet pool runs one lasting task.
 QUIET_HOSTS = 12
 ALONE = StepSpec(QUIET_HOSTS, cpu_millicores=1000, memory_mb=100, is_lasting=True, per_host_max=1)
 
 
 async def count_polls(platform: PlatformStandin, host_id: str) -> int:
-    """Count the looks at a host that refuses connections from now on, while it is listed."""
+    """Count the polls of a host that refuses connections from now on, while it is listed."""
     host = next(host for host in platform.hosts.hosts.values() if host.record.id == host_id)
     platform.hosts.refused_ways |= {(name, host.record.address) for name in platform.nodes}
     await asyncio.sleep(0.1)
@@ -51,7 +51,7 @@
 
 
 async def measure_lost_task_s(lose: Callable[[PlatformStandin, JobHostStandin], None]) -> float:
-    """Lose the host of a lasting task; return for how long the task did not run."""
+    """Lose the host of a lasting task; return for how many seconds the task did not run."""
     platform = await start_lasting(hosts=4)
     lose(platform, get_first_host(platform))
     await asyncio.sleep(15)
@@ -60,18 +60,18 @@
 
 
 def crash_silently(platform: PlatformStandin, host: JobHostStandin) -> None:
-    """End a host; nothing refuses connections where it was."""
+    """End a host so that connections to its address time out instead of being refused."""
     cut_host(platform, host)
     platform.crash_host(host.record.id)
 
 
 class LostHostsTest(TestCase):
     def test_task_of_a_host_that_its_machine_no_longer_has_is_restarted_soon(self) -> None:
-        """It waited for the lease of its host: 3.6 s in place of 0.7 s."""
+        """The task used to wait for its host's lease: 3.6 s instead of 0.7 s."""
         self.assertLess(run_virtual(measure_lost_task_s(crash_silently)), RESTARTED_MAX_S)
 
     def test_task_of_a_cut_off_host_runs_until_its_lease_lapses(self) -> None:
-        """The list of machines shows it as before; no task may run twice meanwhile."""
+        """The list of machines still shows the host; no task may run twice meanwhile."""
         self.assertLess(run_virtual(measure_lost_task_s(cut_host)), RESTARTED_MAX_S)
 
     def test_host_without_runs_is_polled_less_and_less_often(self) -> None:
@@ -120,7 +120,7 @@
         run_virtual(work())
 
     def test_two_hosts_lost_at_once_leave_the_others_in_use(self) -> None:
-        """Since the pool was taken, all its hosts answer in the same moment of each second."""
+        """All hosts of a newly acquired pool would respond at the same moment of each second."""
 
         async def work() -> None:
             platform = await start_lasting(hosts=QUIET_HOSTS, reserve=QUIET_HOSTS, step=ALONE)
@@ -140,7 +140,7 @@
         run_virtual(work())
 
     def test_two_hosts_cut_off_at_once_leave_the_others_in_use(self) -> None:
-        """They say nothing at all, so that they might be the first of their hall."""
+        """Silent hosts look like the first ones of a failed data hall."""
 
         async def work(offset_s: float) -> None:
             platform = await start_lasting(hosts=QUIET_HOSTS, reserve=QUIET_HOSTS, step=ALONE)
--- a/tests/functional/test_recorded_while_opening.py
+++ b/tests/functional/test_recorded_while_opening.py
@@ -1,4 +1,4 @@
-"""What a living earlier owner records while the next one opens its pool."""
+"""Records that a live earlier owner writes while the next one opens the pool."""
 
 import asyncio
 from typing import Any
@@ -32,12 +32,12 @@
 
 QUICK = StepSpec(1, cpu_millicores=1000, memory_mb=100)
 WORK_S = 0.05
-# How long the first try of a call goes unanswered that is made again then.
+# Time after which the first attempt of a call fails and is retried.
 UNANSWERED_S = 0.6
 
 
 def plan_quick(task: TaskKey) -> TaskPlan:
-    """Have each task be done in a moment."""
+    """Plan tasks that complete quickly."""
     return TaskPlan(WORK_S, Resources(1000, 100))
 
 
@@ -49,7 +49,7 @@
 
 
 def lose_reads(client: StoreClient, lost: Partition, wait_min_s: float = 0.0) -> None:
-    """Have reads of a partition, or just those that wait so long, go unanswered from now on."""
+    """Drop reads of a partition from now on, or only those that wait for ``wait_min_s`` or more."""
     read = client.read
 
     async def lose(
@@ -64,7 +64,7 @@
 
 
 def lose_first_append(client: StoreClient, topic: str) -> None:
-    """Have the first append to a topic go without effect or answer."""
+    """Drop the first append to a topic, so that it has no effect and no response."""
     append = client.append
     lost: list[Partition] = []
 
@@ -79,7 +79,7 @@
 
 
 async def unlist(platform: PlatformStandin, node: str) -> None:
-    """Have a node that lives count as gone."""
+    """Make a live node count as lost."""
     names = await platform.store.connect("test").list_members(GROUP)
     platform.store.unlisted |= {
         name for name in names if msgspec.json.decode(name, type=Member).node == node
@@ -97,13 +97,13 @@
             old = get_owner(platform)
             assert old is not None
             lose_reads(get_client(platform, old), OWNERS_PARTITION)
-            # The read that is under way is the last one that is answered.
+            # The read in progress is the last one that gets a response.
             await asyncio.sleep(FOLLOW_WAIT_S + 0.1)
             await unlist(platform, old)
             others = [name for name in platform.nodes if name != old]
             for name in others:
                 lose_first_append(get_client(platform, name), PROGRESS_TOPIC)
-                # The follower's waiting read is lost; the opening's own reads are not.
+                # The follower's long poll is dropped, but not the reads of the opening itself.
                 lose_reads(get_client(platform, name), INBOX_PARTITION, FOLLOW_WAIT_S)
 
             def find_next() -> str | None:
@@ -121,7 +121,7 @@
             await hand_in(platform, old, job)
             await wait_until(lambda: owner.is_open)
             self.assertEqual(1, len(platform.hosts.ledger.runs))
-            # From here on its reads go out on a new connection.
+            # From here on, its reads use a new connection.
             del get_client(platform, new).read
             await asyncio.sleep(10)
             self.assertEqual([], find_breaks(platform))
--- a/tests/functional/test_starts_under_way.py
+++ b/tests/functional/test_starts_under_way.py
@@ -1,4 +1,4 @@
-"""A start whose answers are all lost is carried out while it is last sent."""
+"""A start whose responses are all lost is executed during its last attempt."""
 
 import asyncio
 
@@ -14,22 +14,22 @@
 from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform, wait_until
 from tests.lib.virtual import run_virtual
 
-# They end one after the other, each 0.05 s: each end has the host report what runs.
+# These tasks end one after the other, every 0.05 s, and each end triggers a report of the host.
 MANY = StepSpec(28, cpu_millicores=500, memory_mb=10)
 LONG = make_job(2, StepSpec(1, cpu_millicores=500, memory_mb=10))
 LONG_S = 3.0
-# The first start is carried out so late that the last one is under way.
+# Delay of the first start's execution, until the last attempt is in progress.
 LATE_S = (START_TRIES - 1) * (ORDER_TIMEOUT_S + RETRY_PAUSE_S) + 0.1
 
 
 def plan(task: TaskKey) -> TaskPlan:
-    """Have one task work for long, and many end."""
+    """Plan one long task, and short ones that end at different times."""
     work_s = LONG_S if task.job_id == LONG.job_id else 1.0 + 0.05 * task.index
     return TaskPlan(work_s, Resources(500, 10))
 
 
 def count_runs(platform: PlatformStandin) -> int:
-    """Count the runs of the task that works for long."""
+    """Count the runs of the long task."""
     return sum(run.task.job_id == LONG.job_id for run in platform.hosts.ledger.runs)
 
 
--- a/tests/lib/caller_calls.py
+++ b/tests/lib/caller_calls.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class RecordingJobService:
-    """A gate that takes everything, and keeps what reached it."""
+    """A job service that accepts every job and records the requests that reached it."""
 
     accepted: list[JobSpec] = field(default_factory=list)
     asked_by: list[str | None] = field(default_factory=list)
@@ -56,7 +56,7 @@
 
 @dataclass
 class CallersSite:
-    """A listener, what reached the gate behind it, and the lines that it wrote."""
+    """A listener, the job service behind it, and the log lines that it wrote."""
 
     port: int
     job_service: RecordingJobService
--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -62,7 +62,7 @@
 
         async def work() -> None:
             socket, port = bind_unused_port()
-            # Nothing that is refused here gets as far as the gate.
+            # The calls refused here do not reach the job service.
             server = HTTPServer(
                 make_callers_application(cast(JobService, None), holder, events, OpenRequests())
             )
