--- a/src/robinthread/_internal/node/owner_liveness.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -131,8 +131,8 @@
 
     def retain_only(self, owners: Iterable[Member]) -> None:
         """Drop the absences of members that no longer own a pool."""
-        for gone in self._absences.keys() - set(owners):
-            del self._absences[gone]
+        for member in self._absences.keys() - set(owners):
+            del self._absences[member]
 
     def clear(self) -> None:
         """Drop all absences, because the list of members was not read without a gap."""
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -197,8 +197,8 @@
             return
         self.jobs.workspaces.set_limits(holder.config, holder.limit_lowered_in)
         if get_loop_s() - self._runtime.opened_at_s >= SHARES_AWAITED_MAX_S:
-            kept = self._context.policy.workspaces.kept_share
-            self.jobs.workspaces.default_share = get_reserved_share(kept, holder.config)
+            reserved_share = self._context.policy.workspaces.kept_share
+            self.jobs.workspaces.default_share = get_reserved_share(reserved_share, holder.config)
 
     async def _load_progress(self) -> None:
         """Fence earlier owners, then read their progress records and the inbox."""
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -29,11 +29,13 @@
     """
 
     def __init__(
-        self, pool: str, found: Iterable[UnreleasedOwner], query_stopped: QueryStopped
+        self, pool: str, earlier_owners: Iterable[UnreleasedOwner], query_stopped: QueryStopped
     ) -> None:
         self._pool = pool
         self._query_stopped = query_stopped
-        self._grants_until_s = {lost: lost.replaced_at_s + UNCONFIRMED_MAX_S for lost in found}
+        self._grants_until_s = {
+            earlier: earlier.replaced_at_s + UNCONFIRMED_MAX_S for earlier in earlier_owners
+        }
         self._acquired_at_s = get_loop_s()
         self._leases = ForeignLeases()
 
@@ -45,8 +47,8 @@
         """
         self._leases = leases
         self._grants_until_s = {
-            lost: min(now_s + UNCONFIRMED_MAX_S, lost.replaced_at_s + OWNERS_UNREAD_MAX_S)
-            for lost in self._grants_until_s
+            earlier: min(now_s + UNCONFIRMED_MAX_S, earlier.replaced_at_s + OWNERS_UNREAD_MAX_S)
+            for earlier in self._grants_until_s
         }
         self._update_lapse_time()
 
@@ -62,9 +64,9 @@
         each from its own start, for up to a minute after the owner was lost.
         """
         self._grants_until_s = {
-            lost: until_s
-            for lost, until_s in self._grants_until_s.items()
-            if lost.token >= before_token
+            earlier: until_s
+            for earlier, until_s in self._grants_until_s.items()
+            if earlier.token >= before_token
         }
         self._update_lapse_time()
 
@@ -76,23 +78,23 @@
         """
         while running := self._list_running():
             if is_awaited():
-                await asyncio.gather(*(self._query(lost, events) for lost in running))
+                await asyncio.gather(*(self._query(earlier, events) for earlier in running))
             await asyncio.sleep(QUERY_PERIOD_S)
 
     def _list_running(self) -> list[UnreleasedOwner]:
         now_s = get_loop_s()
-        return [lost for lost, until_s in self._grants_until_s.items() if until_s > now_s]
+        return [earlier for earlier, until_s in self._grants_until_s.items() if until_s > now_s]
 
-    async def _query(self, lost: UnreleasedOwner, events: EventLog) -> None:
-        if not await self._query_stopped(lost.owner, self._pool, lost.token):
+    async def _query(self, earlier: UnreleasedOwner, events: EventLog) -> None:
+        if not await self._query_stopped(earlier.owner, self._pool, earlier.token):
             return
-        self._grants_until_s[lost] = get_loop_s()
+        self._grants_until_s[earlier] = get_loop_s()
         self._update_lapse_time()
         events.write(
             "predecessor_stopped",
             pool=self._pool,
-            node=lost.owner.node,
-            token=lost.token,
+            node=earlier.owner.node,
+            token=earlier.token,
             leases_over_in_s=round(self._leases.over_at_s - get_loop_s(), 3),
         )
 
@@ -114,9 +116,9 @@
     Earlier incarnations of this node are left out, because they have ended, and so is an owner
     that handed the pool over to this node, because it stopped first.
     """
-    found = (
-        lost
-        for lost in table.unreleased.get(pool, ())
-        if lost.token != stopped_tokens.get(pool) and lost.owner.node != me.node
+    earlier_owners = (
+        earlier
+        for earlier in table.unreleased.get(pool, ())
+        if earlier.token != stopped_tokens.get(pool) and earlier.owner.node != me.node
     )
-    return Predecessors(pool, found, query_stopped)
+    return Predecessors(pool, earlier_owners, query_stopped)
