--- a/src/robinthread/_internal/node/owner_liveness.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -27,7 +27,7 @@
 # nodes queried, a live owner got 144 queries a second and the members were listed 122 times.
 QUERIERS_PER_STAGE: Final = 3
 # Each further stage of nodes queries later and less often by this delay, in case the nodes of
-# the stages before it do not see each other.  It is half of a takeover, which takes some 2 s.
+# the stages before it do not see each other.  It is half of a takeover, which takes about 2 s.
 STAGE_DELAY_S: Final = 1.0
 
 
--- a/src/robinthread/_internal/node/pool_owner.py
+++ b/src/robinthread/_internal/node/pool_owner.py
@@ -51,7 +51,8 @@
 # the first poll of its host.
 HOST_START_S: Final = 0.3
 # An owner that has received no shares of workspace limits from a steward waits this long, then
-# uses the part of each share that is never lent.  The steward may be cut off from it or lost too.
+# uses its share of the part of each limit that is never lent to another pool.  The steward may be
+# cut off from it, or lost too.
 SHARES_AWAITED_MAX_S: Final = 1.0
 
 
--- a/src/robinthread/_internal/node/pool_rebalancing.py
+++ b/src/robinthread/_internal/node/pool_rebalancing.py
@@ -22,7 +22,7 @@
 CROWDED_SHARE: Final = 0.75
 # A node transfers a pool only after it has been crowded or late for this long.
 CONFIRM_S: Final = 0.5
-# Minimum time between two transfers from a node.  Each one stops a pool for some 0.1 s.
+# Minimum time between two transfers from a node.  Each one stops a pool for about 0.1 s.
 PAUSE_S: Final = 3.0
 # The same for a node whose loop is late, where all work is delayed.
 LATE_PAUSE_S: Final = 0.3
