--- a/src/robinthread/_internal/node/handover.py
+++ b/src/robinthread/_internal/node/handover.py
@@ -1,7 +1,7 @@
-"""Passing work to other nodes while the store does not serve this one.
+"""Handover of pools to other nodes while the store does not serve this one.
 
-The store may turn one node away and serve the others.  Those would notice only
-when the node's membership has lapsed; the node itself knows at once.
+The store may reject one node and serve the others.  The others notice only when the node's
+membership has lapsed; the node itself knows at once.
 """
 
 import asyncio
@@ -25,19 +25,19 @@
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
-# Two appends and a read of the store, each of which may be slow.
-TAKE_TIMEOUT_S: Final = 1.0
-# How often a node that the store does not serve asks whom it does serve.
-ASK_PERIOD_S: Final = 0.4
+# A takeover makes two appends and one read of the store, each of which may be slow.
+TAKEOVER_TIMEOUT_S: Final = 1.0
+# Interval at which a node that the store does not serve polls which other nodes it serves.
+QUERY_PERIOD_S: Final = 0.4
 
 
 class Handover:
-    """Finds nodes that the store serves, and takes over what others pass on.
+    """Finds nodes that the store serves, and takes over pools that other nodes hand over.
 
-    ``stopped_tokens`` are the tokens of owners that stopped before they passed
-    their pool on: by pool, the newest.  ``served`` are the other nodes that the
-    store serves while it does not serve this one, the one first that would have the
-    least load for its capacity; there are none in an outage for all.
+    ``stopped_tokens`` maps a pool to the newest token whose owner stopped before it handed the
+    pool over.  ``served`` lists the other nodes that the store serves while it does not serve
+    this one, ordered by the load relative to capacity that each would have with one more pool.
+    It is empty while the store serves this node or no node at all.
     """
 
     def __init__(
@@ -66,48 +66,48 @@
         """Keep ``served`` up to date until cancelled."""
         while True:
             self.served = await self._find_served() if self._member.is_cut_off else ()
-            await asyncio.sleep(ASK_PERIOD_S)
+            await asyncio.sleep(QUERY_PERIOD_S)
 
     async def _find_served(self) -> tuple[Member, ...]:
         others = sorted(self._member.members - {self._me})
-        answers = await asyncio.gather(*map(self.query_store_status, others))
+        responses = await asyncio.gather(*map(self.query_store_status, others))
         served = sorted(
             (
-                (answer.owned_count + 1) / member.capacity_millicores,
+                (response.owned_count + 1) / member.capacity_millicores,
                 get_rendezvous_weight(self._me.node, member.node),
                 member,
             )
-            for member, answer in zip(others, answers, strict=True)
-            if answer.is_served
+            for member, response in zip(others, responses, strict=True)
+            if response.is_served
         )
         return tuple(member for _load, _weight, member in served)
 
-    async def request_takeover(self, taker: Member, tokens: dict[str, int]) -> None:
-        """Have a node take pools over whose owner here has stopped."""
+    async def request_takeover(self, new_owner: Member, tokens: dict[str, int]) -> None:
+        """Request that a node take over pools whose owner here has stopped."""
         try:
-            answer = await self._peers.send_request(
-                taker.address, TakeoverRequest(tokens), TakeoverResponse, TAKE_TIMEOUT_S
+            response = await self._peers.send_request(
+                new_owner.address, TakeoverRequest(tokens), TakeoverResponse, TAKEOVER_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            # Whoever owns them next takes them when this node's membership has lapsed.
-            self._events.write("pools_not_passed_on", taker=taker.node, error=str(error))
+            # The next owner acquires these pools once this node's membership has lapsed.
+            self._events.write("pools_not_passed_on", taker=new_owner.node, error=str(error))
             return
         self._events.write(
-            "pools_passed_on", taker=taker.node, tokens=tokens, taken=sorted(answer.taken)
+            "pools_passed_on", taker=new_owner.node, tokens=tokens, taken=sorted(response.taken)
         )
 
     def log_acquired(self, pool: str, token: int) -> None:
-        """Write that this node has taken a pool, why, and from whom."""
+        """Log that this node has acquired a pool, with the reason and the previous owner."""
         previous = self._table.previous.get(pool)
         self._events.write(
             "pool_taken",
             pool=pool,
             token=token,
-            reason=self._get_take_reason(pool, previous),
+            reason=self._get_acquisition_reason(pool, previous),
             previous=previous.owner.node if previous is not None else "",
         )
 
-    def _get_take_reason(self, pool: str, previous: Ownership | None) -> str:
+    def _get_acquisition_reason(self, pool: str, previous: Ownership | None) -> str:
         if previous is None or previous.is_released:
             return "free"
         if self.stopped_tokens.get(pool, 0) >= previous.token:
@@ -120,7 +120,7 @@
         return "owner missing" if missing_s is None else f"owner missing for {missing_s:.2f} s"
 
     def handle_store_status(self) -> StoreStatusResponse:
-        """Tell whether the store serves this node."""
+        """Return whether the store serves this node, with its pool count and loop lag."""
         return StoreStatusResponse(
             self._election.may_acquire,
             len(self._owned.owners),
@@ -129,41 +129,42 @@
             self._me.incarnation,
         )
 
-    async def handle_takeover(self, question: TakeoverRequest) -> TakeoverResponse:
-        """Take over the pools whose owners have not changed meanwhile."""
+    async def handle_takeover(self, request: TakeoverRequest) -> TakeoverResponse:
+        """Take over the requested pools whose owners have not changed since the request."""
         if not self._election.may_acquire or self._lag.lag_s > LAG_MAX_S:
             return TakeoverResponse(())
-        self.stopped_tokens |= question.tokens
+        self.stopped_tokens |= request.tokens
         try:
-            return TakeoverResponse(tuple(await self._table.take_over(question.tokens, self._me)))
+            return TakeoverResponse(tuple(await self._table.take_over(request.tokens, self._me)))
         except StoreError as error:
             self._events.write(
                 "take_failed",
-                tokens=question.tokens,
+                tokens=request.tokens,
                 error=f"{type(error).__name__}: {error}",
             )
             return TakeoverResponse(())
 
     async def query_stopped(self, owner: Member, pool: str, token: int) -> bool:
-        """Ask an earlier owner's node whether it has stopped under a token and lower ones.
+        """Return whether an earlier owner's node has stopped under a token and all lower ones.
 
-        Another life that answers there tells as much: the process before it has ended.
+        A response from a later incarnation of that node proves it too: the process before it
+        has ended.
         """
         try:
-            answer = await self._peers.send_request(
+            response = await self._peers.send_request(
                 owner.address, OwnerStoppedRequest(pool, token), OwnerStoppedResponse
             )
         except PeerUnreachableError:
-            # It may be running, cut off from here: nothing is known.
+            # The node may be running but cut off from this one, so its state is unknown.
             return False
-        return answer.node == owner.node and answer.has_stopped
+        return response.node == owner.node and response.has_stopped
 
     async def query_store_status(self, member: Member) -> StoreStatusResponse:
-        """Ask a node whether the store serves it, and how it fares."""
+        """Query whether the store serves a node, its pool count and its loop lag."""
         try:
             return await self._peers.send_request(
                 member.address, StoreStatusRequest(), StoreStatusResponse
             )
         except PeerUnreachableError:
-            # A node that does not answer is no candidate; nothing else follows from it.
+            # An unreachable node is not a candidate; the result is used for nothing else.
             return StoreStatusResponse(is_served=False, owned_count=0)
--- a/src/robinthread/_internal/node/owner_liveness.py
+++ b/src/robinthread/_internal/node/owner_liveness.py
@@ -1,4 +1,4 @@
-"""Asking owners that the store does not list whether they live."""
+"""Liveness queries to pool owners that the store does not list as members."""
 
 import asyncio
 from collections.abc import Iterable
@@ -10,68 +10,74 @@
 from robinthread._internal.node.peer_calls import PeerCalls, PeerUnreachableError
 from robinthread._internal.node.peer_messages import StoreStatusRequest, StoreStatusResponse
 
-# How long an owner must be missing from the members: while partitions pass from
-# one member to another, a living one may hold none for a moment.  It has as long to answer.
+# An owner must be missing from the list of members for this long: a live one may hold no
+# partition for a moment while partitions move between members.  This is also its response time.
 MISSING_CONFIRM_S: Final = 0.25
-# How long the word of an owner counts that the store answers it.  It is asked again
-# meanwhile, once for each time that an answer may take.
-ANSWER_COUNTS_S: Final = 2 * MISSING_CONFIRM_S
-# By how much the own loop may run late while an answer is waited for, so that silence still
-# counts: what is left is three times the 50 ms that a peer needs that runs five times slower.
+# The result of a query is valid for this long.  Meanwhile the owner is queried again, once every
+# ``MISSING_CONFIRM_S``.
+RESULT_VALID_S: Final = 2 * MISSING_CONFIRM_S
+# A missing response counts only if this node's event loop was late by no more than this during
+# the wait.  The rest of the wait is three times the 50 ms that a peer at a fifth of the usual
+# speed needs.
 LATE_MAX_S: Final = 0.1
-# How often it is looked whether the loop runs late: a stall below that is not seen.
+# Interval at which the lateness of the event loop is measured.  Shorter stalls are not detected.
 TICK_S: Final = 0.05
-# So many nodes ask at once whether a missing owner lives, those that would take its pool
-# first: one is to take it, and nodes may differ in whom they see.  With all of 37 asking, a
-# living owner was asked 144 times a second, and the members were listed 122 times.
+# Number of nodes per stage that query a missing owner, in the order in which they would acquire
+# its pool.  One of them is to acquire it, and nodes may see different members.  When all of 37
+# nodes queried, a live owner got 144 queries a second and the members were listed 122 times.
 QUERIERS_PER_STAGE: Final = 3
-# Each further such number of nodes asks so much later and more rarely, in case that those
-# before it do not know of each other: a takeover takes some 2 s, so half of that.
+# Each further stage of nodes queries later and less often by this delay, in case the nodes of
+# the stages before it do not see each other.  It is half of a takeover, which takes about 2 s.
 STAGE_DELAY_S: Final = 1.0
 
 
-class _Word(Enum):
-    """What came of asking an owner."""
+class _QueryResult(Enum):
+    """Result of a liveness query to an owner."""
 
-    LIVES = auto()
-    # It did not answer, or answered that the store does not.
-    IS_SILENT = auto()
-    # Another process has its address.
-    HAS_ENDED = auto()
+    ALIVE = auto()
+    # The owner did not respond, or responded that the store does not serve it.
+    UNCONFIRMED = auto()
+    # Another incarnation responded at the owner's address.
+    ENDED = auto()
 
 
 @dataclass
 class _Absence:
-    """An owner that is missing; ``word`` is the last one that was had since.
+    """Absence of an owner from the list of members, with the last query result since then.
 
-    ``patience_s`` is how much longer than the first ones this node waits before it asks.
+    ``delay_s`` is the stage delay of this node's queries; 0 for the nodes of the first stage.
     """
 
     since_s: float
-    patience_s: float = 0.0
-    word: _Word | None = None
-    heard_at_s: float = 0.0
-    lives_until_s: float = 0.0
-
-    def note(self, word: _Word, now_s: float) -> None:
-        """Note what came of asking the owner."""
-        self.word, self.heard_at_s = word, now_s
-        if word is _Word.LIVES:
-            self.lives_until_s = now_s + ANSWER_COUNTS_S
-
-    def is_silent(self, now_s: float) -> bool:
-        """Tell whether the owner was asked of late and did not say that it lives."""
-        is_recent = now_s - self.heard_at_s < ANSWER_COUNTS_S
-        return self.word is _Word.IS_SILENT and is_recent and now_s >= self.lives_until_s
+    delay_s: float = 0.0
+    query_result: _QueryResult | None = None
+    result_at_s: float = 0.0
+    alive_until_s: float = 0.0
+
+    def record_result(self, query_result: _QueryResult, now_s: float) -> None:
+        """Record the result of a query to the owner."""
+        self.query_result, self.result_at_s = query_result, now_s
+        if query_result is _QueryResult.ALIVE:
+            self.alive_until_s = now_s + RESULT_VALID_S
+
+    def is_unconfirmed(self, now_s: float) -> bool:
+        """Return whether a recent query failed and no earlier confirmation is still valid."""
+        is_recent = now_s - self.result_at_s < RESULT_VALID_S
+        return (
+            self.query_result is _QueryResult.UNCONFIRMED
+            and is_recent
+            and now_s >= self.alive_until_s
+        )
 
 
 class OwnerLiveness:
-    """Owners that are missing from the members, and what they say themselves.
+    """Monitors owners that are missing from the list of members by querying them directly.
 
-    The store lists only the members that hold a partition; one that lives may hold none.
-    An owner is gone that has been missing for a while, was asked since it is missing and
-    did not say that the store answers it.  Each is asked by itself while its absence is
-    confirmed, so that delays nothing.  Where another life answers, it is gone at once.
+    The store lists only members that hold a partition, and a live member may hold none.  An
+    owner is confirmed lost once it has been missing for ``MISSING_CONFIRM_S`` and a query since
+    then did not confirm that the store serves it.  The queries run during that time, one task
+    per owner, so they add no delay.  An owner is confirmed lost at once if another incarnation
+    responds at its address.
     """
 
     def __init__(self, peers: PeerCalls) -> None:
@@ -80,103 +86,112 @@
         self._added: asyncio.Queue[tuple[Member, _Absence]] = asyncio.Queue()
 
     def is_list_due(self, listed_at_s: float) -> bool:
-        """Tell whether members listed last at a moment are to be listed for missing owners."""
+        """Return whether the members, last listed at ``listed_at_s``, must be listed again.
+
+        This is so if an owner is missing and the list is older than this node's stage delay.
+        """
         listed_for_s = asyncio.get_running_loop().time() - listed_at_s
-        return any(listed_for_s >= absence.patience_s for absence in self._absences.values())
+        return any(listed_for_s >= absence.delay_s for absence in self._absences.values())
 
     async def run(self) -> None:
-        """Ask the owners that are missing until cancelled."""
-        async with asyncio.TaskGroup() as asking:
+        """Query missing owners until cancelled."""
+        async with asyncio.TaskGroup() as queries:
             while True:
                 owner, absence = await self._added.get()
-                asking.create_task(self._keep_asking(owner, absence))
+                queries.create_task(self._query_repeatedly(owner, absence))
 
     def is_confirmed_lost(self, owner: Member, rank: int = 0) -> bool:
-        """Note that an owner is not listed, and tell whether it is gone.
+        """Record that an owner is not listed, and return whether it is confirmed lost.
 
-        ``rank`` counts the nodes that would take a pool of it before this one.
+        ``rank`` is the number of nodes that would acquire one of its pools before this one.
         """
         now_s = asyncio.get_running_loop().time()
         absence = self._absences.get(owner)
         if absence is None:
             absence = self._absences[owner] = _Absence(now_s)
             self._added.put_nowait((owner, absence))
-        absence.patience_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
-        if absence.word is _Word.HAS_ENDED:
+        absence.delay_s = rank // QUERIERS_PER_STAGE * STAGE_DELAY_S
+        if absence.query_result is _QueryResult.ENDED:
             return True
-        return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_silent(now_s)
+        return now_s - absence.since_s >= MISSING_CONFIRM_S and absence.is_unconfirmed(now_s)
 
     def has_ended(self, owner: Member) -> bool:
-        """Tell whether another life answers where an owner was that is missing."""
+        """Return whether another incarnation responds at a missing owner's address."""
         absence = self._absences.get(owner)
-        return absence is not None and absence.word is _Word.HAS_ENDED
+        return absence is not None and absence.query_result is _QueryResult.ENDED
 
     def get_missing_s(self, owner: Member) -> float | None:
-        """Return for how long an owner has been missing; None where it was listed."""
+        """Return for how many seconds an owner has been missing; None if it is listed."""
         absence = self._absences.get(owner)
         return None if absence is None else asyncio.get_running_loop().time() - absence.since_s
 
     def record_listing(self, owner: Member) -> None:
-        """Note that an owner is listed."""
+        """Record that an owner is listed, which ends its absence."""
         self._absences.pop(owner, None)
 
     def retain_only(self, owners: Iterable[Member]) -> None:
-        """Forget the members that own nothing any more."""
-        for gone in self._absences.keys() - set(owners):
-            del self._absences[gone]
+        """Drop the absences of members that no longer own a pool."""
+        for member in self._absences.keys() - set(owners):
+            del self._absences[member]
 
     def clear(self) -> None:
-        """Forget all absences: the members have not been seen without a gap."""
+        """Drop all absences, because the list of members was not read without a gap."""
         self._absences.clear()
 
-    async def _keep_asking(self, owner: Member, absence: _Absence) -> None:
-        """Ask an owner time and again until it is not missing any more, or has ended."""
+    async def _query_repeatedly(self, owner: Member, absence: _Absence) -> None:
+        """Query an owner repeatedly until its absence is over or it has ended."""
         loop = asyncio.get_running_loop()
-        late_s, from_s = 0.0, absence.since_s
-        while self._absences.get(owner) is absence and absence.word is not _Word.HAS_ENDED:
-            # The patience may change meanwhile.
-            if loop.time() < from_s + absence.patience_s:
+        late_s, last_query_at_s = 0.0, absence.since_s
+        while (
+            self._absences.get(owner) is absence and absence.query_result is not _QueryResult.ENDED
+        ):
+            # The delay changes with this node's rank, so it is checked every ``TICK_S``.
+            if loop.time() < last_query_at_s + absence.delay_s:
                 await asyncio.sleep(TICK_S)
                 continue
-            began_at_s = from_s = loop.time()
-            # What the loop was late the last time is added: one that always is late must
-            # come to an end too.
-            word, late_s = await self._ask(owner, MISSING_CONFIRM_S + late_s)
-            if word is not None:
-                absence.note(word, loop.time())
+            began_at_s = last_query_at_s = loop.time()
+            # The lateness of the last query extends the timeout, so that a node whose loop is
+            # always late also gets a result.
+            query_result, late_s = await self._query(owner, MISSING_CONFIRM_S + late_s)
+            if query_result is not None:
+                absence.record_result(query_result, loop.time())
                 await asyncio.sleep(max(0.0, began_at_s + MISSING_CONFIRM_S - loop.time()))
 
-    async def _ask(self, owner: Member, timeout_s: float) -> tuple[_Word | None, float]:
-        """Return what came of asking an owner, None for nothing, and how late the loop ran.
+    async def _query(self, owner: Member, timeout_s: float) -> tuple[_QueryResult | None, float]:
+        """Query an owner once; return the result and the lateness of the event loop in seconds.
 
-        Nothing follows from an answer that did not come while the own loop could not read it.
+        The result is None if the query timed out while the loop was too late to read a response.
         """
         loop = asyncio.get_running_loop()
         began_at_s = loop.time()
-        asking = asyncio.ensure_future(
+        query = asyncio.ensure_future(
             self._peers.send_request(
                 owner.address, StoreStatusRequest(), StoreStatusResponse, timeout_s
             )
         )
-        late_s = await _measure_late_s(asking)
+        late_s = await _measure_late_s(query)
         try:
-            return _read_answer(owner, asking.result()), late_s
+            return _read_response(owner, query.result()), late_s
         except PeerUnreachableError:
             took_s = loop.time() - began_at_s
-            was_told = took_s < timeout_s - TICK_S
+            has_failed_early = took_s < timeout_s - TICK_S
             was_on_time = took_s - late_s >= MISSING_CONFIRM_S - LATE_MAX_S
-            return _Word.IS_SILENT if was_told or was_on_time else None, late_s
+            return _QueryResult.UNCONFIRMED if has_failed_early or was_on_time else None, late_s
 
 
-def _read_answer(owner: Member, answer: StoreStatusResponse) -> _Word:
-    # A node of an older version does not tell its life.
-    if answer.incarnation and answer.incarnation != owner.incarnation:
-        return _Word.HAS_ENDED
-    return _Word.LIVES if answer.incarnation and answer.is_member else _Word.IS_SILENT
+def _read_response(owner: Member, response: StoreStatusResponse) -> _QueryResult:
+    # A node of an older version does not send its incarnation.
+    if response.incarnation and response.incarnation != owner.incarnation:
+        return _QueryResult.ENDED
+    return (
+        _QueryResult.ALIVE
+        if response.incarnation and response.is_member
+        else _QueryResult.UNCONFIRMED
+    )
 
 
 async def _measure_late_s(work: asyncio.Future[StoreStatusResponse]) -> float:
-    """Wait for some work; return how late the loop came back to what was due meanwhile."""
+    """Wait for ``work``; return the total lateness of the loop's timers meanwhile, in seconds."""
     loop = asyncio.get_running_loop()
     late_s = 0.0
     try:
--- a/src/robinthread/_internal/node/pool_reporting.py
+++ b/src/robinthread/_internal/node/pool_reporting.py
@@ -1,4 +1,4 @@
-"""What a pool's owner tells of its pool."""
+"""Status reports and log lines of a pool's owner."""
 
 import heapq
 from collections import Counter
@@ -17,22 +17,22 @@
 from robinthread._internal.models.workspace_shares import ShareState
 from robinthread._internal.telemetry.event_log import EventLog
 
-# So many of the runs that a host took with it are named in its line.
-NEWEST_TOLD_MAX: Final = 12
+# Maximum number of lost runs that the log line of an ended host names.
+NEWEST_RUNS_MAX: Final = 12
 
 
 def make_pool_report(
     pool: PoolJobs, demand: Demand, now_s: float, share_state: ShareState | None = None
 ) -> PoolReport:
-    """Tell how a pool stands, and which of its listed hosts can be used."""
-    doubted = list_unresponsive(pool, now_s)
+    """Return a pool's status report for the steward, with the status of each listed host."""
+    unresponsive = list_unresponsive(pool, now_s)
     needed = demand.host_requirements.host_ids
     return PoolReport(
         is_owner=True,
         fetch_resources=demand.fetch.astuple(),
         keep_resources=demand.keep.astuple(),
         hosts=tuple(
-            _make_standing(host, host.id not in doubted, host.id in needed, now_s)
+            _make_host_status(host, host.id not in unresponsive, host.id in needed, now_s)
             for host in pool.hosts.values()
             if host.is_listed
         ),
@@ -52,7 +52,7 @@
 
 
 def count_pending(pool: PoolJobs) -> dict[str, int]:
-    """Count, by queue, the jobs of which nothing has begun."""
+    """Return the number of jobs of which no task has started, by queue."""
     return Counter(
         job.spec.queue
         for job in pool.jobs.values()
@@ -63,11 +63,14 @@
 def log_host_ended(
     events: EventLog, pool: str, host: Host, reason: str, now_s: float, successor: str = ""
 ) -> None:
-    """Tell of a host that has ended, and which runs began there last; one without with others."""
+    """Log that a host has ended, with the runs that were last sent to it.
+
+    Hosts without runs are gathered into one line.
+    """
     if host.runs:
         broke_at_s = now_s if host.connection_broken_at_s is None else host.connection_broken_at_s
         newest = heapq.nlargest(
-            NEWEST_TOLD_MAX,
+            NEWEST_RUNS_MAX,
             (run for run in host.runs.values() if run.sent_at_s is not None),
             key=lambda run: run.sent_at_s or 0.0,
         )
@@ -82,41 +85,41 @@
             broke_ago_s=None
             if host.connection_broken_at_s is None
             else round(now_s - broke_at_s, 3),
-            newest=[_name_run(run, broke_at_s) for run in newest],
+            newest=[_format_run(run, broke_at_s) for run in newest],
         )
     else:
         events.gather("host_ended", {"pool": pool, "reason": reason}, listed={"hosts": host.id})
 
 
-def log_crash_events(events: EventLog, pool: str, notes: Iterable[CrashEvent]) -> None:
-    """Tell what crashes of hosts said of tasks."""
-    for note in notes:
+def log_crash_events(events: EventLog, pool: str, crash_events: Iterable[CrashEvent]) -> None:
+    """Log events about tasks that are suspected of crashing hosts, with the crashes."""
+    for crash_event in crash_events:
         events.write(
-            note.kind.value,
-            job=note.task.job_id,
-            task=note.task.position,
+            crash_event.kind.value,
+            job=crash_event.task.job_id,
+            task=crash_event.task.position,
             pool=pool,
-            run=note.run,
-            hosts=note.host_ids,
+            run=crash_event.run,
+            hosts=crash_event.host_ids,
             crashes=[
                 f"{crash.host_id}/{crash.machine}/{crash.run} {crash.age_ms} ms"
                 f"{' close' * crash.is_near_start}{' sure' * crash.is_confirmed}"
                 f"{' explained' * crash.has_other_cause}"
-                for crash in note.crashes
+                for crash in crash_event.crashes
             ],
         )
 
 
-def _name_run(run: Run, broke_at_s: float) -> str:
-    """Name a run, with how long before its host broke its start was sent."""
+def _format_run(run: Run, broke_at_s: float) -> str:
+    """Format a run with the time from its start order to the break of its host's connection."""
     ago_ms = (broke_at_s - (run.sent_at_s or 0.0)) * 1000
     return f"{run.task.job_id}/{run.task.position}/{run.number} {ago_ms:.1f} ms"
 
 
 def _sum_waiting(pool: PoolJobs) -> dict[str, Resources]:
-    """Return what the waiting tasks would take of those workspaces that are to be told of."""
-    told = pool.workspaces.list_reported()
-    sums = dict.fromkeys(told, NO_RESOURCES)
+    """Return the resources that waiting tasks need, for each workspace to be reported."""
+    reported = pool.workspaces.list_reported()
+    sums = dict.fromkeys(reported, NO_RESOURCES)
     if sums:
         for task in pool.waiting.values():
             workspace = pool.jobs[task.key.job_id].spec.workspace
@@ -125,7 +128,7 @@
     return sums
 
 
-def _make_standing(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
+def _make_host_status(host: Host, is_trusted: bool, is_needed: bool, now_s: float) -> HostStatus:
     return HostStatus(
         machine=host.record.machine,
         host_id=host.record.id,
--- a/src/robinthread/_internal/node/predecessors.py
+++ b/src/robinthread/_internal/node/predecessors.py
@@ -1,4 +1,4 @@
-"""Earlier owners of a pool, which may be running without knowing that they were replaced."""
+"""Earlier owners of a pool, which may still run unaware that they were replaced."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable, Mapping
@@ -14,90 +14,93 @@
 )
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How often an earlier owner is asked whether it has stopped, while tasks wait for that:
-# small beside the lease that they wait for in any case.
-ASK_PERIOD_S: Final = 0.3
+# Interval of queries to an earlier owner whether it has stopped, while tasks wait for that.  It
+# is short compared with the lease, which they wait for in any case.
+QUERY_PERIOD_S: Final = 0.3
 
 QueryStopped = Callable[[Member, str, int], Awaitable[bool]]
 
 
 class Predecessors:
-    """Until when earlier owners of a pool may have granted leases.
+    """Tracks until when earlier owners of a pool may have granted leases.
 
-    One that cannot be asked may go on until it has not been confirmed for too long.  One
-    that has stopped says so, or the next life of its process does.
+    An unreachable owner may continue until the store has not confirmed it for too long.  An
+    owner that has stopped confirms that itself, or its node's next incarnation does.
     """
 
     def __init__(
-        self, pool: str, found: Iterable[UnreleasedOwner], query_stopped: QueryStopped
+        self, pool: str, earlier_owners: Iterable[UnreleasedOwner], query_stopped: QueryStopped
     ) -> None:
         self._pool = pool
         self._query_stopped = query_stopped
-        self._grants_until_s = {lost: lost.replaced_at_s + UNCONFIRMED_MAX_S for lost in found}
-        self._taken_at_s = get_loop_s()
+        self._grants_until_s = {
+            earlier: earlier.replaced_at_s + UNCONFIRMED_MAX_S for earlier in earlier_owners
+        }
+        self._acquired_at_s = get_loop_s()
         self._leases = ForeignLeases()
 
     def mark_fenced(self, now_s: float, leases: ForeignLeases) -> None:
-        """Note that no earlier owner is confirmed any more; keep ``leases`` from now on.
+        """Record that earlier owners are fenced; update ``leases`` from now on.
 
-        Until now records may have confirmed any of them: whoever came between need not have
-        opened the journal.  None has read the owners since it was replaced.
+        Until now, accepted records may have confirmed any of them, because an owner in between
+        need not have opened the journal.  None has read the owners since it was replaced.
         """
         self._leases = leases
         self._grants_until_s = {
-            lost: min(now_s + UNCONFIRMED_MAX_S, lost.replaced_at_s + OWNERS_UNREAD_MAX_S)
-            for lost in self._grants_until_s
+            earlier: min(now_s + UNCONFIRMED_MAX_S, earlier.replaced_at_s + OWNERS_UNREAD_MAX_S)
+            for earlier in self._grants_until_s
         }
-        self._update()
+        self._update_lapse_time()
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no earlier owner that may have granted leases."""
+        """Return whether there is no earlier owner that may have granted leases."""
         return not self._grants_until_s
 
     def drop_settled(self, before_token: int) -> None:
-        """Forget owners with a lower token: a later one saw all their leases lapse.
+        """Drop owners with a token below ``before_token``; a later owner saw their leases lapse.
 
-        The store does not tell how long ago an owner was replaced, so a process that begins
-        anew would count each from its own start, for up to a minute after it was lost.
+        The store does not record when an owner was replaced, so a restarted process would count
+        each from its own start, for up to a minute after the owner was lost.
         """
         self._grants_until_s = {
-            lost: until_s
-            for lost, until_s in self._grants_until_s.items()
-            if lost.token >= before_token
+            earlier: until_s
+            for earlier, until_s in self._grants_until_s.items()
+            if earlier.token >= before_token
         }
-        self._update()
+        self._update_lapse_time()
 
     async def poll_until_stopped(self, is_awaited: Callable[[], bool], events: EventLog) -> None:
-        """Ask earlier owners whether they have stopped, while that is awaited.
+        """Query earlier owners whether they have stopped, whenever ``is_awaited`` returns True.
 
-        Not before they are shut out of the journal: one that has not begun might begin still.
+        Call this only once they are fenced out of the journal, because an owner that has not
+        started yet could otherwise still start.  Returns once no earlier owner can grant leases.
         """
         while running := self._list_running():
             if is_awaited():
-                await asyncio.gather(*(self._ask(lost, events) for lost in running))
-            await asyncio.sleep(ASK_PERIOD_S)
+                await asyncio.gather(*(self._query(earlier, events) for earlier in running))
+            await asyncio.sleep(QUERY_PERIOD_S)
 
     def _list_running(self) -> list[UnreleasedOwner]:
         now_s = get_loop_s()
-        return [lost for lost, until_s in self._grants_until_s.items() if until_s > now_s]
+        return [earlier for earlier, until_s in self._grants_until_s.items() if until_s > now_s]
 
-    async def _ask(self, lost: UnreleasedOwner, events: EventLog) -> None:
-        if not await self._query_stopped(lost.owner, self._pool, lost.token):
+    async def _query(self, earlier: UnreleasedOwner, events: EventLog) -> None:
+        if not await self._query_stopped(earlier.owner, self._pool, earlier.token):
             return
-        self._grants_until_s[lost] = get_loop_s()
-        self._update()
+        self._grants_until_s[earlier] = get_loop_s()
+        self._update_lapse_time()
         events.write(
             "predecessor_stopped",
             pool=self._pool,
-            node=lost.owner.node,
-            token=lost.token,
+            node=earlier.owner.node,
+            token=earlier.token,
             leases_over_in_s=round(self._leases.over_at_s - get_loop_s(), 3),
         )
 
-    def _update(self) -> None:
-        # Owners that are not known here had stopped when this one took the pool.
-        last_grant_s = max(self._taken_at_s, *self._grants_until_s.values(), 0.0)
+    def _update_lapse_time(self) -> None:
+        # Earlier owners that are unknown here had stopped when this one acquired the pool.
+        last_grant_s = max(self._acquired_at_s, *self._grants_until_s.values(), 0.0)
         self._leases.over_at_s = get_lapse_time_s(LEASE_MS, last_grant_s)
 
 
@@ -108,13 +111,14 @@
     stopped_tokens: Mapping[str, int],
     query_stopped: QueryStopped,
 ) -> Predecessors:
-    """Return the earlier owners of a pool that this node has taken.
+    """Return the earlier owners of a pool that this node has acquired.
 
-    An earlier life of this node has ended; one that passed the pool on here stopped first.
+    Earlier incarnations of this node are left out, because they have ended, and so is an owner
+    that handed the pool over to this node, because it stopped first.
     """
-    found = (
-        lost
-        for lost in table.unreleased.get(pool, ())
-        if lost.token != stopped_tokens.get(pool) and lost.owner.node != me.node
+    earlier_owners = (
+        earlier
+        for earlier in table.unreleased.get(pool, ())
+        if earlier.token != stopped_tokens.get(pool) and earlier.owner.node != me.node
     )
-    return Predecessors(pool, found, query_stopped)
+    return Predecessors(pool, earlier_owners, query_stopped)
