--- a/src/robinthread/_internal/node/advice_fetcher.py
+++ b/src/robinthread/_internal/node/advice_fetcher.py
@@ -14,7 +14,7 @@
 # Hosts asked about in one call: an answer takes longer with each one.
 HOSTS_PER_CALL_MAX: Final = 30
 # How often steps that need advice are looked for, and the pause after a failed call.
-LOOK_PERIOD_S: Final = 0.05
+POLL_PERIOD_S: Final = 0.05
 RETRY_PAUSE_S: Final = 0.2
 # Added to the time that an answer should take: the way, and calls that wait before.
 TIMEOUT_SLACK_S: Final = 1.0
@@ -32,9 +32,9 @@
         while True:
             found = self._find_next()
             if found is None:
-                await asyncio.sleep(LOOK_PERIOD_S)
+                await asyncio.sleep(POLL_PERIOD_S)
                 continue
-            await self._ask(*found)
+            await self._request_advice(*found)
 
     def _find_next(self) -> tuple[StepKey, AdvicePolicy, dict[str, str]] | None:
         """Return the most urgent step that lacks a ticket, and the hosts to ask about.
@@ -49,42 +49,55 @@
             job: Job = pool.jobs[task.key.job_id]
             if job.policy.advice is None:
                 continue
-            by_room = sorted(
+            by_free_cpu = sorted(
                 (host for host in get_usable_hosts(pool, now_s)),
                 key=lambda host: -host.free.cpu_millicores,
             )
             step = task.key.step_key
-            unknown = pool.tickets.list_unknown(step, (host.id for host in by_room), now_s)
+            unknown = pool.tickets.list_unknown(step, (host.id for host in by_free_cpu), now_s)
             if unknown:
-                asked = {pool.hosts[life].record.id: life for life in unknown[:HOSTS_PER_CALL_MAX]}
-                return step, job.policy.advice, asked
+                requested = {
+                    pool.hosts[incarnation].record.id: incarnation
+                    for incarnation in unknown[:HOSTS_PER_CALL_MAX]
+                }
+                return step, job.policy.advice, requested
         return None
 
-    async def _ask(self, step: StepKey, policy: AdvicePolicy, lives: dict[str, str]) -> None:
-        asked_at_s = get_loop_s()
-        takes_s = (policy.base_ms + policy.per_host_ms * len(lives)) / 1000
+    async def _request_advice(
+        self, step: StepKey, policy: AdvicePolicy, incarnations: dict[str, str]
+    ) -> None:
+        requested_at_s = get_loop_s()
+        expected_s = (policy.base_ms + policy.per_host_ms * len(incarnations)) / 1000
         try:
-            advice = await self._calls.advise(step, list(lives), takes_s + TIMEOUT_SLACK_S)
+            advice = await self._calls.advise(
+                step, list(incarnations), expected_s + TIMEOUT_SLACK_S
+            )
         except AdviceError as error:
             self._runtime.events.write(
                 "advice_failed",
                 job=step.job_id,
                 pool=self._runtime.pool,
-                host_count=len(lives),
+                host_count=len(incarnations),
                 error=str(error),
             )
             await asyncio.sleep(RETRY_PAUSE_S)
             return
-        tickets = {lives[host]: ticket for host, ticket in advice.tickets.items() if host in lives}
+        tickets = {
+            incarnations[host]: ticket
+            for host, ticket in advice.tickets.items()
+            if host in incarnations
+        }
         advised = HostAdvice(tickets, advice.valid_ms)
-        self._runtime.jobs.tickets.record_advice(step, lives.values(), advised, asked_at_s)
+        self._runtime.jobs.tickets.record_advice(
+            step, incarnations.values(), advised, requested_at_s
+        )
         self._runtime.events.write(
             "advice_taken",
             job=step.job_id,
             pool=self._runtime.pool,
-            asked_count=len(lives),
+            asked_count=len(incarnations),
             allowed_count=len(advice.tickets),
             valid_ms=advice.valid_ms,
-            took_ms=round((get_loop_s() - asked_at_s) * 1000),
+            took_ms=round((get_loop_s() - requested_at_s) * 1000),
         )
         self._runtime.wake()
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -37,8 +37,8 @@
 HOSTS_PERIOD_S: Final = 0.3
 # While machines are on their way the list is read more often: each tenth of a second
 # that a new host waits is one that jobs wait too.
-HOSTS_HURRY_PERIOD_S: Final = 0.08
-HOSTS_HURRY_S: Final = 0.5
+HOSTS_FAST_PERIOD_S: Final = 0.08
+HOSTS_FAST_S: Final = 0.5
 
 
 @dataclass(frozen=True)
@@ -93,7 +93,7 @@
         host_directory=host_directory,
         config_holder=config_holder,
         get_wall_ms=environment.get_wall_ms,
-        poll_hosts_faster=lambda: hosts.poll_faster(HOSTS_HURRY_PERIOD_S, HOSTS_HURRY_S),
+        poll_hosts_faster=lambda: hosts.poll_faster(HOSTS_FAST_PERIOD_S, HOSTS_FAST_S),
         read_hosts_to_end=lambda: _read_to_end(hosts),
         read_inbox_once=inbox.read_to_end,
         read_inbox_to_end=lambda: _read_to_end(inbox),
--- a/src/robinthread/_internal/node/config_holder.py
+++ b/src/robinthread/_internal/node/config_holder.py
@@ -45,13 +45,13 @@
     def _apply_one(self, key: str, value: bytes) -> None:
         try:
             if key == self._records.config_key:
-                self._take_config(self._records.parse_config(value))
+                self._apply_config(self._records.parse_config(value))
             elif key.startswith(self._records.wave_prefix):
-                self._take_wave(self._records.parse_wave(value))
+                self._apply_wave(self._records.parse_wave(value))
         except msgspec.MsgspecError as error:
             self._events.write("record_malformed", key=key, error=str(error))
 
-    def _take_wave(self, wave: UpkeepWave) -> None:
+    def _apply_wave(self, wave: UpkeepWave) -> None:
         if self.waves.get(wave.number) != wave:
             self._events.write(
                 "wave_asked_for",
@@ -64,11 +64,11 @@
         self.waves[wave.number] = wave
         self.wave_seen_at_s.setdefault(wave.number, asyncio.get_running_loop().time())
 
-    def _take_config(self, config: FleetConfig) -> None:
+    def _apply_config(self, config: FleetConfig) -> None:
         if self.config is None or config.version > self.config.version:
             if self.config is not None:
-                self._tell_keys(self.config, config)
-                self._note_limits(self.config, config)
+                self._log_key_changes(self.config, config)
+                self._record_limit_changes(self.config, config)
             self.config = config
             self._events.write(
                 "config_in_force",
@@ -78,10 +78,10 @@
                 workspace_count=len(config.workspaces),
             )
 
-    def _note_limits(self, before: FleetConfig, config: FleetConfig) -> None:
+    def _record_limit_changes(self, before: FleetConfig, config: FleetConfig) -> None:
         for name, workspace in config.workspaces.items():
-            earlier = before.workspaces.get(name)
-            old = earlier.limit.astuple() if earlier is not None else (0, 0, 0)
+            workspace_before = before.workspaces.get(name)
+            old = workspace_before.limit.astuple() if workspace_before is not None else (0, 0, 0)
             new = workspace.limit.astuple()
             if old == new:
                 continue
@@ -98,7 +98,7 @@
                 has_fallen=has_fallen,
             )
 
-    def _tell_keys(self, before: FleetConfig, config: FleetConfig) -> None:
+    def _log_key_changes(self, before: FleetConfig, config: FleetConfig) -> None:
         """Tell which workspaces lost or gained keys, never the keys."""
         for name in sorted(before.workspaces.keys() | config.workspaces.keys()):
             had, has = (
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -66,23 +66,25 @@
             return []
         if not self._member.is_settled or not self._member.is_listed:
             # What it took now, others would take from it: they do not see it.
-            return self._get_former_pools()
+            return self._get_pools_of_previous_incarnation()
         wanted = sorted([*config.pools, FLEET_POOL])
         self._owner_liveness.retain_only(
             found.owner for pool in wanted if (found := self._table.get(pool)) is not None
         )
-        living = self._member.members | {self._me}
+        live_members = self._member.members | {self._me}
         loads = Counter(
             found.owner
             for pool in self._table.owners
-            if (found := self._table.get(pool)) is not None and found.owner in living
+            if (found := self._table.get(pool)) is not None and found.owner in live_members
         )
-        orders = self._deal(filter(self._may_be_free, wanted), living, loads)
-        gone = self._find_gone(orders)
+        rankings = self._rank_candidates(
+            filter(self._is_owner_unlisted, wanted), live_members, loads
+        )
+        lost_owners = self._find_lost_owners(rankings)
         return [
             pool
-            for pool, order in orders.items()
-            if order[0] == self._me and self._is_free(pool, gone)
+            for pool, ranking in rankings.items()
+            if ranking[0] == self._me and self._has_no_owner(pool, lost_owners)
         ]
 
     def get_restarted_owners(self) -> dict[str, Member]:
@@ -94,33 +96,35 @@
         """
         members = self._member.members
         newest = sorted(members, key=lambda member: member.started_at_ms)
-        lives = {member.node: member for member in newest}
+        newest_by_node = {member.node: member for member in newest}
         returned = {
-            pool: lives[found.owner.node]
+            pool: newest_by_node[found.owner.node]
             for pool in self._table.owners
             if (found := self._table.get(pool)) is not None
-            and found.owner.node in lives
+            and found.owner.node in newest_by_node
             and found.owner.node != self._me.node
             and found.owner not in members
-            and 0 < found.owner.started_at_ms < lives[found.owner.node].started_at_ms
+            and 0 < found.owner.started_at_ms < newest_by_node[found.owner.node].started_at_ms
         }
-        return returned | dict.fromkeys(self._get_former_pools(), self._me)
+        return returned | dict.fromkeys(self._get_pools_of_previous_incarnation(), self._me)
 
-    def _deal(
-        self, pools: Iterable[str], living: Collection[Member], loads: Counter[Member]
+    def _rank_candidates(
+        self, pools: Iterable[str], live_members: Collection[Member], loads: Counter[Member]
     ) -> dict[str, list[Member]]:
         """Order, for each pool, the members that may take it, the one that is to do so first.
 
         All that see the same members come to the same, whatever they know of the owners.
         """
-        orders = {}
+        rankings = {}
         for pool in pools:
             # One that gave the pool back is stopping, or could not serve it.
             released = self._table.owners.get(pool)
-            candidates = set(living) - {released.owner} if released is not None else living
-            orders[pool] = self._order_members(pool, candidates or living, loads)
-            loads[orders[pool][0]] += 1
-        return orders
+            candidates = (
+                set(live_members) - {released.owner} if released is not None else live_members
+            )
+            rankings[pool] = self._order_members(pool, candidates or live_members, loads)
+            loads[rankings[pool][0]] += 1
+        return rankings
 
     def _order_members(
         self, pool: str, members: Collection[Member], loads: Mapping[Member, int]
@@ -133,23 +137,23 @@
 
         return sorted(sorted(members), key=rank)
 
-    def _find_gone(self, orders: Mapping[str, Sequence[Member]]) -> frozenset[Member]:
+    def _find_lost_owners(self, rankings: Mapping[str, Sequence[Member]]) -> frozenset[Member]:
         """Note the owners that are missing, and return those that are gone."""
         ranks: dict[Member, int] = {}
-        for pool, order in orders.items():
+        for pool, ranking in rankings.items():
             found = self._table.get(pool)
             if found is not None and found.owner.node != self._me.node:
-                rank = order.index(self._me) if self._me in order else len(order)
+                rank = ranking.index(self._me) if self._me in ranking else len(ranking)
                 if (
                     found.owner not in ranks
                     and self._owner_liveness.get_missing_s(found.owner) is None
                 ):
-                    self._note_missing(pool, found.owner)
+                    self._log_missing(pool, found.owner)
                 ranks[found.owner] = min(rank, ranks.get(found.owner, rank))
         is_confirmed_lost = self._owner_liveness.is_confirmed_lost
         return frozenset(owner for owner, rank in ranks.items() if is_confirmed_lost(owner, rank))
 
-    def _get_former_pools(self) -> list[str]:
+    def _get_pools_of_previous_incarnation(self) -> list[str]:
         """Return the pools of this node's former life: that one has surely ended."""
         return [
             pool
@@ -159,7 +163,7 @@
             and found.owner != self._me
         ]
 
-    def _may_be_free(self, pool: str) -> bool:
+    def _is_owner_unlisted(self, pool: str) -> bool:
         """Tell whether no member that is listed owns a pool."""
         found = self._table.get(pool)
         if found is None:
@@ -169,14 +173,14 @@
             return False
         return True
 
-    def _is_free(self, pool: str, gone: Collection[Member]) -> bool:
+    def _has_no_owner(self, pool: str, lost_owners: Collection[Member]) -> bool:
         """Tell whether a pool, whose owner is not listed, has none any more."""
         found = self._table.get(pool)
         # This node has begun another life, so the old one has ended.  Of another node the
         # list does not tell: the life that it names may be the former one.
-        return found is None or found.owner.node == self._me.node or found.owner in gone
+        return found is None or found.owner.node == self._me.node or found.owner in lost_owners
 
-    def _note_missing(self, pool: str, owner: Member) -> None:
+    def _log_missing(self, pool: str, owner: Member) -> None:
         now_s = asyncio.get_running_loop().time()
         self._events.write(
             "owner_missing",
--- a/src/robinthread/_internal/node/fleet_view_builder.py
+++ b/src/robinthread/_internal/node/fleet_view_builder.py
@@ -25,22 +25,22 @@
         self._orders = orders
         self._waves = waves
         self._new_machines = NewMachines()
-        self._lives = EndedIncarnations()
+        self._ended_incarnations = EndedIncarnations()
         self.machines: dict[str, Machine] = {}
 
-    def record_listing(self, listed: tuple[Machine, ...], asked_at_s: float) -> None:
+    def record_listing(self, listed: tuple[Machine, ...], requested_at_s: float) -> None:
         """Take in a list of machines that was asked for at a time."""
         self.machines = {machine.name: machine for machine in listed}
         self._new_machines.record_listing(listed, self._orders.previously_ordered)
-        self._orders.record_listing(asked_at_s)
+        self._orders.record_listing(requested_at_s)
         self._orders.unsettled.record_listing(self.machines)
-        self._lives.record_listing(self.machines, get_loop_s())
+        self._ended_incarnations.record_listing(self.machines, get_loop_s())
 
     def list_ended_hosts(self, pool: str) -> tuple[str, ...]:
         """Return the hosts of a pool that have surely ended of late."""
         if not self._context.policy.fleet.ends_lost_hosts:
             return ()
-        return self._lives.list_for_pool(pool)
+        return self._ended_incarnations.list_for_pool(pool)
 
     def list_waves(self) -> list[UpkeepWave]:
         """Return the waves that the operators ask for."""
@@ -57,13 +57,13 @@
         pools = tuple(
             self._make_pool_view(pool, report, silent_halls) for pool, report in reports.items()
         )
-        lives = {
+        incarnations = {
             host.host_id: make_incarnation_id(host.host_id, host.host_started_at_ms)
             for report in reports.values()
             for host in report.hosts
         }
         self._waves.record_observation(
-            self.machines, lambda machine: self._find_life(machine, config, lives)
+            self.machines, lambda machine: self._find_incarnation(machine, config, incarnations)
         )
         return FleetView(
             pools=pools,
@@ -89,8 +89,8 @@
             silent_halls=silent_halls,
         )
 
-    def _find_life(
-        self, machine: Machine, config: FleetConfig, lives: Mapping[str, str]
+    def _find_incarnation(
+        self, machine: Machine, config: FleetConfig, incarnations: Mapping[str, str]
     ) -> str | None:
         """Return the life of a machine's host, None for one not heard of; a reserve has none."""
         pool = config.pools.get(machine.pool)
@@ -98,7 +98,7 @@
             return ""
         if not self._new_machines.is_reported(machine):
             return None
-        return lives.get(machine.host_id, machine.host_id)
+        return incarnations.get(machine.host_id, machine.host_id)
 
     def _make_pool_view(
         self, pool: str, report: PoolReport, silent_halls: frozenset[str]
@@ -108,7 +108,7 @@
         }
         self._new_machines.record_reported_hosts(host.host_id for host in report.hosts)
         now_s = get_loop_s()
-        coming = (
+        incoming = (
             self.machines[name]
             for name, order in self._orders.under_way.items()
             if isinstance(order, MoveOrder) and order.pool == pool and name in self.machines
@@ -123,4 +123,4 @@
                 or self._new_machines.is_new(machine, now_s)
             )
         )
-        return PoolView(pool, report, machines, (*coming, *arriving))
+        return PoolView(pool, report, machines, (*incoming, *arriving))
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -27,19 +27,19 @@
 JOIN_PERIOD_S: Final = 0.3
 # A member is gone that has said nothing for so long, and a node that no list has named for
 # as long joins with another topic: a partition passes on when its holder has joined twice.
-PATIENCE_MIN_S: Final = 1.0
+MEMBER_TIMEOUT_MIN_S: Final = 1.0
 # Where the store takes long, joins arrive that much more rarely: so many of them may be
 # due before a member is gone.  With 1 s at answers of 0.6 s, living members were taken as
 # gone 11 times in 30 s.
-PATIENCE_JOINS: Final = 3
+MEMBER_TIMEOUT_JOINS: Final = 3
 # A member that is gone is noticed after so long at the latest: half of the time for which
 # an owner goes on without the store.
-PATIENCE_MAX_S: Final = 3.0
+MEMBER_TIMEOUT_MAX_S: Final = 3.0
 # How often a member tries whom the store does not serve.
 REJOIN_PERIOD_S: Final = 0.1
 # What the longest time between two joins counts for at the next one: a tenth is left after
 # ten joins, some 3 s at the usual pace.
-GAP_KEPT_SHARE: Final = 0.8
+GAP_DECAY: Final = 0.8
 # After so many failures in a row, over so long, the store does not serve this node: one
 # answer may be lost, and a node that is turned away fails many times in a moment.
 FAILURES_MIN: Final = 2
@@ -73,14 +73,14 @@
         self._topic = zlib.crc32(me.node.encode()) % FIRST_TOPICS
         self._topic_joined_at_s = math.inf
         self._was_listed: bool | None = None
-        self._began_joining_at_s = -math.inf
+        self._join_started_at_s = -math.inf
         self._join_gap_s = 0.0
-        self._wants_list = asyncio.Event()
+        self._list_requested = asyncio.Event()
         self._steady_since_s = math.inf
         self._joined_at_s = -math.inf
         self._failure_count = 0
         self._failing_since_s = math.inf
-        self._turn = asyncio.Lock()
+        self._join_lock = asyncio.Lock()
         self.join_latency = AppendLatency()
         self.generation = 0
         self.members: frozenset[Member] = frozenset()
@@ -93,23 +93,23 @@
 
         Members are listed beside that: a join that waits for a list comes late.
         """
-        listing = asyncio.create_task(self._follow_list())
+        listing = asyncio.create_task(self._run_listing())
         try:
             while not self.is_leaving:
-                began_at_s = asyncio.get_running_loop().time()
+                started_at_s = asyncio.get_running_loop().time()
                 try:
-                    async with self._turn:
-                        await self._join(began_at_s)
+                    async with self._join_lock:
+                        await self._join(started_at_s)
                 except StoreError as error:
-                    self._note_failure(error)
-                await asyncio.sleep(self._get_pause_s(began_at_s))
+                    self._record_failure(error)
+                await asyncio.sleep(self._get_pause_s(started_at_s))
         finally:
             listing.cancel()
 
     async def leave(self) -> None:
         """Stop being a member; a join under way must not follow."""
         self.is_leaving = True
-        async with self._turn:
+        async with self._join_lock:
             await self._store.leave(GROUP, self._name)
 
     @property
@@ -137,20 +137,20 @@
         """Return for how long the store has not answered this node."""
         return asyncio.get_running_loop().time() - self._joined_at_s
 
-    def _get_pause_s(self, began_at_s: float) -> float:
+    def _get_pause_s(self, started_at_s: float) -> float:
         if self._failure_count:
             return REJOIN_PERIOD_S
-        return max(0.0, began_at_s + JOIN_PERIOD_S - asyncio.get_running_loop().time())
+        return max(0.0, started_at_s + JOIN_PERIOD_S - asyncio.get_running_loop().time())
 
-    def _get_patience_s(self) -> float:
+    def _get_member_timeout_s(self) -> float:
         """Return for how long a member may say nothing, at the pace of the last joins."""
-        due_s = PATIENCE_JOINS * self._join_gap_s
-        return min(max(PATIENCE_MIN_S, due_s), PATIENCE_MAX_S)
+        due_s = MEMBER_TIMEOUT_JOINS * self._join_gap_s
+        return min(max(MEMBER_TIMEOUT_MIN_S, due_s), MEMBER_TIMEOUT_MAX_S)
 
     def _get_ttl_ms(self) -> int:
-        return max(self._ttl_min_ms, int(self._get_patience_s() * 1000))
+        return max(self._ttl_min_ms, int(self._get_member_timeout_s() * 1000))
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if self._steady_since_s != math.inf:
             self._events.write("membership_lost", error=f"{type(error).__name__}: {error}")
         self._steady_since_s = math.inf
@@ -161,10 +161,10 @@
         now_s = asyncio.get_running_loop().time()
         self._failing_since_s = min(self._failing_since_s, now_s)
 
-    async def _join(self, began_at_s: float) -> None:
+    async def _join(self, started_at_s: float) -> None:
         if self.is_leaving:
             return
-        self._note_pace(began_at_s)
+        self._record_join_gap(started_at_s)
         self.join_latency.begin()
         membership = await self._store.join(
             GROUP, self._name, [get_topic(self._topic)], self._get_ttl_ms(), self.generation
@@ -179,36 +179,36 @@
         is_changed = membership.generation != self.generation
         self.generation = membership.generation
         if is_changed or not self.is_listed or self._owner_liveness.is_list_due(self.listed_at_s):
-            self._wants_list.set()
+            self._list_requested.set()
 
-    def _note_pace(self, began_at_s: float) -> None:
+    def _record_join_gap(self, started_at_s: float) -> None:
         """Note the time between two joins; the longest one counts less with each further join."""
-        gap_s = began_at_s - self._began_joining_at_s
+        gap_s = started_at_s - self._join_started_at_s
         if gap_s != math.inf:
-            self._join_gap_s = max(gap_s, GAP_KEPT_SHARE * self._join_gap_s)
-        self._began_joining_at_s = began_at_s
+            self._join_gap_s = max(gap_s, GAP_DECAY * self._join_gap_s)
+        self._join_started_at_s = started_at_s
 
-    async def _follow_list(self) -> None:
+    async def _run_listing(self) -> None:
         """List the members whenever that is wanted, until cancelled."""
         while True:
-            await self._wants_list.wait()
-            self._wants_list.clear()
+            await self._list_requested.wait()
+            self._list_requested.clear()
             try:
                 await self._list_members()
             except StoreError as error:
-                self._note_unread(error)
+                self._record_list_failure(error)
                 await asyncio.sleep(REJOIN_PERIOD_S)
 
-    def _note_unread(self, error: StoreError) -> None:
+    def _record_list_failure(self, error: StoreError) -> None:
         """Note that the members could not be listed: what was seen of them has a gap."""
         self._events.write("members_unread", error=f"{type(error).__name__}: {error}")
         self._owner_liveness.clear()
         if self._steady_since_s != math.inf:
             self._steady_since_s = asyncio.get_running_loop().time()
-        self._wants_list.set()
+        self._list_requested.set()
 
     async def _list_members(self) -> None:
-        asked_at_s = asyncio.get_running_loop().time()
+        requested_at_s = asyncio.get_running_loop().time()
         names = await self._store.list_members(GROUP)
         self.members = frozenset(filter(None, map(self._parse_member, names)))
         self.listed_at_s = asyncio.get_running_loop().time()
@@ -222,7 +222,10 @@
                 listed_count=len(self.members),
                 topic=self._topic,
             )
-        if not self.is_listed and asked_at_s - self._topic_joined_at_s >= self._get_patience_s():
+        if (
+            not self.is_listed
+            and requested_at_s - self._topic_joined_at_s >= self._get_member_timeout_s()
+        ):
             self._change_topic()
 
     def _parse_member(self, name: str) -> Member | None:
--- a/src/robinthread/_internal/node/loop_lag.py
+++ b/src/robinthread/_internal/node/loop_lag.py
@@ -5,7 +5,7 @@
 
 # A loop that comes back so late keeps hosts waiting: each has three orders under way.
 LAG_MAX_S: Final = 0.1
-PERIOD_S: Final = 0.1
+SAMPLE_PERIOD_S: Final = 0.1
 # Weight of a new measurement: about the last half second counts.
 SAMPLE_WEIGHT: Final = 0.2
 
@@ -20,6 +20,6 @@
         """Measure until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due_s = loop.time() + PERIOD_S
-            await asyncio.sleep(PERIOD_S)
+            due_s = loop.time() + SAMPLE_PERIOD_S
+            await asyncio.sleep(SAMPLE_PERIOD_S)
             self.lag_s += SAMPLE_WEIGHT * (loop.time() - due_s - self.lag_s)
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -36,7 +36,7 @@
 BUSY_PAUSE_S: Final = 1.0
 
 Order = MoveOrder | UpkeepOrder
-NoteFenced = Callable[[str], None]
+ReportFenced = Callable[[str], None]
 
 
 class MachineOrders:
@@ -67,7 +67,7 @@
         turn_s: float,
         settle_s: float,
         wait_s: float,
-        note_fenced: NoteFenced,
+        report_fenced: ReportFenced,
     ) -> None:
         self._machines = machines
         self._journal = journal
@@ -78,7 +78,7 @@
         self._turn_s = turn_s
         self._settle_s = settle_s
         self._wait_s = wait_s
-        self._note_fenced = note_fenced
+        self._report_fenced = report_fenced
         self.under_way: dict[str, Order] = {}
         self.moved: dict[str, tuple[float, str]] = {}
         self.previously_ordered: frozenset[str] = frozenset()
@@ -124,10 +124,10 @@
         that steward would find it there; so does one that is up and whose upkeep has begun.
         """
         return frozenset(self.under_way) | {
-            name for name in self.list_blocked() if not self._has_come(known.get(name))
+            name for name in self.list_blocked() if not self._has_arrived(known.get(name))
         }
 
-    def _has_come(self, machine: Machine | None) -> bool:
+    def _has_arrived(self, machine: Machine | None) -> bool:
         if machine is None or machine.state is not MachineState.UP:
             return False
         target = self._targets.get(machine.name, OrderTarget())
@@ -135,18 +135,18 @@
             return self._waves.has_begun(target.wave, machine.name)
         return machine.pool == target.pool
 
-    def record_listing(self, asked_at_s: float) -> None:
+    def record_listing(self, requested_at_s: float) -> None:
         """Note that all orders done before a list was asked for show in it."""
-        for name in [name for name, done_s in self._done_at_s.items() if done_s < asked_at_s]:
+        for name in [name for name, done_s in self._done_at_s.items() if done_s < requested_at_s]:
             del self._done_at_s[name]
             self.under_way.pop(name, None)
 
     async def give(self, orders: tuple[Order, ...]) -> None:
         """Record the machines that are about to be ordered, then give the orders."""
-        await self._record(orders)
+        await self._write_record(orders)
         for order in orders:
             self.under_way[order.machine] = order
-            self._spawn(self._carry_out(order))
+            self._spawn(self._execute(order))
 
     def drop_settled(self) -> None:
         """Have the record emptied if all that it names was ordered long ago."""
@@ -170,7 +170,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _record(self, orders: tuple[Order, ...]) -> None:
+    async def _write_record(self, orders: tuple[Order, ...]) -> None:
         if not orders:
             return
         now_s = get_loop_s()
@@ -180,9 +180,9 @@
             if now_s - ordered_s < max(self._turn_s, self._settle_s)
         }
         self._targets |= {order.machine: _get_target(order) for order in orders}
-        given = (order.machine for order in orders)
+        ordered = (order.machine for order in orders)
         unsettled = self.unsettled.get_waves()
-        names = {*given, *self.under_way, *self._ordered_at_s, *unsettled}
+        names = {*ordered, *self.under_way, *self._ordered_at_s, *unsettled}
         recent = {name: self._targets[name] for name in names}
         if not recent.items() <= self._recorded.items():
             await self._journal.write([make_orders_record(recent)])
@@ -193,35 +193,35 @@
         try:
             await self._journal.write([make_orders_record({})])
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._report_fenced("StoreFencedError")
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _execute(self, order: Order) -> None:
         """Give an order until it is answered; one without answer may yet be done."""
-        may_be_done_until_s = -math.inf
+        may_be_executed_until_s = -math.inf
         try:
             while not self._is_stopped:
                 try:
                     await self._send(order)
                 except MachineNoAnswerError as error:
-                    may_be_done_until_s = get_loop_s() + ORDER_DELAY_MAX_S
-                    self._note(order, "no answer", str(error))
+                    may_be_executed_until_s = get_loop_s() + ORDER_DELAY_MAX_S
+                    self._log_outcome(order, "no answer", str(error))
                     await asyncio.sleep(RETRY_PAUSE_S)
                     continue
                 except MachineFencedError:
-                    self._note_fenced("MachineFencedError")
+                    self._report_fenced("MachineFencedError")
                 except MachineError as error:
-                    self._note(order, _get_outcome(error), str(error))
+                    self._log_outcome(order, _get_outcome(error), str(error))
                     # This outcome does not tell what an earlier try without answer may yet do.
-                    if get_loop_s() < may_be_done_until_s:
+                    if get_loop_s() < may_be_executed_until_s:
                         await asyncio.sleep(BUSY_PAUSE_S)
                         continue
                     self._paused_until_s[order.machine] = get_loop_s() + BUSY_PAUSE_S
                 else:
-                    self._note(order, "done")
-                    await self._note_done(order)
+                    self._log_outcome(order, "done")
+                    await self._record_done(order)
                 return
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._report_fenced("StoreFencedError")
         finally:
             # A slow store may have held this one up until the machine had its next order.
             is_own = self.under_way.get(order.machine) is order
@@ -235,7 +235,7 @@
         else:
             await self._machines.begin_upkeep(order.machine, order.wave, self._holder, self._token)
 
-    async def _note_done(self, order: Order) -> None:
+    async def _record_done(self, order: Order) -> None:
         self._done_at_s[order.machine] = get_loop_s()
         if isinstance(order, MoveOrder):
             self.moved[order.machine] = (get_loop_s(), order.pool)
@@ -243,7 +243,7 @@
             self.unsettled.settle(order.machine)
             await self._waves.record_start(order.wave, order.machine)
 
-    def _note(self, order: Order, outcome: str, error: str = "") -> None:
+    def _log_outcome(self, order: Order, outcome: str, error: str = "") -> None:
         detail = {"error": error} if error else {}
         if isinstance(order, UpkeepOrder):
             self._events.write(
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -22,7 +22,7 @@
 MakeSteward = Callable[[int, float], Steward]
 
 # How often a node looks whether there are pools to take, beside every change.
-LOOK_PERIOD_S: Final = 0.2
+CHECK_PERIOD_S: Final = 0.2
 
 
 class Node:
@@ -54,7 +54,7 @@
         self._followers = followers
         self._steward: Steward | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._spent_tokens: dict[str, int] = {}
+        self._closed_tokens: dict[str, int] = {}
         self.is_stopping = False
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -76,14 +76,14 @@
         """Own what this node is to own until cancelled."""
         while True:
             self._table.changed.clear()
-            await self._let_go()
-            await self._pass_on()
+            await self._drop_replaced()
+            await self._transfer_if_cut_off()
             await self._rebalance()
             await self._release_closed()
             self._open_acquired_pools()
-            self._follow_if_needed()
+            self._switch_followers()
             await self._acquire_free_pools()
-            await wait_for_event(self._table.changed, LOOK_PERIOD_S)
+            await wait_for_event(self._table.changed, CHECK_PERIOD_S)
 
     async def stop(self, budget: StopBudget) -> None:
         """Give all pools back, so that others take them at once, once no order is made."""
@@ -100,7 +100,7 @@
             await self._steward.stop()
         await asyncio.gather(*(owner.stop(is_planned=True) for owner in owners))
 
-    async def _pass_on(self) -> None:
+    async def _transfer_if_cut_off(self) -> None:
         """Pass on what is owned here while the store serves others and not this node.
 
         Owners stop first: the next ones need not wait for orders of theirs.
@@ -109,7 +109,7 @@
         if not self._member.is_cut_off or not served:
             return
         if self._owned.owners or self._steward is not None:
-            await self._pass_to(served[0], [*self._owned.owners, FLEET_POOL], is_planned=False)
+            await self._transfer(served[0], [*self._owned.owners, FLEET_POOL], is_planned=False)
 
     async def _rebalance(self) -> None:
         """Pass a pool on that another node could carry more easily."""
@@ -120,10 +120,10 @@
             self._events.write(
                 "pool_relieved", pool=found.pool, taker=found.new_owner.node, reason=found.reason
             )
-            await self._pass_to(found.new_owner, [found.pool], is_planned=True)
+            await self._transfer(found.new_owner, [found.pool], is_planned=True)
             self._rebalance_planner.record_transfer()
 
-    async def _pass_to(self, taker: Member, pools: Collection[str], is_planned: bool) -> None:
+    async def _transfer(self, new_owner: Member, pools: Collection[str], is_planned: bool) -> None:
         """Stop owning pools here and have another node take them."""
         owners = [owner for pool, owner in self._owned.owners.items() if pool in pools]
         tokens = {owner.pool: owner.token for owner in owners}
@@ -132,7 +132,7 @@
             tokens[FLEET_POOL] = self._steward.token
             await self._close_steward(self._steward)
         if tokens:
-            await self._handover.request_takeover(taker, tokens)
+            await self._handover.request_takeover(new_owner, tokens)
 
     async def _release_closed(self) -> None:
         """Give back what is recorded as ours and closed for good: nobody else would take it."""
@@ -141,14 +141,14 @@
             for pool, found in self._table.owners.items()
             if found.owner == self._me
             and not found.is_released
-            and found.token <= self._spent_tokens.get(pool, 0)
+            and found.token <= self._closed_tokens.get(pool, 0)
             and pool not in self._owned.owners
             and (pool != FLEET_POOL or self._steward is None)
         ]
         if closed and not self._member.is_cut_off:
             await self._release(closed)
 
-    async def _release_spent(self, pool: str, token: int) -> None:
+    async def _release_if_own(self, pool: str, token: int) -> None:
         """Give back what is still ours but cannot be used any more."""
         found = self._table.owners.get(pool)
         if found is not None and found.token == token and found.owner == self._me:
@@ -169,14 +169,14 @@
     async def _acquire(self, pool: str) -> bool:
         """Take a pool; return whether that succeeded."""
         try:
-            is_taken = await self._table.acquire(
+            is_acquired = await self._table.acquire(
                 pool, self._me, self._election.get_restarted_owners()
             )
         except StoreError as error:
             self._events.write("take_failed", pool=pool, error=f"{type(error).__name__}: {error}")
             return False
         self._open_acquired_pools()
-        return is_taken
+        return is_acquired
 
     def _open_acquired_pools(self) -> None:
         for pool, found in list(self._table.owners.items()):
@@ -186,7 +186,7 @@
                 self._open_steward(found.token)
                 continue
             owner = self._owned.owners.get(pool)
-            if owner is None and self._spent_tokens.get(pool, 0) < found.token:
+            if owner is None and self._closed_tokens.get(pool, 0) < found.token:
                 predecessors = find_predecessors(
                     pool,
                     self._me,
@@ -199,7 +199,7 @@
                 self.spawn(self._run_owner(owner))
 
     def _open_steward(self, token: int) -> None:
-        if self._steward is None and self._spent_tokens.get(FLEET_POOL, 0) < token:
+        if self._steward is None and self._closed_tokens.get(FLEET_POOL, 0) < token:
             wait_s = self._get_wait_s()
             self._steward = self._make_steward(token, wait_s)
             self._events.write("fleet_taken", token=token)
@@ -227,15 +227,15 @@
     async def _drop_steward(self, steward: Steward) -> None:
         if self._steward is steward:
             await self._close_steward(steward)
-            await self._release_spent(FLEET_POOL, steward.token)
+            await self._release_if_own(FLEET_POOL, steward.token)
 
     async def _close_steward(self, steward: Steward) -> None:
-        self._spent_tokens[FLEET_POOL] = max(steward.token, self._spent_tokens.get(FLEET_POOL, 0))
+        self._closed_tokens[FLEET_POOL] = max(steward.token, self._closed_tokens.get(FLEET_POOL, 0))
         steward.fenced.set()
         self._steward = None
         await steward.stop()
 
-    def _follow_if_needed(self) -> None:
+    def _switch_followers(self) -> None:
         """Follow hosts and jobs only while pools are owned here: each read is paid for."""
         for follower in self._followers:
             if self._owned.owners:
@@ -252,7 +252,7 @@
         await owner.fenced.wait()
         await self._drop(owner)
 
-    async def _let_go(self) -> None:
+    async def _drop_replaced(self) -> None:
         fleet = self._table.owners.get(FLEET_POOL)
         if self._steward is not None and fleet is not None and fleet.token > self._steward.token:
             await self._drop_steward(self._steward)
@@ -263,12 +263,12 @@
 
     async def _drop(self, owner: PoolOwner) -> None:
         await self._close(owner)
-        await self._release_spent(owner.pool, owner.token)
+        await self._release_if_own(owner.pool, owner.token)
 
     async def _close(self, owner: PoolOwner, is_planned: bool = False) -> None:
         """Stop owning a pool under its token for good; as planned, record all first."""
         if self._owned.owners.get(owner.pool) is owner:
-            self._spent_tokens[owner.pool] = owner.token
+            self._closed_tokens[owner.pool] = owner.token
             del self._owned.owners[owner.pool]
             if is_planned:
                 await owner.stop(is_planned=True)
--- a/src/robinthread/_internal/node/readiness.py
+++ b/src/robinthread/_internal/node/readiness.py
@@ -28,14 +28,14 @@
         self._table = table
         self._config_holder = config_holder
         self._events = events
-        self._told: str | None = None
+        self._logged_obstacle: str | None = None
 
     def check(self) -> bool:
         """Tell whether callers should be sent here."""
         obstacle = self._find_obstacle()
-        if obstacle != self._told:
-            self._told = obstacle
-            self._tell(obstacle)
+        if obstacle != self._logged_obstacle:
+            self._logged_obstacle = obstacle
+            self._log_change(obstacle)
         return not obstacle
 
     def _find_obstacle(self) -> str:
@@ -46,10 +46,10 @@
         if not self._table.follower.first_read.is_set():
             # It could tell no job's state: nobody knows here whom to ask.
             return "owners not read"
-        is_heard = self._member.get_store_silence_s() < STORE_AGE_MAX_S
-        return "" if is_heard else "no word from the store"
+        is_store_reachable = self._member.get_store_silence_s() < STORE_AGE_MAX_S
+        return "" if is_store_reachable else "no word from the store"
 
-    def _tell(self, obstacle: str) -> None:
+    def _log_change(self, obstacle: str) -> None:
         if obstacle:
             self._events.write("unready", reason=obstacle, up_s=self._events.up_s)
         else:
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -14,7 +14,7 @@
 from robinthread._internal.telemetry.event_log import EventLog
 
 # How often there is a look at what has changed.
-LOOK_PERIOD_S: Final = 0.25
+CHECK_PERIOD_S: Final = 0.25
 # How often a pool is told that is not open yet.  Openings took 0.2 to 0.3 s with a store
 # that answers.
 SLOW_PERIOD_S: Final = 1.0
@@ -33,26 +33,26 @@
         self._lag = lag
         self._readiness = readiness
         self._events = events
-        self._told_at_s = 0.0
+        self._logged_at_s = 0.0
 
     async def run(self) -> None:
         """Tell until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_PERIOD_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
             self.check()
 
     def check(self) -> None:
         """Write what is due now."""
         self._events.tell_gathered()
         self._readiness.check()
-        is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
+        is_due = get_loop_s() - self._logged_at_s >= STATUS_PERIOD_S
         if is_due:
-            self._told_at_s = get_loop_s()
+            self._logged_at_s = get_loop_s()
         for owner in self._owned.owners.values():
             if not owner.is_open and owner.opening.is_report_due(SLOW_PERIOD_S):
-                self._tell_slow(owner)
+                self._log_slow_opening(owner)
             if is_due:
-                self._tell_standing(owner)
+                self._log_status(owner)
 
     def read_states(self) -> dict[str, float]:
         """Return 1 for each pool that is open and 0 for each that was only taken."""
@@ -73,7 +73,7 @@
             for workspace, part in owner.jobs.workspaces.get_used_fractions().items()
         }
 
-    def _tell_slow(self, owner: PoolOwner) -> None:
+    def _log_slow_opening(self, owner: PoolOwner) -> None:
         self._events.write(
             "pool_opening_slow",
             pool=owner.pool,
@@ -82,7 +82,7 @@
             **owner.opening.make_timing_fields(),
         )
 
-    def _tell_standing(self, owner: PoolOwner) -> None:
+    def _log_status(self, owner: PoolOwner) -> None:
         waiting = owner.jobs.waiting.values()
         self._events.write(
             "owner_standing",
@@ -94,20 +94,20 @@
             job_count=len(owner.jobs.jobs),
             waiting=len(waiting),
             waiting_lasting=sum(task.step.is_lasting for task in waiting),
-            **_tell_workspaces(owner.jobs.workspaces),
+            **_make_workspace_fields(owner.jobs.workspaces),
             **_count_hosts(list(owner.jobs.hosts.values()), get_loop_s()),
             store_unconfirmed_for_s=round(owner.get_unconfirmed_s(), 3),
         )
 
 
-def _tell_workspaces(room: WorkspaceLimiter) -> dict[str, Any]:
+def _make_workspace_fields(limiter: WorkspaceLimiter) -> dict[str, Any]:
     """Tell of the workspaces that are near their share here, and of those held back by it."""
-    parts = room.get_used_fractions()
-    told = {
-        name: [round(parts.get(name, 0.0), 3), round(room.get_share(name), 3)]
-        for name in room.list_reported()
+    fractions = limiter.get_used_fractions()
+    reported = {
+        name: [round(fractions.get(name, 0.0), 3), round(limiter.get_share(name), 3)]
+        for name in limiter.list_reported()
     }
-    return {"workspaces": told, "held_back": sorted(room.held_back)} if told else {}
+    return {"workspaces": reported, "held_back": sorted(limiter.held_back)} if reported else {}
 
 
 def _count_hosts(hosts: list[Host], now_s: float) -> dict[str, Any]:
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -78,13 +78,13 @@
             context.store, ORDERS_PARTITION, writer, token, context.events
         )
         self._planner = FleetPlanner(context.policy.fleet)
-        self._shares = ShareAllocator(
+        self._share_allocator = ShareAllocator(
             token, context.policy.workspaces.kept_share, get_loop_s(), context.events
         )
         self._listed_at_s = -LIST_PERIOD_S
         self._sizes: dict[str, PoolSize] = {}
         self._vacate: dict[str, frozenset[str]] = {}
-        self._lines = UpkeepReporter(context.events)
+        self._upkeep_reporter = UpkeepReporter(context.events)
         self.fenced = asyncio.Event()
         self._waves = WaveTracker(
             self._wave_journal,
@@ -103,9 +103,9 @@
             context.settings.bounds.steward_turn_ms / 1000,
             _get_settle_s(context.settings.bounds),
             wait_s,
-            self._note_fenced,
+            self._mark_fenced,
         )
-        self._views = FleetViewBuilder(context, self._orders, self._waves)
+        self._view_builder = FleetViewBuilder(context, self._orders, self._waves)
 
     async def run(self) -> None:
         """Give orders until cancelled or fenced."""
@@ -115,12 +115,12 @@
             await self._orders_journal.open()
             self._waves.load(await self._read_newest(WAVES_PARTITION))
             self._orders.load(await self._read_newest(ORDERS_PARTITION))
-            self._note_began()
+            self._log_start()
             while not self.fenced.is_set():
                 await self._step()
                 await asyncio.sleep(STEP_S)
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._mark_fenced("StoreFencedError")
 
     async def stop(self) -> None:
         """Give no more orders."""
@@ -131,9 +131,9 @@
         """Have all orders under way end, and return their tasks."""
         return self._orders.cancel()
 
-    def _note_began(self) -> None:
+    def _log_start(self) -> None:
         """Tell what this steward knows of the one before it."""
-        waves = self._views.list_waves()
+        waves = self._view_builder.list_waves()
         self._events.write(
             "steward_began",
             token=self.token,
@@ -153,13 +153,15 @@
 
     async def _step(self) -> None:
         is_listed = await self._list_machines()
-        reports = await self._ask_pools()
+        reports = await self._query_pools()
         if not is_listed:
             return
-        if self._views.machines:
-            await self._waves.publish_status(self._views.list_waves(), self._views.machines)
-        view = self._views.build(reports)
-        self._lines.report_down(view.waves, self._views.machines)
+        if self._view_builder.machines:
+            await self._waves.publish_status(
+                self._view_builder.list_waves(), self._view_builder.machines
+            )
+        view = self._view_builder.build(reports)
+        self._upkeep_reporter.report_down(view.waves, self._view_builder.machines)
         plan = self._planner.plan(view, get_loop_s())
         for pool, machines in plan.vacate.items():
             if machines != self._vacate.get(pool, frozenset()):
@@ -170,12 +172,12 @@
                     machines=sorted(machines)[:NAMES_MAX],
                 )
         self._vacate = plan.vacate
-        self._note_sizes(view, plan)
-        self._lines.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
+        self._log_sizes(view, plan)
+        self._upkeep_reporter.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
         await self._orders.give(plan.orders)
         self._orders.drop_settled()
 
-    def _note_sizes(self, view: FleetView, plan: FleetPlan) -> None:
+    def _log_sizes(self, view: FleetView, plan: FleetPlan) -> None:
         """Tell of each pool whose size has changed."""
         for pool in view.pools:
             size = plan.sizes[pool.name]
@@ -199,47 +201,47 @@
 
     async def _list_machines(self) -> bool:
         """List the machines if that is due; return whether the list is good."""
-        asked_at_s = get_loop_s()
-        if asked_at_s - self._listed_at_s < LIST_PERIOD_S:
+        requested_at_s = get_loop_s()
+        if requested_at_s - self._listed_at_s < LIST_PERIOD_S:
             return True
         try:
             listed = await self._machines.list_machines()
         except MachineError as error:
             self._events.write("machines_unread", error=f"{type(error).__name__}: {error}")
             return False
-        self._listed_at_s = asked_at_s
-        self._views.record_listing(listed, asked_at_s)
+        self._listed_at_s = requested_at_s
+        self._view_builder.record_listing(listed, requested_at_s)
         return True
 
-    async def _ask_pools(self) -> dict[str, PoolReport]:
+    async def _query_pools(self) -> dict[str, PoolReport]:
         holder = self._context.config_holder
         config = holder.config
         if config is None:
             return {}
         pools = config.list_working_pools()
-        answers = await asyncio.gather(*(self._ask_pool(pool, config) for pool in pools))
+        responses = await asyncio.gather(*(self._query_pool(pool, config) for pool in pools))
         reports = {
-            pool: report for pool, report in zip(pools, answers, strict=True) if report.is_owner
+            pool: report for pool, report in zip(pools, responses, strict=True) if report.is_owner
         }
-        self._shares.record_reports(config, reports)
-        self._shares.decide(config, holder.limit_lowered_in, get_loop_s())
+        self._share_allocator.record_reports(config, reports)
+        self._share_allocator.decide(config, holder.limit_lowered_in, get_loop_s())
         return reports
 
-    async def _ask_pool(self, pool: str, config: FleetConfig) -> PoolReport:
+    async def _query_pool(self, pool: str, config: FleetConfig) -> PoolReport:
         owner = self._table.get(pool)
-        question = FleetReportRequest(
+        request = FleetReportRequest(
             pool,
             tuple(sorted(self._vacate.get(pool, ()))),
             self._expects_hosts(pool),
-            self._views.list_ended_hosts(pool),
-            self._shares.make_order(pool, config),
+            self._view_builder.list_ended_hosts(pool),
+            self._share_allocator.make_order(pool, config),
         )
         if owner is None:
             return PoolReport(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.handle_fleet_report(question)
+            return self._owned.handle_fleet_report(request)
         try:
-            return await self._peers.send_request(owner.owner.address, question, PoolReport)
+            return await self._peers.send_request(owner.owner.address, request, PoolReport)
         except PeerUnreachableError:
             return PoolReport(is_owner=False)
 
@@ -253,7 +255,7 @@
             if moved_to == pool
         )
 
-    def _note_fenced(self, by: str) -> None:
+    def _mark_fenced(self, by: str) -> None:
         if not self.fenced.is_set():
             self._events.write("steward_fenced", token=self.token, by=by)
         self.fenced.set()
@@ -264,5 +266,5 @@
 
     Two stewards take turns no faster, and until then the machine may be on its way.
     """
-    away_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
-    return max(bounds.steward_turn_ms / 1000, away_s + FIRST_REPORT_MAX_S)
+    unavailable_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
+    return max(bounds.steward_turn_ms / 1000, unavailable_s + FIRST_REPORT_MAX_S)
--- a/src/robinthread/_internal/node/stopping.py
+++ b/src/robinthread/_internal/node/stopping.py
@@ -18,7 +18,7 @@
 # which is given up 0.8 s after the store has stopped answering.
 LINGER_SHARE: Final = 0.75
 # Share of the grace time after which a process that has not ended ends at once.
-LAST_SHARE: Final = 11 / 12
+FORCED_END_SHARE: Final = 11 / 12
 
 
 async def stop_node(
@@ -33,10 +33,10 @@
     loop = asyncio.get_running_loop()
     # The end of the process cancels all tasks and waits for them, on this loop: a task that
     # does not end would be waited for until the kill.
-    loop.call_later(max(0.0, grace_s * LAST_SHARE - lag_s), _end_at_once, events)
+    loop.call_later(max(0.0, grace_s * FORCED_END_SHARE - lag_s), _end_at_once, events)
     budget = StopBudget(grace_s, lag_s, events)
     events.write("stopping", grace_s=grace_s, budget_ms=round(budget.budget_s * 1000))
-    await asyncio.gather(assembled.node.stop(budget), _dismiss_callers(callers, requests, budget))
+    await asyncio.gather(assembled.node.stop(budget), _drain_callers(callers, requests, budget))
     events.tell_gathered(is_last=True)
     events.write(
         "stopped",
@@ -47,7 +47,7 @@
     )
 
 
-async def _dismiss_callers(callers: HTTPServer, requests: OpenRequests, budget: StopBudget) -> None:
+async def _drain_callers(callers: HTTPServer, requests: OpenRequests, budget: StopBudget) -> None:
     """Serve callers until the balancer has moved on, then answer what was read."""
     linger_s = min(LINGER_S, budget.left_s * LINGER_SHARE)
     await budget.run("callers", asyncio.sleep(linger_s))
--- a/src/robinthread/_internal/node/upkeep_reporter.py
+++ b/src/robinthread/_internal/node/upkeep_reporter.py
@@ -30,9 +30,9 @@
             counted = wave.down | wave.unsettled
             since_s = self._down_since_s.setdefault(wave.number, {})
             for name in sorted(since_s.keys() - counted):
-                self._note_over(wave, known.get(name), name, now_s - since_s.pop(name))
+                self._log_over(wave, known.get(name), name, now_s - since_s.pop(name))
             since_s |= {name: since_s.get(name, now_s) for name in counted}
-            self._note_bound(wave)
+            self._check_bound(wave)
 
     def report_orders(
         self,
@@ -49,18 +49,18 @@
                 self._events.write(
                     "upkeep_begins",
                     wave=wave.number,
-                    machines=_name(names),
+                    machines=_list_names(names),
                     in_reserve=sum(name in reserve for name in names),
-                    down=_name(wave.down),
-                    doubtful=_name(wave.unconfirmed),
-                    unsettled=_name(wave.unsettled),
+                    down=_list_names(wave.down),
+                    doubtful=_list_names(wave.unconfirmed),
+                    unsettled=_list_names(wave.unsettled),
                     at_once_max=wave.at_once_max,
                     pending_count=len(wave.pending),
                     left_s=round(wave.left_s, 3),
                     listed_ago_s=round(listed_ago_s, 3),
                 )
 
-    def _note_over(self, wave: WaveView, machine: Machine | None, name: str, for_s: float) -> None:
+    def _log_over(self, wave: WaveView, machine: Machine | None, name: str, for_s: float) -> None:
         self._events.write(
             "upkeep_over",
             wave=wave.number,
@@ -71,18 +71,18 @@
             is_pending=name in wave.pending,
         )
 
-    def _note_bound(self, wave: WaveView) -> None:
+    def _check_bound(self, wave: WaveView) -> None:
         """Tell of a wave that has too many down for sure; what is doubtful may be back."""
         is_over = len(wave.down - wave.unconfirmed) > wave.at_once_max
         if is_over and wave.number not in self._over_bound:
             self._events.write(
                 "wave_over_bound",
                 wave=wave.number,
-                down=_name(wave.down - wave.unconfirmed),
+                down=_list_names(wave.down - wave.unconfirmed),
                 at_once_max=wave.at_once_max,
             )
         (self._over_bound.add if is_over else self._over_bound.discard)(wave.number)
 
 
-def _name(machines: Iterable[str]) -> list[str]:
+def _list_names(machines: Iterable[str]) -> list[str]:
     return sorted(machines)[:MACHINES_NAMED_MAX]
--- a/src/robinthread/_internal/node/upkeep_tracker.py
+++ b/src/robinthread/_internal/node/upkeep_tracker.py
@@ -10,24 +10,24 @@
 # A machine that is not back so long after its upkeep should be over is lost, and its wave goes on
 # without it.  Hosts take some seconds to start where their machines are busy; a wave may have
 # 25 s for several rounds.
-BACK_LATE_MAX_S: Final = 10.0
+RETURN_DELAY_MAX_S: Final = 10.0
 
 # Returns the life that a machine's host is, as the owner of its pool names it: "" where it has
 # none, None where it is not heard of.
-FindLife = Callable[[Machine], str | None]
+FindIncarnation = Callable[[Machine], str | None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Stay:
+class _Downtime:
     """Since when a machine is down, and until when at least; which life of a host it was before.
 
-    The life is "" where it is not known.  Where ``is_doubtful`` it may be back.
+    The life is "" where it is not known.  Where ``is_unconfirmed`` it may be back.
     """
 
     since_s: float
     until_s: float
-    former_life: str = ""
-    is_doubtful: bool = False
+    previous_incarnation: str = ""
+    is_unconfirmed: bool = False
 
 
 class UpkeepTracker:
@@ -42,56 +42,66 @@
 
     def __init__(self, upkeep_s: float) -> None:
         self._upkeep_s = upkeep_s
-        self._stays: dict[str, _Stay] = {}
-        self._lives: dict[str, str] = {}
+        self._downtimes: dict[str, _Downtime] = {}
+        self._incarnations: dict[str, str] = {}
         self._is_seen = False
 
-    def record_start(self, machine: str, is_doubtful: bool = False) -> None:
+    def record_start(self, machine: str, is_unconfirmed: bool = False) -> None:
         """Note that a machine's upkeep has begun, now at the latest; it may be back if doubtful."""
         now_s = get_loop_s()
-        former = self._lives.get(machine, "")
-        self._stays[machine] = _Stay(now_s, now_s + self._upkeep_s, former, is_doubtful)
+        previous = self._incarnations.get(machine, "")
+        self._downtimes[machine] = _Downtime(
+            now_s, now_s + self._upkeep_s, previous, is_unconfirmed
+        )
 
     def record_observation(
         self,
         machines: Mapping[str, Machine],
-        find_life: FindLife,
+        find_incarnation: FindIncarnation,
         begun: frozenset[str],
     ) -> None:
-        """Take in the machines as listed last; ``find_life`` tells whose host is heard of.
+        """Take in the machines as listed last; ``find_incarnation`` tells whose host is heard of.
 
         What is in upkeep has begun, by whoever's order.  What had ``begun`` under an earlier
         steward and is not up when machines are first seen may not be back since.
         """
         now_s = get_loop_s()
         for name, machine in machines.items():
-            is_left = not self._is_seen and name in begun and machine.state is not MachineState.UP
-            if machine.state is MachineState.UPKEEP or is_left:
-                self._stays.setdefault(name, _Stay(now_s, now_s, is_doubtful=is_left))
+            may_be_down = (
+                not self._is_seen and name in begun and machine.state is not MachineState.UP
+            )
+            if machine.state is MachineState.UPKEEP or may_be_down:
+                self._downtimes.setdefault(
+                    name, _Downtime(now_s, now_s, is_unconfirmed=may_be_down)
+                )
         self._is_seen = True
-        self._lives = {
-            name: find_life(machine) or machine.host_id for name, machine in machines.items()
+        self._incarnations = {
+            name: find_incarnation(machine) or machine.host_id for name, machine in machines.items()
         }
-        self._stays = {
-            name: stay
-            for name, stay in self._stays.items()
-            if name in machines and not self._is_back(machines[name], stay, find_life)
+        self._downtimes = {
+            name: downtime
+            for name, downtime in self._downtimes.items()
+            if name in machines and not self._is_back(machines[name], downtime, find_incarnation)
         }
 
     def list_down(self, machines: Iterable[str]) -> frozenset[str]:
         """Return those of some machines that are not back."""
-        return frozenset(name for name in machines if name in self._stays)
+        return frozenset(name for name in machines if name in self._downtimes)
 
-    def list_doubtful(self, machines: Iterable[str]) -> frozenset[str]:
+    def list_unconfirmed(self, machines: Iterable[str]) -> frozenset[str]:
         """Return those of some machines that are not known to be back, and may be."""
-        return frozenset(name for name in self.list_down(machines) if self._stays[name].is_doubtful)
+        return frozenset(
+            name for name in self.list_down(machines) if self._downtimes[name].is_unconfirmed
+        )
 
-    def _is_back(self, machine: Machine, stay: _Stay, find_life: FindLife) -> bool:
+    def _is_back(
+        self, machine: Machine, downtime: _Downtime, find_incarnation: FindIncarnation
+    ) -> bool:
         now_s = get_loop_s()
-        if now_s < stay.until_s or machine.state is MachineState.UPKEEP:
+        if now_s < downtime.until_s or machine.state is MachineState.UPKEEP:
             return False
-        if now_s >= stay.since_s + self._upkeep_s + BACK_LATE_MAX_S:
+        if now_s >= downtime.since_s + self._upkeep_s + RETURN_DELAY_MAX_S:
             return True
-        life = find_life(machine)
-        is_former = life != "" and life == stay.former_life
-        return machine.state is MachineState.UP and life is not None and not is_former
+        incarnation = find_incarnation(machine)
+        is_previous = incarnation != "" and incarnation == downtime.previous_incarnation
+        return machine.state is MachineState.UP and incarnation is not None and not is_previous
--- a/src/robinthread/_internal/node/wave_tracker.py
+++ b/src/robinthread/_internal/node/wave_tracker.py
@@ -12,7 +12,7 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.node.environment import PlatformRecords
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.upkeep_tracker import FindLife, UpkeepTracker
+from robinthread._internal.node.upkeep_tracker import FindIncarnation, UpkeepTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
 
@@ -35,8 +35,8 @@
         self._records = records
         self._events = events
         self._begun: dict[int, set[str]] = {}
-        self._returns = UpkeepTracker(upkeep_s)
-        self._shown: dict[int, bool] = {}
+        self._upkeep_tracker = UpkeepTracker(upkeep_s)
+        self._published: dict[int, bool] = {}
 
     def load(self, records: Iterable[KeyedRecord]) -> None:
         """Take in what earlier stewards recorded."""
@@ -50,7 +50,7 @@
 
     async def record_start(self, wave: int, machine: str) -> None:
         """Record that a machine's upkeep has begun."""
-        self._returns.record_start(machine)
+        self._upkeep_tracker.record_start(machine)
         begun = self._begun.setdefault(wave, set())
         begun.add(machine)
         await self._journal.write([make_wave_record(wave, begun)])
@@ -58,11 +58,15 @@
     def record_earlier_orders(self, machines: Iterable[str]) -> None:
         """Note which machines an earlier steward may have just ordered, by its record."""
         for machine in self._list_begun(machines):
-            self._returns.record_start(machine, is_doubtful=True)
+            self._upkeep_tracker.record_start(machine, is_unconfirmed=True)
 
-    def record_observation(self, machines: Mapping[str, Machine], find_life: FindLife) -> None:
-        """Take in the machines as listed last; ``find_life`` tells whose host is heard of."""
-        self._returns.record_observation(machines, find_life, self._list_begun(machines))
+    def record_observation(
+        self, machines: Mapping[str, Machine], find_incarnation: FindIncarnation
+    ) -> None:
+        """Take in the machines as listed last; ``find_incarnation`` finds their hosts."""
+        self._upkeep_tracker.record_observation(
+            machines, find_incarnation, self._list_begun(machines)
+        )
 
     def _list_begun(self, machines: Iterable[str]) -> frozenset[str]:
         return frozenset(machines) & frozenset().union(*self._begun.values())
@@ -83,12 +87,12 @@
     def make_view(
         self,
         wave: UpkeepWave,
-        seen_at_s: float,
+        first_seen_at_s: float,
         machines: dict[str, Machine],
         under_way: Mapping[str, object],
         unsettled: Mapping[str, int],
     ) -> WaveView:
-        """Return a wave, first seen at ``seen_at_s``, as the planner sees it.
+        """Return a wave, first seen at ``first_seen_at_s``, as the planner sees it.
 
         The upkeep of ``unsettled`` machines, each for a wave, may begin without any order of
         this steward, also while it has one moved.
@@ -99,7 +103,7 @@
         open_orders = {
             name for name in members & unsettled.keys() if not self.has_begun(unsettled[name], name)
         }
-        own = frozenset(
+        unsettled_here = frozenset(
             name for name in open_orders - under_way.keys() if unsettled[name] == wave.number
         )
         return WaveView(
@@ -107,10 +111,12 @@
             machines=members,
             pending=pending,
             at_once_max=wave.at_once_max,
-            down=self._returns.list_down(members) | ordered | (open_orders - own),
-            left_s=seen_at_s + wave.duration_s - get_loop_s(),
-            unsettled=own,
-            unconfirmed=(self._returns.list_doubtful(members) | open_orders) - ordered - own,
+            down=self._upkeep_tracker.list_down(members) | ordered | (open_orders - unsettled_here),
+            left_s=first_seen_at_s + wave.duration_s - get_loop_s(),
+            unsettled=unsettled_here,
+            unconfirmed=(self._upkeep_tracker.list_unconfirmed(members) | open_orders)
+            - ordered
+            - unsettled_here,
         )
 
     async def publish_status(
@@ -119,9 +125,9 @@
         """Write the status of each wave where it has changed."""
         for wave in waves:
             is_done = not self.get_pending(wave, machines)
-            if self._shown.get(wave.number) is not is_done:
+            if self._published.get(wave.number) is not is_done:
                 await self._status_journal.write(
                     [self._records.make_wave_status(wave.number, is_done)]
                 )
-                self._shown[wave.number] = is_done
+                self._published[wave.number] = is_done
                 self._events.write("wave_shown", wave=wave.number, is_done=is_done)
--- a/tests/lib/caller_calls.py
+++ b/tests/lib/caller_calls.py
@@ -66,7 +66,7 @@
 
     def configure(self, **config: Any) -> None:
         """Have a configuration in force, as the operators write it."""
-        self.holder._take_config(parse_config(json.dumps(config).encode()))
+        self.holder._apply_config(parse_config(json.dumps(config).encode()))
 
     async def call(
         self, method: str, path: str, key: str | None = None, authorization: str | None = None
