--- a/src/robinthread/_internal/node/__init__.py
+++ b/src/robinthread/_internal/node/__init__.py
@@ -1,1 +1,1 @@
-"""The process that runs on each entry host: it takes jobs in and owns pools."""
+"""The node process on each entry host: it accepts jobs from callers and owns pools."""
--- a/src/robinthread/_internal/node/advice_fetcher.py
+++ b/src/robinthread/_internal/node/advice_fetcher.py
@@ -1,4 +1,4 @@
-"""Asking which hosts may run the steps that wait."""
+"""Requests to the advice service: which hosts may run the waiting steps."""
 
 import asyncio
 from typing import Final
@@ -11,24 +11,24 @@
 from robinthread._internal.models.step_key import StepKey
 from robinthread._internal.node.pool_runtime import PoolRuntime, get_loop_s
 
-# Hosts asked about in one call: an answer takes longer with each one.
+# Limits the hosts in one call, because the response time grows with their number.
 HOSTS_PER_CALL_MAX: Final = 30
-# How often steps that need advice are looked for, and the pause after a failed call.
+# How often waiting steps are checked for missing tickets, and the pause after a failed call.
 POLL_PERIOD_S: Final = 0.05
 RETRY_PAUSE_S: Final = 0.2
-# Added to the time that an answer should take: the way, and calls that wait before.
+# Added to the expected response time, for network latency and for calls queued before this one.
 TIMEOUT_SLACK_S: Final = 1.0
 
 
 class AdviceFetcher:
-    """Gets tickets for a pool's waiting steps, one call after the other."""
+    """Fetches tickets for the waiting steps of a pool, with one call at a time."""
 
     def __init__(self, runtime: PoolRuntime, calls: AdviceCalls) -> None:
         self._runtime = runtime
         self._calls = calls
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Fetch tickets until cancelled."""
         while True:
             found = self._find_next()
             if found is None:
@@ -37,9 +37,10 @@
             await self._request_advice(*found)
 
     def _find_next(self) -> tuple[StepKey, AdvicePolicy, dict[str, str]] | None:
-        """Return the most urgent step that lacks a ticket, and the hosts to ask about.
+        """Return the most urgent step that lacks tickets, its policy and the hosts to request.
 
-        The service knows hosts by their ids; a ticket is for the life that each has now.
+        The hosts map their ids, by which the service knows them, to their current incarnations,
+        for which the tickets are valid.  Return None if no step lacks a ticket.
         """
         pool, now_s = self._runtime.jobs, get_loop_s()
         if not any(pool.jobs[key.job_id].policy.advice for key in pool.waiting):
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -1,4 +1,4 @@
-"""Putting the parts of a node together."""
+"""Creates the components of a node and connects them."""
 
 import asyncio
 from dataclasses import dataclass
@@ -32,18 +32,18 @@
 from robinthread._internal.node.steward import Steward
 
 RETRY_PAUSE_S: Final = 0.2
-# Hosts' entries change with every heartbeat of any host, so they are read in turns.
-# A leaving host must get no work after 2 s; a new one should get some soon.
+# Each heartbeat of a host changes its entry, so the host list is polled at this interval.  A
+# leaving host must get no work after 2 s, and a new host should get work soon.
 HOSTS_PERIOD_S: Final = 0.3
-# While machines are on their way the list is read more often: each tenth of a second
-# that a new host waits is one that jobs wait too.
+# While machines are coming up, the host list is polled faster for HOSTS_FAST_S: jobs wait as long
+# as a new host goes unnoticed.
 HOSTS_FAST_PERIOD_S: Final = 0.08
 HOSTS_FAST_S: Final = 0.5
 
 
 @dataclass(frozen=True)
 class AssembledNode:
-    """A node and the parts that its listeners speak to."""
+    """A node and the components that its listeners and metrics use."""
 
     node: Node
     job_service: JobService
@@ -58,15 +58,16 @@
 def assemble_node(
     settings_holder: SettingsHolder, environment: NodeEnvironment, me: Member
 ) -> AssembledNode:
-    """Make a node and start what it does on its own; must run on an event loop."""
+    """Create a node and start its tasks.  Requires a running event loop."""
     loop = asyncio.get_running_loop()
     settings = settings_holder.settings
     events, store, records = environment.events, environment.store, environment.records
     config_holder = ConfigHolder(records, events)
     job_index = JobIndex(events, ShareMeter(config_holder.get_share))
     host_directory = HostDirectory(records.parse_host, events)
-    # Only owners of pools need these: at a start of all nodes, 2 MB of jobs would fill a link
-    # of 5 Mbit/s for 3.3 s, and each node's first calls wait behind them.
+    # Only owners of pools need the inbox and the host list, so both followers start paused.  When
+    # all nodes start at once, 2 MB of jobs would occupy a link of 5 Mbit/s for 3.3 s and delay the
+    # first calls of each node by as much.
     inbox = KeyedFollower(store, INBOX_PARTITION, job_index.apply, events, is_paused=True)
     hosts = KeyedFollower(
         store,
@@ -159,7 +160,7 @@
 
 
 async def _read_to_end(follower: KeyedFollower) -> None:
-    """Read all that is there, trying until the store answers."""
+    """Read all records, retrying until the store responds."""
     while True:
         try:
             return await follower.read_to_end()
--- a/src/robinthread/_internal/node/config_holder.py
+++ b/src/robinthread/_internal/node/config_holder.py
@@ -1,4 +1,4 @@
-"""The newest configuration that this process has seen."""
+"""The latest fleet configuration and maintenance waves that this process has read."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,12 +13,13 @@
 
 
 class ConfigHolder:
-    """The configuration and the waves that the operators ask for.
+    """Holds the configuration and the maintenance waves that the operators published.
 
-    A version never goes back, whatever order records arrive in.  ``wave_seen_at_s`` is
-    when each wave was first seen here, by the event loop's clock: every node follows the
-    waves, so that a new steward knows how much of their time has gone.  ``limit_lowered_in`` is the
-    version in which a workspace's limit last fell here: more may run than it allows.
+    The version never decreases, whatever the order in which records arrive.  ``wave_seen_at_s``
+    is when this node first read each wave, by the event loop's clock.  Every node follows the
+    waves, so that a new steward knows how much of their duration has passed.
+    ``limit_lowered_in`` is, by workspace, the configuration version that last lowered its limit
+    while this process ran: more of its tasks may be running than the new limit allows.
     """
 
     def __init__(self, records: PlatformRecords, events: EventLog) -> None:
@@ -31,12 +32,12 @@
         self.changed = asyncio.Event()
 
     def get_share(self, workspace: str) -> float:
-        """Return a workspace's share in jobs a second, 0 where it has none."""
+        """Return the share of a workspace in jobs per second, 0 if it has none."""
         found = self.config.workspaces.get(workspace) if self.config is not None else None
         return 0.0 if found is None else found.share_jobs_per_s
 
     def apply(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
-        """Take in what the operators wrote; a key that expired changes nothing."""
+        """Apply records of the operators.  A record that expired changes nothing."""
         for record in records:
             if record.value is not None:
                 self._apply_one(record.key, record.value)
@@ -99,7 +100,7 @@
             )
 
     def _log_key_changes(self, before: FleetConfig, config: FleetConfig) -> None:
-        """Tell which workspaces lost or gained keys, never the keys."""
+        """Log which workspaces have gained or lost API keys, without the keys."""
         for name in sorted(before.workspaces.keys() | config.workspaces.keys()):
             had, has = (
                 one.workspaces[name].key_digests if name in one.workspaces else frozenset()
--- a/src/robinthread/_internal/node/context.py
+++ b/src/robinthread/_internal/node/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a node share."""
+"""Interfaces and state that all components of a node share."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True)
 class NodeContext:
-    """The outside of a node and what it has read there.
+    """External interfaces of a node and the data that it has read from them.
 
-    ``read_inbox_once`` reads all jobs that were handed in before the call, or
-    raises ``StoreError``; ``read_inbox_to_end`` tries until it can.
-    ``read_hosts_to_end`` does the same for the list of hosts; ``poll_hosts_faster``
-    has that list read more often for a while.
-    ``get_owners_unconfirmed_s`` returns for how long the store has not confirmed who
-    owns what, ``get_hosts_unconfirmed_s`` the same for what hosts say of themselves, and
-    ``get_wall_ms`` Unix time in milliseconds.
+    ``read_inbox_once`` reads all jobs that were accepted before the call, or raises
+    ``StoreError``.  ``read_inbox_to_end`` does the same, but retries until it succeeds, and
+    ``read_hosts_to_end`` so reads the list of hosts.  ``poll_hosts_faster`` shortens for a while
+    the interval at which that list is polled.
+    ``get_owners_unconfirmed_s`` returns the seconds since the store last confirmed the table of
+    pool owners, and ``get_hosts_unconfirmed_s`` the same for the list of hosts.  ``get_wall_ms``
+    returns Unix time in milliseconds.
     """
 
     settings_holder: SettingsHolder
@@ -49,5 +49,5 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """Return the settings in force now."""
+        """Return the settings that are in force now."""
         return self.settings_holder.settings
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -1,4 +1,4 @@
-"""Which node owns which pool."""
+"""Decides which pools this node should acquire."""
 
 import asyncio
 from collections import Counter
@@ -13,16 +13,16 @@
 from robinthread._internal.telemetry.event_log import EventLog
 from robinthread._internal.utils.rendezvous import get_rendezvous_weight
 
-# The pool of no hosts whose owner gives all orders for machines.
+# A pool without hosts: its owner is the steward, which gives all orders for machines.
 FLEET_POOL: Final = "fleet/machines"
 
 
 class Election:
-    """Tells which pools this node should take.
+    """Selects the pools that this node should acquire.
 
-    The members tell who lives; ownership itself is one record a pool, taken under a
-    condition, so a wrong guess here costs time and no safety.
-    ``is_acquiring`` is false once this node stops: nobody here would own what it took.
+    The group membership shows which nodes are alive.  Ownership itself is one record per pool
+    that is written conditionally, so a wrong guess here costs time but not safety.
+    ``is_acquiring`` is false once this node stops, because it would not open the pool.
     """
 
     def __init__(
@@ -46,26 +46,26 @@
 
     @property
     def may_acquire(self) -> bool:
-        """Tell whether the store serves this node and it is to stay."""
+        """Tell whether the store serves this node, its member list is settled and it stays."""
         return self._member.is_served and self.is_acquiring and self._member.is_settled
 
     def get_missing_s(self, pool: str) -> float | None:
-        """Return for how long a pool's last owner was no member; None where it was one."""
+        """Return for how long a pool's last owner has been missing; None if it is not missing."""
         previous = self._table.previous.get(pool)
         return None if previous is None else self._owner_liveness.get_missing_s(previous.owner)
 
     def has_ended(self, pool: str) -> bool:
-        """Tell whether another life answers where a pool's last owner was."""
+        """Tell whether another incarnation responds at the address of a pool's last owner."""
         previous = self._table.previous.get(pool)
         return previous is not None and self._owner_liveness.has_ended(previous.owner)
 
     def get_pools_to_acquire(self) -> list[str]:
-        """Return the pools that have no living owner and that this node is to take."""
+        """Return the pools without a live owner that this node should acquire, by name."""
         config = self._config_holder.config
         if config is None or not self.is_acquiring or not self._member.is_served:
             return []
         if not self._member.is_settled or not self._member.is_listed:
-            # What it took now, others would take from it: they do not see it.
+            # Other nodes do not see this node in the list and would replace it as an owner at once.
             return self._get_pools_of_previous_incarnation()
         wanted = sorted([*config.pools, FLEET_POOL])
         self._owner_liveness.retain_only(
@@ -88,11 +88,12 @@
         ]
 
     def get_restarted_owners(self) -> dict[str, Member]:
-        """Return, by pool, the newer life of its owner's node, where that one is listed.
+        """Return, by pool, the newer listed incarnation of its owner's node.
 
-        After a stop of all nodes each former owner takes its pool under a condition that
-        only one of them meets at a time: whoever is first takes for the others too.  With
-        answers of 0.24 s, five pools are open 2.0 s after the start in place of 4.3 s.
+        After a stop of all nodes each previous owner acquires its pool again by a conditional
+        write that only one node at a time can complete, so the first writer records the
+        incarnations of the other nodes too.  With store latencies of 0.24 s, five pools opened
+        2.0 s after the start instead of 4.3 s.
         """
         members = self._member.members
         newest = sorted(members, key=lambda member: member.started_at_ms)
@@ -111,13 +112,13 @@
     def _rank_candidates(
         self, pools: Iterable[str], live_members: Collection[Member], loads: Counter[Member]
     ) -> dict[str, list[Member]]:
-        """Order, for each pool, the members that may take it, the one that is to do so first.
+        """Rank, for each pool, the members that may acquire it; the first one should do so.
 
-        All that see the same members come to the same, whatever they know of the owners.
+        All nodes with the same list of members rank them alike, whatever ownership they have read.
         """
         rankings = {}
         for pool in pools:
-            # One that gave the pool back is stopping, or could not serve it.
+            # A node that released the pool is stopping or failed to open it.
             released = self._table.owners.get(pool)
             candidates = (
                 set(live_members) - {released.owner} if released is not None else live_members
@@ -129,7 +130,7 @@
     def _order_members(
         self, pool: str, members: Collection[Member], loads: Mapping[Member, int]
     ) -> list[Member]:
-        """Order members by the load that each would have for its capacity with the pool."""
+        """Rank members by the load relative to their capacity that the pool would give them."""
 
         def rank(member: Member) -> tuple[float, bytes]:
             capacity = member.capacity_millicores if self._policy.weighs_capacity else 1
@@ -138,7 +139,7 @@
         return sorted(sorted(members), key=rank)
 
     def _find_lost_owners(self, rankings: Mapping[str, Sequence[Member]]) -> frozenset[Member]:
-        """Note the owners that are missing, and return those that are gone."""
+        """Log owners that are newly missing, and return those that are confirmed lost."""
         ranks: dict[Member, int] = {}
         for pool, ranking in rankings.items():
             found = self._table.get(pool)
@@ -154,7 +155,7 @@
         return frozenset(owner for owner, rank in ranks.items() if is_confirmed_lost(owner, rank))
 
     def _get_pools_of_previous_incarnation(self) -> list[str]:
-        """Return the pools of this node's former life: that one has surely ended."""
+        """Return the pools of this node's previous incarnation, which has certainly ended."""
         return [
             pool
             for pool in self._table.owners
@@ -164,7 +165,7 @@
         ]
 
     def _is_owner_unlisted(self, pool: str) -> bool:
-        """Tell whether no member that is listed owns a pool."""
+        """Tell whether a pool has no owner among the listed members."""
         found = self._table.get(pool)
         if found is None:
             return True
@@ -174,10 +175,10 @@
         return True
 
     def _has_no_owner(self, pool: str, lost_owners: Collection[Member]) -> bool:
-        """Tell whether a pool, whose owner is not listed, has none any more."""
+        """Tell whether a pool whose owner is not listed has certainly lost that owner."""
         found = self._table.get(pool)
-        # This node has begun another life, so the old one has ended.  Of another node the
-        # list does not tell: the life that it names may be the former one.
+        # This node has restarted, so its previous incarnation has ended.  For another node the
+        # list is no proof: the incarnation that it names may be the previous one.
         return found is None or found.owner.node == self._me.node or found.owner in lost_owners
 
     def _log_missing(self, pool: str, owner: Member) -> None:
--- a/src/robinthread/_internal/node/environment.py
+++ b/src/robinthread/_internal/node/environment.py
@@ -1,4 +1,4 @@
-"""The outside of a node, as plain functions and protocols."""
+"""External interfaces of a node, as functions and protocols."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -17,10 +17,9 @@
 
 @dataclass(frozen=True)
 class PlatformRecords:
-    """What others keep in the store, where it lies and how it is read.
+    """Where the records of the platform and of the operators are stored and how they are parsed.
 
-    Waves have keys that begin with ``wave_prefix``.  The parsers raise
-    ``msgspec.MsgspecError``.
+    Keys of waves begin with ``wave_prefix``.  The parsers raise ``msgspec.MsgspecError``.
     """
 
     operators_partition: Partition
@@ -36,9 +35,9 @@
 
 @dataclass(frozen=True)
 class NodeEnvironment:
-    """Interfaces that a node works through; tests put stand-ins here.
+    """External interfaces of a node; tests replace them by stand-ins.
 
-    ``get_wall_ms`` returns Unix time in milliseconds; ``policy`` is how it decides.
+    ``get_wall_ms`` returns Unix time in milliseconds.  ``policy`` holds the scheduling policies.
     """
 
     store: Store
--- a/src/robinthread/_internal/node/fleet_view_builder.py
+++ b/src/robinthread/_internal/node/fleet_view_builder.py
@@ -1,4 +1,4 @@
-"""Making what the planner sees, from the list of machines, the pools' reports and the orders."""
+"""Builds the planner's view from the machine list, the pool reports and the open orders."""
 
 from collections.abc import Mapping
 
@@ -18,7 +18,7 @@
 
 
 class FleetViewBuilder:
-    """Makes views of the fleet; ``machines`` are those of the last list, by name."""
+    """Builds views of the fleet; ``machines`` is the last machine list, by machine name."""
 
     def __init__(self, context: NodeContext, orders: MachineOrders, waves: WaveTracker) -> None:
         self._context = context
@@ -29,7 +29,7 @@
         self.machines: dict[str, Machine] = {}
 
     def record_listing(self, listed: tuple[Machine, ...], requested_at_s: float) -> None:
-        """Take in a list of machines that was asked for at a time."""
+        """Apply a list of machines that was requested at ``requested_at_s``."""
         self.machines = {machine.name: machine for machine in listed}
         self._new_machines.record_listing(listed, self._orders.previously_ordered)
         self._orders.record_listing(requested_at_s)
@@ -37,17 +37,17 @@
         self._ended_incarnations.record_listing(self.machines, get_loop_s())
 
     def list_ended_hosts(self, pool: str) -> tuple[str, ...]:
-        """Return the hosts of a pool that have surely ended of late."""
+        """Return the hosts of a pool that are confirmed to have ended recently."""
         if not self._context.policy.fleet.ends_lost_hosts:
             return ()
         return self._ended_incarnations.list_for_pool(pool)
 
     def list_waves(self) -> list[UpkeepWave]:
-        """Return the waves that the operators ask for."""
+        """Return the maintenance waves that the operators published."""
         return list(self._context.config_holder.waves.values())
 
     def build(self, reports: Mapping[str, PoolReport]) -> FleetView:
-        """Make a view from what the pools' owners report now."""
+        """Build a view from the current status reports of the pools' owners."""
         config = self._context.config_holder.config
         assert config is not None
         silent_halls: frozenset[str] = frozenset()
@@ -92,7 +92,7 @@
     def _find_incarnation(
         self, machine: Machine, config: FleetConfig, incarnations: Mapping[str, str]
     ) -> str | None:
-        """Return the life of a machine's host, None for one not heard of; a reserve has none."""
+        """Return the incarnation of a machine's host: "" in a reserve, None if not reported yet."""
         pool = config.pools.get(machine.pool)
         if pool is not None and pool.is_reserve:
             return ""
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -1,4 +1,4 @@
-"""Being a member of the store's group, and knowing who else is one."""
+"""Membership of this node in the store's group, and the list of the other members."""
 
 import asyncio
 import math
@@ -15,45 +15,43 @@
 from robinthread._internal.telemetry.event_log import EventLog
 
 GROUP: Final = "robinthread"
-# Only members that hold a partition are listed.  A topic has as few as twelve, and each is
-# dealt by itself among the members that joined with it: where all join with the same ones,
-# some never hold any (6 of 37 with eight topics).  So each node joins with one topic, at
-# first one of these,
+# The store lists only members that hold a partition.  A topic has as few as twelve partitions, and
+# the store assigns those of each topic separately among the members that joined with it.  If all
+# nodes joined with the same topics, some would never hold a partition (6 of 37 nodes with eight
+# topics).  So each node joins with a single topic, at first with one of the first FIRST_TOPICS.
 FIRST_TOPICS: Final = 8
-# and where it is not listed with the one that follows so many later; the store has room for
-# 100 topics in all.
+# A node that is not listed moves on by FIRST_TOPICS topics.  The store allows 100 topics in all.
 TOPICS_MAX: Final = 64
-# How often a member says that it lives.
+# Interval at which a member renews its membership by joining again.
 JOIN_PERIOD_S: Final = 0.3
-# A member is gone that has said nothing for so long, and a node that no list has named for
-# as long joins with another topic: a partition passes on when its holder has joined twice.
+# A member expires when it has not joined for this long.  A node that has not been listed for as
+# long joins with another topic: a partition is reassigned once its holder has joined twice.
 MEMBER_TIMEOUT_MIN_S: Final = 1.0
-# Where the store takes long, joins arrive that much more rarely: so many of them may be
-# due before a member is gone.  With 1 s at answers of 0.6 s, living members were taken as
-# gone 11 times in 30 s.
+# With a slow store, joins arrive less often, so a member expires only after it has missed this many
+# joins.  With a timeout of 1 s and store latencies of 0.6 s, live members expired 11 times in 30 s.
 MEMBER_TIMEOUT_JOINS: Final = 3
-# A member that is gone is noticed after so long at the latest: half of the time for which
-# an owner goes on without the store.
+# Upper bound of the timeout of a member: half of the time for which an owner continues without
+# the store.
 MEMBER_TIMEOUT_MAX_S: Final = 3.0
-# How often a member tries whom the store does not serve.
+# Interval between joins while the store does not serve this node.
 REJOIN_PERIOD_S: Final = 0.1
-# What the longest time between two joins counts for at the next one: a tenth is left after
-# ten joins, some 3 s at the usual pace.
+# Factor by which the longest interval between joins decays with each join: a tenth remains after
+# ten joins, which is about 3 s at the regular interval.
 GAP_DECAY: Final = 0.8
-# After so many failures in a row, over so long, the store does not serve this node: one
-# answer may be lost, and a node that is turned away fails many times in a moment.
+# The store counts as not serving this node after FAILURES_MIN failures in a row that span at least
+# FAILING_MIN_S: a single response may be lost, and a rejected node fails many times in a moment.
 FAILURES_MIN: Final = 2
 FAILING_MIN_S: Final = 0.2
-# How long the members must have been seen without a gap before one counts as missing.
+# Time without a gap in the member lists before a missing member counts as missing.
 SETTLE_S: Final = 0.6
 
 
 class GroupMember:
-    """Keeps this node a member; ``members`` are those that the store listed last.
+    """Keeps this node a member of the group; ``members`` is the last list from the store.
 
-    ``listed_at_s`` is when that was, by the event loop's clock.  ``is_listed`` tells whether
-    this node was among them: others do not see it otherwise.  ``join_latency`` is that of joins,
-    which it makes all the time.
+    ``listed_at_s`` is when the store returned that list, by the event loop's clock.
+    ``is_listed`` is true if the list has this node, which is how other nodes see it.
+    ``join_latency`` is the latency of its joins, which it repeats all the time.
     """
 
     def __init__(
@@ -89,9 +87,9 @@
         self.is_leaving = False
 
     async def run(self) -> None:
-        """Stay a member until cancelled or left.
+        """Renew the membership until cancelled or ``leave`` is called.
 
-        Members are listed beside that: a join that waits for a list comes late.
+        The members are listed in a task of their own, because a slow list would delay the joins.
         """
         listing = asyncio.create_task(self._run_listing())
         try:
@@ -107,34 +105,34 @@
             listing.cancel()
 
     async def leave(self) -> None:
-        """Stop being a member; a join under way must not follow."""
+        """Leave the group, once a join in progress has finished, and do not join again."""
         self.is_leaving = True
         async with self._join_lock:
             await self._store.leave(GROUP, self._name)
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether the store does not serve this node."""
+        """Tell whether joins have failed for long enough to count as not served."""
         failing_s = asyncio.get_running_loop().time() - self._failing_since_s
         return self._failure_count >= FAILURES_MIN and failing_s >= FAILING_MIN_S
 
     @property
     def is_within_ttl(self) -> bool:
-        """Tell whether the store has heard this node within its time to live."""
+        """Tell whether this node has joined within its time to live."""
         return not self.is_leaving and self.get_store_silence_s() < self._get_ttl_ms() / 1000
 
     @property
     def is_served(self) -> bool:
-        """Tell whether the store answered this node's last join."""
+        """Tell whether the last join of this node succeeded."""
         return not self._failure_count and self._steady_since_s != math.inf
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the members have been heard for a while without a gap."""
+        """Tell whether this node has followed the members for SETTLE_S without a gap."""
         return asyncio.get_running_loop().time() - self._steady_since_s >= SETTLE_S
 
     def get_store_silence_s(self) -> float:
-        """Return for how long the store has not answered this node."""
+        """Return the seconds since the store last responded to a join of this node."""
         return asyncio.get_running_loop().time() - self._joined_at_s
 
     def _get_pause_s(self, started_at_s: float) -> float:
@@ -143,7 +141,7 @@
         return max(0.0, started_at_s + JOIN_PERIOD_S - asyncio.get_running_loop().time())
 
     def _get_member_timeout_s(self) -> float:
-        """Return for how long a member may say nothing, at the pace of the last joins."""
+        """Return the seconds without a join after which a member expires at the current pace."""
         due_s = MEMBER_TIMEOUT_JOINS * self._join_gap_s
         return min(max(MEMBER_TIMEOUT_MIN_S, due_s), MEMBER_TIMEOUT_MAX_S)
 
@@ -182,14 +180,14 @@
             self._list_requested.set()
 
     def _record_join_gap(self, started_at_s: float) -> None:
-        """Note the time between two joins; the longest one counts less with each further join."""
+        """Record the interval between two joins; the longest one decays with each join."""
         gap_s = started_at_s - self._join_started_at_s
         if gap_s != math.inf:
             self._join_gap_s = max(gap_s, GAP_DECAY * self._join_gap_s)
         self._join_started_at_s = started_at_s
 
     async def _run_listing(self) -> None:
-        """List the members whenever that is wanted, until cancelled."""
+        """List the members on request until cancelled."""
         while True:
             await self._list_requested.wait()
             self._list_requested.clear()
@@ -200,7 +198,7 @@
                 await asyncio.sleep(REJOIN_PERIOD_S)
 
     def _record_list_failure(self, error: StoreError) -> None:
-        """Note that the members could not be listed: what was seen of them has a gap."""
+        """Record that listing the members failed, which is a gap in the observed members."""
         self._events.write("members_unread", error=f"{type(error).__name__}: {error}")
         self._owner_liveness.clear()
         if self._steady_since_s != math.inf:
@@ -212,7 +210,7 @@
         names = await self._store.list_members(GROUP)
         self.members = frozenset(filter(None, map(self._parse_member, names)))
         self.listed_at_s = asyncio.get_running_loop().time()
-        # A list that was asked for before the last failure says nothing of now.
+        # A list that was requested before the last failure may be out of date.
         self.is_listed = self._me in self.members and not self._failure_count
         if self.is_listed != self._was_listed:
             self._was_listed = self.is_listed
@@ -236,11 +234,11 @@
             return None
 
     def _change_topic(self) -> None:
-        """Join with another topic from now on: this one's partitions are all taken."""
+        """Use another topic for the next joins: all partitions of this one are assigned."""
         self._topic_joined_at_s = math.inf
         self._topic = (self._topic + FIRST_TOPICS) % TOPICS_MAX
 
 
 def get_topic(number: int) -> str:
-    """Return the name of a topic whose holders are members."""
+    """Return the name of the topic with this number."""
     return f"robinthread.members.{number}"
--- a/src/robinthread/_internal/node/loop_lag.py
+++ b/src/robinthread/_internal/node/loop_lag.py
@@ -1,17 +1,17 @@
-"""How late a node's event loop runs."""
+"""Measures the lag of the node's event loop."""
 
 import asyncio
 from typing import Final
 
-# A loop that comes back so late keeps hosts waiting: each has three orders under way.
+# A loop with more lag delays hosts, which have up to three orders in progress each.
 LAG_MAX_S: Final = 0.1
 SAMPLE_PERIOD_S: Final = 0.1
-# Weight of a new measurement: about the last half second counts.
+# Weight of a new sample: the average covers about the last half second.
 SAMPLE_WEIGHT: Final = 0.2
 
 
 class LoopLag:
-    """``lag_s`` is how late the loop has lately come back to what was due."""
+    """Measures, as ``lag_s``, the moving average of how late timers of the loop fire."""
 
     def __init__(self) -> None:
         self.lag_s = 0.0
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -1,4 +1,4 @@
-"""Giving orders for machines until they are answered."""
+"""Sends orders for machines and repeats them until the platform responds."""
 
 import asyncio
 import math
@@ -30,9 +30,9 @@
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pause before an order without answer is given again.
+# Pause before an order that got no response is repeated.
 RETRY_PAUSE_S: Final = 0.3
-# How long a machine that was busy, or did not fit, gets no order.
+# How long a machine that was busy or not suitable gets no order.
 BUSY_PAUSE_S: Final = 1.0
 
 Order = MoveOrder | UpkeepOrder
@@ -40,20 +40,20 @@
 
 
 class MachineOrders:
-    """Orders under way, those just done, and machines that get none for a while.
+    """Tracks orders in progress, orders just completed and machines that get no order for a while.
 
-    An order that was done counts as under way until a list of machines that was
-    asked for later shows what it did.  ``moved`` tells when a machine was last
-    moved, and to which pool, and ``previously_ordered`` what the last steward recorded.
+    A completed order counts as in progress until a machine list that was requested later shows
+    its effect.  ``moved`` is, by machine, when and to which pool it was last moved.
+    ``previously_ordered`` are the machines that the previous steward recorded.
 
-    What the last steward ordered is left alone for ``wait_s``, which is 0 where that one gives
-    no more orders.  The next one may have to wait all the same, and has to know what may be
-    coming up: what was ordered within ``turn_s`` or ``settle_s``, in which a machine comes up,
-    or is still tried, is recorded in any case.  Once nothing has been ordered for so long,
-    the record is emptied.
+    Machines that the previous steward ordered get no order for ``wait_s``, which is 0 if it
+    can give no more orders.  The next steward may have to wait in any case, and has to know
+    which machines may be coming up.  So the record always has the machines that were ordered
+    within ``turn_s`` or within ``settle_s``, in which a machine comes up or is still tried.  Once
+    that time has passed without an order, an empty record is written.
 
-    An order that went unanswered stays under way while it may be carried out late, whatever its
-    repetition is told.
+    An order without a response stays in progress as long as it may be executed late, whatever
+    the outcome of its repetition.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._is_stopped = False
 
     def load(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Leave the machines alone for a while that the last steward ordered."""
+        """Block the machines that the previous steward recorded for ``wait_s``."""
         now_s = get_loop_s()
         for record in records:
             try:
@@ -112,16 +112,17 @@
         self.unsettled.load(open_upkeep, has_previous_steward_ended=self._wait_s == 0)
 
     def list_blocked(self) -> frozenset[str]:
-        """Return the machines that are to get no order now."""
+        """Return the machines that must get no order now."""
         now_s = get_loop_s()
         paused = {name for name, until_s in self._paused_until_s.items() if now_s < until_s}
         return frozenset(self.under_way) | paused
 
     def list_leaving(self, known: Mapping[str, Machine]) -> frozenset[str]:
-        """Return the machines that may not stay where they are in the list.
+        """Return the machines that may be about to leave the pool in which they are listed.
 
-        One that the last steward moved stays where it is up in its pool, for a late order of
-        that steward would find it there; so does one that is up and whose upkeep has begun.
+        A machine that the previous steward moved does not count once it is up in its new pool, as
+        a late order of that steward would leave it there.  Neither does a machine that is up and
+        whose upkeep has begun.
         """
         return frozenset(self.under_way) | {
             name for name in self.list_blocked() if not self._has_arrived(known.get(name))
@@ -136,20 +137,20 @@
         return machine.pool == target.pool
 
     def record_listing(self, requested_at_s: float) -> None:
-        """Note that all orders done before a list was asked for show in it."""
+        """Drop orders that were completed before the machine list was requested."""
         for name in [name for name, done_s in self._done_at_s.items() if done_s < requested_at_s]:
             del self._done_at_s[name]
             self.under_way.pop(name, None)
 
     async def give(self, orders: tuple[Order, ...]) -> None:
-        """Record the machines that are about to be ordered, then give the orders."""
+        """Write a record of the machines to be ordered, then start the orders."""
         await self._write_record(orders)
         for order in orders:
             self.under_way[order.machine] = order
             self._spawn(self._execute(order))
 
     def drop_settled(self) -> None:
-        """Have the record emptied if all that it names was ordered long ago."""
+        """Start writing an empty record once ``settle_s`` has passed since the last order."""
         last_s = max(self._ordered_at_s.values(), default=-math.inf)
         is_open = self.under_way or self.unsettled.get_waves()
         is_settled = not is_open and get_loop_s() - last_s >= self._settle_s
@@ -158,7 +159,7 @@
             self._spawn(self._empty_record())
 
     def cancel(self) -> list[asyncio.Task[Any]]:
-        """Have all orders under way end, and return their tasks."""
+        """Cancel all orders in progress, and return their tasks."""
         self._is_stopped = True
         tasks = list(self._tasks)
         for task in tasks:
@@ -189,14 +190,14 @@
             self._recorded = recent
 
     async def _empty_record(self) -> None:
-        """Write an empty record; the journal writes that of the next orders after it."""
+        """Write an empty record; records of later orders follow it in the journal."""
         try:
             await self._journal.write([make_orders_record({})])
         except StoreFencedError:
             self._report_fenced("StoreFencedError")
 
     async def _execute(self, order: Order) -> None:
-        """Give an order until it is answered; one without answer may yet be done."""
+        """Send an order until it gets a response; one without may still be executed."""
         may_be_executed_until_s = -math.inf
         try:
             while not self._is_stopped:
@@ -211,7 +212,7 @@
                     self._report_fenced("MachineFencedError")
                 except MachineError as error:
                     self._log_outcome(order, _get_outcome(error), str(error))
-                    # This outcome does not tell what an earlier try without answer may yet do.
+                    # An earlier attempt without a response may still be executed.
                     if get_loop_s() < may_be_executed_until_s:
                         await asyncio.sleep(BUSY_PAUSE_S)
                         continue
@@ -223,7 +224,7 @@
         except StoreFencedError:
             self._report_fenced("StoreFencedError")
         finally:
-            # A slow store may have held this one up until the machine had its next order.
+            # While a slow store delayed this order, the machine may have got its next one.
             is_own = self.under_way.get(order.machine) is order
             if is_own and order.machine not in self._done_at_s:
                 del self.under_way[order.machine]
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -1,4 +1,4 @@
-"""A node: follows the store, takes jobs in, owns pools."""
+"""The main loop of a node, which acquires and releases pools."""
 
 import asyncio
 from collections.abc import Callable, Collection, Coroutine
@@ -21,12 +21,12 @@
 
 MakeSteward = Callable[[int, float], Steward]
 
-# How often a node looks whether there are pools to take, beside every change.
+# Interval of the main loop, which also runs at each change of the owner table.
 CHECK_PERIOD_S: Final = 0.2
 
 
 class Node:
-    """Takes pools that have no owner, and lets go of those that others took."""
+    """Acquires pools that have no owner, and closes those that others have acquired."""
 
     def __init__(
         self,
@@ -58,13 +58,13 @@
         self.is_stopping = False
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a task for the node's life."""
+        """Run a task that is cancelled with the node."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """End at once, as a process that is killed does."""
+        """Cancel everything at once, like a killed process."""
         for task in list(self._tasks):
             task.cancel()
         for owner in self._owned.owners.values():
@@ -73,7 +73,7 @@
             self._steward.cancel()
 
     async def run(self) -> None:
-        """Own what this node is to own until cancelled."""
+        """Run the main loop until cancelled."""
         while True:
             self._table.changed.clear()
             await self._drop_replaced()
@@ -86,7 +86,7 @@
             await wait_for_event(self._table.changed, CHECK_PERIOD_S)
 
     async def stop(self, budget: StopBudget) -> None:
-        """Give all pools back, so that others take them at once, once no order is made."""
+        """Stop all orders, then release all pools so that other nodes can acquire them at once."""
         self.is_stopping = True
         self._election.is_acquiring = False
         owners, self._owned.owners = self._owned.owners, {}
@@ -101,9 +101,9 @@
         await asyncio.gather(*(owner.stop(is_planned=True) for owner in owners))
 
     async def _transfer_if_cut_off(self) -> None:
-        """Pass on what is owned here while the store serves others and not this node.
+        """Transfer all pools while the store serves other nodes but not this one.
 
-        Owners stop first: the next ones need not wait for orders of theirs.
+        Their owners stop first, so the next owners need not wait for their orders.
         """
         served = self._handover.served
         if not self._member.is_cut_off or not served:
@@ -112,7 +112,7 @@
             await self._transfer(served[0], [*self._owned.owners, FLEET_POOL], is_planned=False)
 
     async def _rebalance(self) -> None:
-        """Pass a pool on that another node could carry more easily."""
+        """Transfer a pool that another node can serve better."""
         if self.is_stopping:
             return
         found = await self._rebalance_planner.plan_transfer()
@@ -124,7 +124,7 @@
             self._rebalance_planner.record_transfer()
 
     async def _transfer(self, new_owner: Member, pools: Collection[str], is_planned: bool) -> None:
-        """Stop owning pools here and have another node take them."""
+        """Stop the owners of pools on this node and request another node to take them over."""
         owners = [owner for pool, owner in self._owned.owners.items() if pool in pools]
         tokens = {owner.pool: owner.token for owner in owners}
         await asyncio.gather(*(self._close(owner, is_planned) for owner in owners))
@@ -135,7 +135,7 @@
             await self._handover.request_takeover(new_owner, tokens)
 
     async def _release_closed(self) -> None:
-        """Give back what is recorded as ours and closed for good: nobody else would take it."""
+        """Release pools that the table lists as owned here but that are permanently closed."""
         closed = [
             pool
             for pool, found in self._table.owners.items()
@@ -149,7 +149,7 @@
             await self._release(closed)
 
     async def _release_if_own(self, pool: str, token: int) -> None:
-        """Give back what is still ours but cannot be used any more."""
+        """Release a pool if the table still lists this node with this token."""
         found = self._table.owners.get(pool)
         if found is not None and found.token == token and found.owner == self._me:
             await self._release([pool])
@@ -161,13 +161,13 @@
             self._events.write("release_failed", pools=pools, error=str(error))
 
     async def _acquire_free_pools(self) -> None:
-        """Take the pools that are free, one by one: each take may change who takes the next."""
+        """Acquire free pools one by one, as each changes which node is to acquire the next."""
         while pools := self._election.get_pools_to_acquire():
             if not await self._acquire(pools[0]):
                 return
 
     async def _acquire(self, pool: str) -> bool:
-        """Take a pool; return whether that succeeded."""
+        """Acquire a pool; return whether that succeeded."""
         try:
             is_acquired = await self._table.acquire(
                 pool, self._me, self._election.get_restarted_owners()
@@ -206,11 +206,12 @@
             self.spawn(self._run_steward(self._steward))
 
     def _get_wait_s(self) -> float:
-        """Return for how long to leave alone what the last steward ordered.
+        """Return the seconds for which machines that the previous steward ordered get no order.
 
-        Two stewards that both reach the platform must not take turns.  One whose
-        process ends, or a former life of this one, gives no more orders.  That the last one
-        is no member proves nothing: one that lives may hold no partition.
+        Two stewards that both reach the platform must not give orders at the same time.  A
+        steward whose process is stopping, or that was a previous incarnation of this node, gives
+        no more orders.  That its node is not listed as a member proves nothing: a live node may
+        hold no partition.
         """
         previous = self._table.previous.get(FLEET_POOL)
         if previous is None or previous.is_stopping or previous.owner.node == self._me.node:
@@ -236,7 +237,7 @@
         await steward.stop()
 
     def _switch_followers(self) -> None:
-        """Follow hosts and jobs only while pools are owned here: each read is paid for."""
+        """Follow hosts and jobs only while this node owns pools, because each read has a cost."""
         for follower in self._followers:
             if self._owned.owners:
                 follower.resume()
@@ -266,7 +267,7 @@
         await self._release_if_own(owner.pool, owner.token)
 
     async def _close(self, owner: PoolOwner, is_planned: bool = False) -> None:
-        """Stop owning a pool under its token for good; as planned, record all first."""
+        """Close a pool permanently under its token; if planned, write all records first."""
         if self._owned.owners.get(owner.pool) is owner:
             self._closed_tokens[owner.pool] = owner.token
             del self._owned.owners[owner.pool]
--- a/src/robinthread/_internal/node/node_settings.py
+++ b/src/robinthread/_internal/node/node_settings.py
@@ -1,18 +1,18 @@
-"""Settings of a node: where it listens, what it may use, what bounds it keeps."""
+"""Settings of a node: its addresses, resources and time bounds."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class NodeBounds:
-    """Bounds that the deployment sets, all in the unit of the field's suffix.
+    """Bounds that the deployment sets, in the unit of each field's suffix.
 
-    ``lease_max_ms`` is the longest lease a host grants.  ``host_stop_ms`` is the
-    longest that a stop takes.  ``visible_ms`` is within how long an accepted job
-    is known at every node, ``config_apply_ms`` a configuration in force.
-    ``steward_turn_ms`` must pass between the orders of two stewards.
-    ``harm_ms`` is how long a serving task may be over its target because of its
-    neighbours, ``pace_ms`` how long a host takes to slow a task down.
+    ``lease_max_ms`` is the longest lease that a host grants.  ``host_stop_ms`` is the longest
+    duration of a stop.  ``visible_ms`` is the time within which every node knows of an accepted
+    job, ``config_apply_ms`` the same for a new configuration.
+    ``steward_turn_ms`` is the minimum time between the orders of two stewards.
+    ``harm_ms`` is how long the neighbours of a serving task may push it over its target, and
+    ``pace_ms`` how long a host takes to slow a task down.
     """
 
     lease_max_ms: float
@@ -50,8 +50,7 @@
 class NodeSettings:
     """Settings of one node.  Addresses are ``host:port``.
 
-    ``peer_ports`` is the range, both ends included, on which nodes may listen
-    for each other.
+    ``peer_ports`` is the inclusive range of ports on which nodes may listen for each other.
     """
 
     name: str
--- a/src/robinthread/_internal/node/open_requests.py
+++ b/src/robinthread/_internal/node/open_requests.py
@@ -1,18 +1,18 @@
-"""Callers' requests that were read and not answered yet."""
+"""Requests of callers that have been read but not answered yet."""
 
 import asyncio
 from typing import Protocol
 
 
 class Answerable(Protocol):
-    """A request that can be answered before its work is done."""
+    """A request that can be answered before it is fully processed."""
 
     def answer_early(self) -> None:
-        """Answer now with what is known."""
+        """Answer now with the state known so far."""
 
 
 class OpenRequests:
-    """The requests under way."""
+    """Tracks the requests that are in progress."""
 
     def __init__(self) -> None:
         self._open: set[Answerable] = set()
@@ -20,22 +20,22 @@
         self._none_open.set()
 
     def begin(self, request: Answerable) -> None:
-        """Note a request that was read."""
+        """Add a request that has been read."""
         self._open.add(request)
         self._none_open.clear()
 
     def end(self, request: Answerable) -> None:
-        """Note a request that was answered."""
+        """Remove a request that has been answered."""
         self._open.discard(request)
         if not self._open:
             self._none_open.set()
 
     async def wait_until_none(self) -> None:
-        """Wait until all are answered."""
+        """Wait until no request is open."""
         await self._none_open.wait()
 
     def answer_all_early(self) -> int:
-        """Answer what is left with what is known; return how many these were."""
+        """Answer all open requests with the state known so far; return their number."""
         left = list(self._open)
         for request in left:
             request.answer_early()
--- a/src/robinthread/_internal/node/peer_calls.py
+++ b/src/robinthread/_internal/node/peer_calls.py
@@ -1,4 +1,4 @@
-"""Asking other nodes."""
+"""Protocol of requests to other nodes, and their errors."""
 
 from typing import Final, Protocol, TypeVar
 
@@ -6,21 +6,21 @@
 
 T = TypeVar("T")
 
-# A peer answers from memory within some milliseconds; one that runs five times
-# slower needs some 50.
+# A peer responds from memory within a few milliseconds, or about 50 ms when it runs five times
+# slower.
 REQUEST_TIMEOUT_S: Final = 0.4
 
 
 class PeerUnreachableError(Exception):
-    """A peer gave no usable answer; it may have done what it was asked."""
+    """No usable response from a peer, which may still have processed the request."""
 
 
 class PeerUnsentError(PeerUnreachableError):
-    """The question did not reach the peer."""
+    """The request was not sent to the peer."""
 
 
 class PeerCalls(Protocol):
-    """Questions to other nodes; each ends in a bounded time."""
+    """Sends requests to other nodes; each call ends within its timeout."""
 
     async def send_request(
         self,
@@ -29,4 +29,8 @@
         response_type: type[T],
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
-        """Ask a node; raise ``PeerUnreachableError``."""
+        """Return a node's response, decoded as ``response_type``.
+
+        Raise ``PeerUnsentError`` if the request did not reach the node, and
+        ``PeerUnreachableError`` if there is no usable response within ``timeout_s``.
+        """
--- a/src/robinthread/_internal/node/peer_client.py
+++ b/src/robinthread/_internal/node/peer_client.py
@@ -1,4 +1,4 @@
-"""Asking other nodes over HTTP."""
+"""Requests to other nodes over HTTP."""
 
 from typing import TypeVar
 
@@ -16,7 +16,7 @@
 
 
 class PeerClient:
-    """Asks nodes over HTTP."""
+    """Sends requests to nodes over HTTP, encoded as MessagePack."""
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
@@ -28,7 +28,7 @@
         response_type: type[T],
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
-        """Ask a node; raise ``PeerUnreachableError``."""
+        """Return a node's response; raise ``PeerUnreachableError`` if there is none."""
         try:
             response = await call(
                 self._client,
@@ -37,7 +37,7 @@
                 body=msgspec.msgpack.encode(request),
             )
             if response.code != 200:
-                raise PeerUnreachableError(f"status {response.code}")
+                raise PeerUnreachableError(f"peer responded with HTTP status {response.code}")
             return msgspec.msgpack.decode(response.body, type=response_type)
         except CallUnsentError as error:
             raise PeerUnsentError(str(error)) from error
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, and the path on which each question is asked."""
+"""Messages between nodes, and the URL path of each type of request."""
 
 from typing import Final
 
@@ -8,18 +8,17 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a pool's owner for a job."""
+    """Requests the state of a job from the owner of its pool."""
 
     pool: str
     job_id: str
 
 
 class JobResponse(msgspec.Struct, frozen=True, array_like=True):
-    """What a pool's owner knows of a job.
+    """The state of a job, as the owner of its pool knows it.
 
-    ``pool`` is where the job belongs, "" where no such job was handed in.
-    ``status`` is "" where the one asked does not own that pool.  ``workspace`` tells whose
-    job it is.
+    ``pool`` is the pool of the job, "" if no such job was accepted.  ``status`` is "" if the
+    responding node does not own that pool.  ``workspace`` is the workspace of the job.
     """
 
     is_owner: bool
@@ -29,26 +28,27 @@
 
 
 class PendingCountsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a pool's owner for its pending jobs."""
+    """Requests the counts of pending jobs from the owner of a pool."""
 
     pool: str
 
 
 class PendingCountsResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Count of pending jobs of each queue that has any."""
+    """Number of pending jobs by queue, without the queues that have none."""
 
     is_owner: bool
     counts: dict[str, int] = {}
 
 
 class StoreStatusRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a node whether the store serves it."""
+    """Requests from a node whether the store serves it, and its load."""
 
 
 class StoreStatusResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Whether the store serves a node, how many pools it owns, how late its loop runs.
+    """Whether the store serves a node, the number of pools it owns and the lag of its event loop.
 
-    ``is_member`` tells whether the store has heard its ``incarnation`` within its time to live.
+    ``is_member`` is true if its ``incarnation`` has joined the store's group within its time to
+    live.
     """
 
     is_served: bool
@@ -59,33 +59,33 @@
 
 
 class TakeoverRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a node to take pools over; ``tokens`` are those of their owner, which has stopped."""
+    """Requests that a node take over pools whose owners, under ``tokens``, have stopped."""
 
     tokens: dict[str, int]
 
 
 class TakeoverResponse(msgspec.Struct, frozen=True, array_like=True):
-    """The pools that were taken over."""
+    """The pools that the node has taken over."""
 
     taken: tuple[str, ...]
 
 
 class OwnerStoppedRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a node whether it has stopped owning a pool under a token and any lower one."""
+    """Requests whether a node's owners of a pool, up to this token, have all stopped."""
 
     pool: str
     token: int
 
 
 class OwnerStoppedResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Whether all such owners at a node have stopped: they give no order any more."""
+    """Whether all those owners at a node have stopped, and so give no more orders."""
 
     node: str
     has_stopped: bool
 
 
 class RelayRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Ask a node to append a record to the inbox, within ``left_s`` seconds."""
+    """Requests that a node append a record to the inbox within ``left_s`` seconds."""
 
     key: str
     value: bytes
@@ -93,7 +93,7 @@
 
 
 class RelayResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Outcome of a relayed record: the value of a ``JobRequestOutcome``."""
+    """Outcome of a relayed record, as the value of a ``JobRequestOutcome``."""
 
     outcome: str
 
--- a/src/robinthread/_internal/node/peer_request_handler.py
+++ b/src/robinthread/_internal/node/peer_request_handler.py
@@ -1,4 +1,4 @@
-"""What a node answers to other nodes."""
+"""Handles requests from other nodes."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class PeerRequestHandler:
-    """Answers each kind of question with the part that knows."""
+    """Dispatches each type of request to the component that handles it."""
 
     def __init__(self, owned: OwnedPools, records: RecordWriter, handover: Handover) -> None:
         self._owned = owned
@@ -29,7 +29,7 @@
         self._handover = handover
 
     async def handle(self, request: msgspec.Struct) -> msgspec.Struct:
-        """Answer one question; raise ``TypeError`` for one of no known kind."""
+        """Return the response to a request; raise ``TypeError`` if its type has no handler."""
         match request:
             case JobRequest():
                 return await self._owned.handle_job(request)
@@ -45,7 +45,7 @@
                 return self._owned.handle_stopped(request)
             case RelayRequest():
                 return await self._relay(request)
-        raise TypeError(f"unknown question: {type(request).__name__}")
+        raise TypeError(f"no handler for peer requests of type {type(request).__name__}")
 
     async def _relay(self, request: RelayRequest) -> RelayResponse:
         deadline_s = asyncio.get_running_loop().time() + request.left_s
--- a/src/robinthread/_internal/node/peer_server.py
+++ b/src/robinthread/_internal/node/peer_server.py
@@ -1,4 +1,4 @@
-"""Answering other nodes over HTTP."""
+"""The HTTP server for requests from other nodes."""
 
 import msgspec
 from tornado.web import Application, RequestHandler
@@ -8,17 +8,17 @@
 
 
 class PeerHttpHandler(RequestHandler):
-    """Answers questions of one kind."""
+    """Serves one type of peer request."""
 
     def initialize(  # type: ignore[override]
         self, request_handler: PeerRequestHandler, request_type: type[msgspec.Struct]
     ) -> None:
-        """Take what answers, and the kind of question."""
+        """Set the request handler and the type of request."""
         self._request_handler = request_handler
         self._request_type = request_type
 
     async def post(self) -> None:
-        """Answer one question."""
+        """Serve a request; respond with 400 if its body cannot be decoded."""
         try:
             message = msgspec.msgpack.decode(self.request.body, type=self._request_type)
         except msgspec.MsgspecError:
@@ -29,7 +29,7 @@
 
 
 def make_peer_application(request_handler: PeerRequestHandler) -> Application:
-    """Make the listener for other nodes."""
+    """Return the application that serves requests from other nodes."""
     return Application(
         [
             (
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -1,4 +1,4 @@
-"""The process of a node: its real interfaces, its signals, its end."""
+"""The process of a node: its connections, listeners, signals and shutdown."""
 
 import asyncio
 import importlib
@@ -36,18 +36,18 @@
 from robinthread._internal.utils.http_call import make_client
 from robinthread._internal.utils.listener import listen
 
-# Connections to the store: one for each partition followed, some for appends.
+# Connections to the store: one for each partition that is followed, and some for appends.
 STORE_CONNECTIONS_MAX: Final = 64
-# Connections to hosts: a watch and some orders for each of some hundred hosts.
+# Connections to hosts: a watch and a few orders for each of a few hundred hosts.
 HOST_CONNECTIONS_MAX: Final = 1000
 PEER_CONNECTIONS_MAX: Final = 128
 MACHINE_CONNECTIONS_MAX: Final = 32
-# Each pool owned here asks one question at a time.
+# Each pool that the node owns has one advice request at a time.
 ADVICE_CONNECTIONS_MAX: Final = 16
-# The exporter takes 0.2 s of a core to load: after a restart of all nodes jobs go first.
+# Loading the exporter takes 0.2 s of CPU time; after a restart of all nodes, jobs take precedence.
 METRICS_DELAY_S: Final = 5.0
-# What the exporter is made of, loaded one by one: each holds the event loop for half of that
-# time or less, and between them calls are answered whose time-outs are as short as 0.3 s.
+# Modules of the exporter, loaded one by one.  Each blocks the event loop for at most half of that
+# time, and in between the node responds to calls with timeouts as short as 0.3 s.
 METRICS_MODULES: Final = (
     "prometheus_client",
     "opentelemetry.sdk.resources",
@@ -63,10 +63,10 @@
     begin_metrics: Callable[[NodeMetrics], Application],
     policy: PolicySettings,
 ) -> None:
-    """Run a node until SIGTERM; raise ``FaultError`` where its settings are not valid.
+    """Run a node until SIGTERM or SIGINT; raise ``FaultError`` if its settings are not valid.
 
-    Metrics are served on ``metrics_port`` where there is one, by what
-    ``begin_metrics`` returns once the node has had time to start.
+    If ``metrics_port`` is set, the application that ``begin_metrics`` returns serves metrics on
+    it from ``METRICS_DELAY_S`` after the start.
     """
     settings = read_settings()
     writer = LineWriter()
@@ -116,7 +116,7 @@
 def make_environment(
     settings: NodeSettings, events: EventLog, policy: PolicySettings
 ) -> NodeEnvironment:
-    """Make the real interfaces of a node."""
+    """Create the external interfaces of a node that connect to the real platform."""
     metrics = events.metrics
     machines_client = make_client(MACHINE_CONNECTIONS_MAX)
     return NodeEnvironment(
@@ -139,7 +139,7 @@
     events: EventLog,
     requests: OpenRequests,
 ) -> HTTPServer:
-    """Listen for the balancer, for other nodes and for callers; return the last."""
+    """Listen for the load balancer, for nodes and for callers; return the callers' server."""
     listen(make_ready_application(assembled.readiness.check), settings.ready_address)
     listen(make_peer_application(assembled.request_handler), peer_address)
     application = make_callers_application(
@@ -151,7 +151,7 @@
 async def _serve_metrics(
     begin_metrics: Callable[[NodeMetrics], Application], metrics: NodeMetrics, address: str
 ) -> None:
-    """Load the exporter, bit by bit, and serve it."""
+    """Load the modules of the exporter one by one, then serve metrics."""
     await asyncio.sleep(METRICS_DELAY_S)
     for name in METRICS_MODULES:
         importlib.import_module(name)
--- a/src/robinthread/_internal/node/readiness.py
+++ b/src/robinthread/_internal/node/readiness.py
@@ -1,4 +1,4 @@
-"""Whether callers should be sent to a node, and why not."""
+"""Readiness of a node for callers, with the reason if it is not ready."""
 
 from typing import Final
 
@@ -8,12 +8,12 @@
 from robinthread._internal.node.node import Node
 from robinthread._internal.telemetry.event_log import EventLog
 
-# A node without word from the store for so long is not ready for callers.
+# A node is not ready for callers if the store has not responded for longer than this.
 STORE_AGE_MAX_S: Final = 1.5
 
 
 class Readiness:
-    """Tells whether a node is ready, with a line at each change."""
+    """Checks whether a node is ready for callers, and logs each change."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._logged_obstacle: str | None = None
 
     def check(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Tell whether callers should be sent to this node."""
         obstacle = self._find_obstacle()
         if obstacle != self._logged_obstacle:
             self._logged_obstacle = obstacle
@@ -44,7 +44,7 @@
         if self._config_holder.config is None:
             return "no configuration"
         if not self._table.follower.first_read.is_set():
-            # It could tell no job's state: nobody knows here whom to ask.
+            # Without the owner table, this node cannot request the state of any job.
             return "owners not read"
         is_store_reachable = self._member.get_store_silence_s() < STORE_AGE_MAX_S
         return "" if is_store_reachable else "no word from the store"
--- a/src/robinthread/_internal/node/ready_server.py
+++ b/src/robinthread/_internal/node/ready_server.py
@@ -1,4 +1,4 @@
-"""Telling the balancer whether to send callers here."""
+"""The readiness endpoint for the load balancer."""
 
 from collections.abc import Callable
 
@@ -6,19 +6,19 @@
 
 
 class ReadyHandler(RequestHandler):
-    """Answers 200 where ready, 503 otherwise."""
+    """Responds with 200 if the node is ready, with 503 otherwise."""
 
     def initialize(self, is_ready: Callable[[], bool]) -> None:  # type: ignore[override]
-        """Take what tells."""
+        """Set the function that checks the readiness."""
         self._is_ready = is_ready
 
     def get(self) -> None:
-        """Answer the balancer."""
+        """Respond with the readiness status."""
         self.set_status(200 if self._is_ready() else 503)
         self.finish()
 
 
 def make_ready_application(is_ready: Callable[[], bool]) -> Application:
-    """Make the balancer's listener."""
+    """Return the application that serves ``/ready``."""
     arguments = {"is_ready": is_ready}
     return Application([("/ready", ReadyHandler, arguments)], log_function=lambda handler: None)
--- a/src/robinthread/_internal/node/settings_holder.py
+++ b/src/robinthread/_internal/node/settings_holder.py
@@ -1,4 +1,4 @@
-"""The newest settings of a node's process."""
+"""The current settings of a node's process."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,9 +9,9 @@
 from robinthread._internal.results import FaultError
 from robinthread._internal.telemetry.event_log import EventLog
 
-# The file may change without a signal; configuration is to be in force within 2 s.
+# The file may change without a signal, and a new configuration must be in force within 2 s.
 POLL_PERIOD_S: Final = 1.0
-# Fields that only a new process can follow: what it is, and where it listens.
+# Fields that take effect only after a restart: identity, addresses and limits of the store.
 FIXED_FIELDS: Final = frozenset(
     {"name", "ip", "hall", "caller_address", "ready_address", "peer_ports"}
     | {"store_address", "machines_address", "advice_address", "store"}
@@ -19,7 +19,7 @@
 
 
 class SettingsHolder:
-    """Settings that follow their file; those that are not valid change nothing."""
+    """Reloads the settings when their file changes; invalid settings are rejected."""
 
     def __init__(
         self, settings: NodeSettings, read: Callable[[], NodeSettings], events: EventLog
@@ -30,13 +30,13 @@
         self._last_error = ""
 
     async def run(self) -> None:
-        """Follow the file until cancelled."""
+        """Reload the settings periodically until cancelled."""
         while True:
             await asyncio.sleep(POLL_PERIOD_S)
             self.reload("file")
 
     def reload(self, cause: str) -> None:
-        """Read the file again, and write a line where that changes anything."""
+        """Read the file again; log changed or invalid settings, and each reload by signal."""
         try:
             settings = self._read()
         except FaultError as error:
--- a/src/robinthread/_internal/node/share_allocator.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -1,4 +1,4 @@
-"""Keeping, at the steward, what each pool may let each workspace take."""
+"""Allocates the limits of workspaces to the pools, at the steward."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -20,21 +20,22 @@
 )
 from robinthread._internal.telemetry.event_log import EventLog
 
-# A new steward that has not heard all pools waits so long before it gives those that it heard
-# the part that is never lent: most owners of lost pools are there by then, and a task of a
-# workspace that is under half of its limit may wait 3 s at most.
+# A new steward that has not received reports of all pools waits this long before it assigns the
+# reserved share, which is never lent, to those that have reported.  By then most lost pools have a
+# new owner; a task of a workspace that uses less than half of its limit may wait at most 3 s.
 FIRST_REPORTS_WAIT_S: Final = 1.0
-# Shares that differ by less are the same.
+# Shares that differ by less count as equal.
 SHARE_TOLERANCE: Final = 1e-6
-# A workspace that takes no more of its even share in each pool needs no shares of its own.
+# A workspace that uses at most this fraction of its even share in each pool needs no own shares.
 LOW_USE_FRACTION: Final = 0.4
 
 
 @dataclass
 class _PoolShares:
-    """What a pool may hold: what it ``confirmed`` last, and what it was told since.
+    """The shares of a pool: the table that it ``confirmed`` last and the one that is ``pending``.
 
-    One that ``has_table`` nothing yet may hold what is never lent, and is not told that yet.
+    Before a pool ``has_table``, it may hold the reserved share, and that share is not sent to
+    it until a first table is decided.
     """
 
     confirmed: ShareTable
@@ -44,35 +45,36 @@
 
     @property
     def table_to_send(self) -> ShareTable | None:
-        """Return the shares to send."""
+        """Return the table to send, None while the pool has none to apply."""
         return self.assigned if self.has_table or self.pending is not None else None
 
     @property
     def assigned(self) -> ShareTable:
-        """Return what the pool is to go by."""
+        """Return the table that the pool has to apply."""
         return self.pending or self.confirmed
 
     @property
     def default_bound(self) -> float:
-        """Return the most that the pool may let a workspace take that has no share of its own."""
+        """Return the largest share that the pool may apply to workspaces without own shares."""
         return max(self.confirmed.default, self.assigned.default)
 
     def get_bound(self, workspace: str) -> float:
-        """Return the most that the pool may let a workspace take."""
+        """Return the largest share that the pool may apply to a workspace."""
         return max(self.confirmed.get(workspace), self.assigned.get(workspace))
 
     def has_settled(self, workspace: str, version: int) -> bool:
-        """Tell whether the pool goes by a share of that version, and has told what is taken."""
+        """Tell whether the pool applies a share of this version and has reported the usage."""
         is_bound = self.pending is None and self.confirmed.config_version >= version
         return is_bound and workspace in self.confirmed.shares and workspace in self.usages
 
 
 class ShareAllocator:
-    """Deals out the limits of workspaces over the pools, under the steward's token.
+    """Allocates the limits of workspaces to the pools, under the steward's token.
 
-    A pool is heard once it has answered under this token: it then heeds no earlier steward,
-    and what it may hold is known.  Until all are heard nothing is lent.  Of a workspace whose
-    limit has fallen nothing is begun until all pools have told what they hold.
+    A pool counts as reported once it has responded under this token: from then on it rejects
+    earlier stewards, and the shares that it may hold are known.  No share is lent until all
+    pools have reported.  A workspace whose limit was lowered starts no tasks until all pools
+    have reported its usage.
     """
 
     def __init__(
@@ -89,7 +91,7 @@
         self._logged: dict[str, dict[str, float]] = {}
 
     def make_order(self, pool: str, config: FleetConfig) -> ShareOrder | None:
-        """Return what to tell a pool now, or None where no workspace has a limit."""
+        """Return the share order for a pool, None if no workspace has a limit."""
         if not config.limits and not self._pools:
             return None
         self._number += 1
@@ -99,7 +101,7 @@
         )
 
     def record_reports(self, config: FleetConfig, reports: Mapping[str, PoolReport]) -> None:
-        """Take in what pools answered to their last orders."""
+        """Apply the reports with which pools responded to their last orders."""
         initial = ShareTable(0, get_reserved_share(self._reserved_share, config))
         for pool, report in reports.items():
             state = report.share_state
@@ -118,7 +120,7 @@
             pool_shares.usages = {usage.name: usage for usage in report.workspaces}
 
     def decide(self, config: FleetConfig, lowered_in: Mapping[str, int], now_s: float) -> None:
-        """Decide what the pools that have confirmed their last shares are told next."""
+        """Decide the next tables of the pools that have confirmed their last ones."""
         pools = config.list_working_pools()
         self._pools = {
             pool: pool_shares for pool, pool_shares in self._pools.items() if pool in pools
@@ -155,7 +157,7 @@
     def _record_lowered_limits(
         self, config: FleetConfig, lowered_in: Mapping[str, int], have_all_reported: bool
     ) -> None:
-        """Note of which workspaces more may run than their limit allows."""
+        """Track the workspaces that may use more than their lowered limit."""
         for workspace, version in lowered_in.items():
             if self._lowered_in.get(workspace) != version:
                 self._lowered_in[workspace] = self._unsettled[workspace] = version
@@ -172,7 +174,7 @@
         )
 
     def _list_workspaces_with_shares(self) -> set[str]:
-        """List the workspaces that have a share of their own, or are to have one."""
+        """Return the workspaces that have, or may need, shares of their own."""
         tables = (
             table
             for pool_shares in self._pools.values()
@@ -183,7 +185,7 @@
         return named | reported | self._unsettled.keys()
 
     def _find_defaults(self) -> dict[str, float]:
-        """Return what each pool is told of the workspaces that have no share of their own."""
+        """Return the next default share of each pool, for workspaces without own shares."""
         uses = {
             pool: PoolUsage(0.0, 0.0, 0.0, pool_shares.default_bound)
             for pool, pool_shares in self._pools.items()
@@ -193,9 +195,10 @@
     def _keep_shares(
         self, workspace: str, limit: Resources, reserved: float, available: float
     ) -> dict[str, float]:
-        """Have each pool keep its share, and what is never lent as far as ``available``.
+        """Return the pools' current shares, raised to the reserved one within ``available``.
 
-        There is none where the limit fell, as far as that is known here, or as pools tell.
+        All are 0 if the pools already hold more than that.  While a lowered limit is unsettled,
+        only the pools that apply that version of the limit keep their share.
         """
         version = self._unsettled.get(workspace)
         if version is None:
@@ -221,7 +224,7 @@
     def _allocate_all(
         self, config: FleetConfig, reserved: float, defaults: Mapping[str, float]
     ) -> dict[str, dict[str, float]]:
-        """Return what the pools are told of each workspace that has, or needs, its own shares."""
+        """Return, by workspace that needs its own shares, the share of each pool."""
         named: dict[str, dict[str, float]] = {}
         for workspace in sorted(self._list_workspaces_with_shares()):
             limit = config.limits.get(workspace)
@@ -236,7 +239,7 @@
         return named
 
     def _allocate(self, workspace: str, limit: Resources, reserved: float) -> dict[str, float]:
-        """Deal a workspace's limit out to the pools that told of it; the others keep theirs."""
+        """Allocate a workspace's limit to the pools that report usage; others keep their share."""
         uses = {
             pool: _make_usage(
                 pool_shares.usages[workspace], limit, pool_shares.get_bound(workspace)
@@ -261,7 +264,7 @@
         assigned: Mapping[str, float],
         defaults: Mapping[str, float],
     ) -> bool:
-        """Tell whether a workspace needs no shares of its own any more."""
+        """Tell whether a workspace no longer needs shares of its own."""
         even = 1 / len(self._pools)
         return all(
             abs(assigned[pool] - even) < SHARE_TOLERANCE
@@ -275,7 +278,7 @@
         )
 
     def _log_changes(self, named: Mapping[str, Mapping[str, float]]) -> None:
-        """Write how limits are dealt out where that has changed."""
+        """Log the allocation of each limit that has changed."""
         rounded = {
             workspace: {pool: round(share, 2) for pool, share in assigned.items()}
             for workspace, assigned in named.items()
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -1,4 +1,4 @@
-"""Lines that tell, time and again, how a node and its pools stand."""
+"""Periodic log lines with the status of a node and of the pools that it owns."""
 
 import asyncio
 from collections import Counter
@@ -13,18 +13,18 @@
 from robinthread._internal.node.readiness import Readiness
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How often there is a look at what has changed.
+# Interval between checks for lines that are due.
 CHECK_PERIOD_S: Final = 0.25
-# How often a pool is told that is not open yet.  Openings took 0.2 to 0.3 s with a store
-# that answers.
+# Interval between log lines on a pool that is not open yet.  With a store that responds, opening
+# a pool took 0.2 to 0.3 s.
 SLOW_PERIOD_S: Final = 1.0
-# How often each pool is told.  Its line has some 400 bytes, so that a minute of a pool takes
-# a fifth of what collectors keep of a process at least (54 KB).
+# Interval between the status lines of a pool.  A line has about 400 bytes, so a minute of one pool
+# takes a fifth of the 54 KB that log collectors retain of a process at least.
 STATUS_PERIOD_S: Final = 2.0
 
 
 class StatusReporter:
-    """Tells how the pools stand that are owned here, open or not."""
+    """Logs the status of the pools that this node owns, whether open or not."""
 
     def __init__(
         self, owned: OwnedPools, lag: LoopLag, readiness: Readiness, events: EventLog
@@ -36,13 +36,13 @@
         self._logged_at_s = 0.0
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Log until cancelled."""
         while True:
             await asyncio.sleep(CHECK_PERIOD_S)
             self.check()
 
     def check(self) -> None:
-        """Write what is due now."""
+        """Log what is due now."""
         self._events.tell_gathered()
         self._readiness.check()
         is_due = get_loop_s() - self._logged_at_s >= STATUS_PERIOD_S
@@ -55,18 +55,18 @@
                 self._log_status(owner)
 
     def read_states(self) -> dict[str, float]:
-        """Return 1 for each pool that is open and 0 for each that was only taken."""
+        """Return, by pool, 1 if it is open and 0 if it is still opening."""
         return {pool: float(owner.is_open) for pool, owner in self._owned.owners.items()}
 
     def count_lasting_not_running(self) -> dict[str, float]:
-        """Count, by pool, the lasting tasks that run nowhere."""
+        """Return, by pool, the number of lasting tasks that are not running."""
         return {
             pool: sum(task.step.is_lasting for task in owner.jobs.waiting.values())
             for pool, owner in self._owned.owners.items()
         }
 
     def read_workspace_parts(self) -> dict[str, float]:
-        """Return, by pool and workspace, which part of its limit a workspace takes there."""
+        """Return, by ``pool/workspace``, the used fraction of the workspace's limit."""
         return {
             f"{pool}/{workspace}": part
             for pool, owner in self._owned.owners.items()
@@ -101,7 +101,7 @@
 
 
 def _make_workspace_fields(limiter: WorkspaceLimiter) -> dict[str, Any]:
-    """Tell of the workspaces that are near their share here, and of those held back by it."""
+    """Return log fields on workspaces near their share and on those held back by it."""
     fractions = limiter.get_used_fractions()
     reported = {
         name: [round(fractions.get(name, 0.0), 3), round(limiter.get_share(name), 3)]
@@ -111,7 +111,7 @@
 
 
 def _count_hosts(hosts: list[Host], now_s: float) -> dict[str, Any]:
-    """Count hosts by how they are heard, and find the lease with runs that ends first."""
+    """Count hosts by contact state, and find the earliest end of a lease with runs."""
     counts = Counter(host.contact.value if host.is_listed else "unlisted" for host in hosts)
     left_s = min((host.lease.over_at_s - now_s for host in hosts if host.runs), default=None)
     return {
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -1,4 +1,4 @@
-"""Giving all orders for the fleet's machines."""
+"""The steward, which gives all orders for the machines of the fleet."""
 
 import asyncio
 from typing import Any, Final
@@ -30,24 +30,25 @@
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.gathered_lines import NAMES_MAX
 
-# How often the pools are asked how they stand, and the fleet is planned.
+# Interval at which the pools' status reports are requested and the fleet is planned.
 STEP_S: Final = 0.1
-# How often the machines are listed; each list is paid for.  The steward's own orders
-# tell most of what changes.
+# Interval at which the machines are listed; each list has a cost, and the steward knows most
+# changes from its own orders.
 LIST_PERIOD_S: Final = 0.3
-# Pause before a failed read of the store is made again.
+# Pause before a failed read of the store is retried.
 RETRY_PAUSE_S: Final = 0.3
-# When a machine is looked out for, before and after its move should be over.
+# A pool's owner is to expect a host from HOST_EARLY_S before to HOST_LATE_S after the time at which
+# the move of its machine should be over.
 HOST_EARLY_S: Final = 0.15
 HOST_LATE_S: Final = 0.6
 
 
 class Steward:
-    """The one node that orders machines, under one token.
+    """Gives the orders for machines, under one fencing token.
 
-    It orders a machine only where its pool's owner has emptied it, or where it
-    is in the reserve.  Machines that an earlier steward may just have ordered
-    are left alone until ``wait_s`` has passed.
+    It orders a machine only if the owner of its pool has drained it, or if it is in the
+    reserve.  Machines that an earlier steward may have ordered recently get no order until
+    ``wait_s`` has passed.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         self._view_builder = FleetViewBuilder(context, self._orders, self._waves)
 
     async def run(self) -> None:
-        """Give orders until cancelled or fenced."""
+        """Plan and give orders until cancelled or fenced."""
         try:
             await self._wave_journal.open()
             await self._status_journal.open()
@@ -123,16 +124,16 @@
             self._mark_fenced("StoreFencedError")
 
     async def stop(self) -> None:
-        """Give no more orders."""
+        """Cancel all orders and wait until they have ended."""
         self._events.write("steward_ended", token=self.token)
         await asyncio.gather(*self.cancel(), return_exceptions=True)
 
     def cancel(self) -> list[asyncio.Task[Any]]:
-        """Have all orders under way end, and return their tasks."""
+        """Cancel all orders in progress, and return their tasks."""
         return self._orders.cancel()
 
     def _log_start(self) -> None:
-        """Tell what this steward knows of the one before it."""
+        """Log the start, with the state that was loaded from the previous steward."""
         waves = self._view_builder.list_waves()
         self._events.write(
             "steward_began",
@@ -178,7 +179,7 @@
         self._orders.drop_settled()
 
     def _log_sizes(self, view: FleetView, plan: FleetPlan) -> None:
-        """Tell of each pool whose size has changed."""
+        """Log each pool whose target size has changed."""
         for pool in view.pools:
             size = plan.sizes[pool.name]
             if self._sizes.get(pool.name) != size:
@@ -200,7 +201,7 @@
                 )
 
     async def _list_machines(self) -> bool:
-        """List the machines if that is due; return whether the list is good."""
+        """List the machines if that is due; return whether a valid list is available."""
         requested_at_s = get_loop_s()
         if requested_at_s - self._listed_at_s < LIST_PERIOD_S:
             return True
@@ -262,9 +263,10 @@
 
 
 def _get_settle_s(bounds: NodeBounds) -> float:
-    """Return for how long after an order the next steward may have to know of it.
+    """Return the seconds after an order for which the next steward may have to know of it.
 
-    Two stewards take turns no faster, and until then the machine may be on its way.
+    That covers the minimum time between the orders of two stewards, and the time in which the
+    machine may be moving or in upkeep and its host has not reported yet.
     """
     unavailable_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
     return max(bounds.steward_turn_ms / 1000, unavailable_s + FIRST_REPORT_MAX_S)
--- a/src/robinthread/_internal/node/stop_budget.py
+++ b/src/robinthread/_internal/node/stop_budget.py
@@ -1,4 +1,4 @@
-"""The time that a planned stop may take, and what its parts took of it."""
+"""The time budget of a planned stop, and the time that its parts took."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,17 +6,17 @@
 
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Share of the grace time that a stop uses.  The rest is for a signal that is heard late
-# and for the end of the interpreter, which takes 0.1 to 0.2 s of a core.
+# Fraction of the grace time that a stop uses.  The rest is for a signal that is handled late and
+# for the shutdown of the interpreter, which takes 0.1 to 0.2 s of CPU time.
 BUDGET_SHARE: Final = 5 / 6
 
 
 class StopBudget:
-    """Runs the parts of a stop; none takes longer than what is left for all.
+    """Runs the parts of a stop, each within the time that remains for all.
 
-    ``grace_s`` is the time between the signal and the kill, ``lag_s`` how late the event
-    loop may have heard the signal.  ``took_ms`` tells what each part took, ``unfinished_parts``
-    which ones did not end in time or failed.
+    ``grace_s`` is the time between the signal and the kill, and ``lag_s`` how late the event
+    loop may have handled the signal.  ``took_ms`` is, by part, the time that it took;
+    ``unfinished_parts`` are those that failed or did not end in time.
     """
 
     def __init__(self, grace_s: float, lag_s: float, events: EventLog) -> None:
@@ -29,13 +29,13 @@
 
     @property
     def left_s(self) -> float:
-        """Return the time that is left."""
+        """Return the seconds that remain."""
         return max(0.0, self._ends_at_s - self._loop.time())
 
     async def run(self, part: str, work: Coroutine[Any, Any, object]) -> bool:
-        """Run a part while there is time; return whether it was done.
+        """Run a part within the time that remains; return whether it succeeded.
 
-        A part that goes on in spite of its cancellation is not waited for.
+        A part that continues after its cancellation is not awaited.
         """
         began_at_s = self._loop.time()
         task = self._loop.create_task(work)
@@ -51,7 +51,7 @@
 
 
 def _find_failure(task: asyncio.Task[object]) -> str:
-    """Return why a task that ended was not done, empty if it was."""
+    """Return why a finished task did not succeed, "" if it did."""
     if task.cancelled():
         return "it was cancelled"
     error = task.exception()
--- a/src/robinthread/_internal/node/stopping.py
+++ b/src/robinthread/_internal/node/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop of a node's process, within the time that it is given."""
+"""Planned stop of a node's process within its grace time."""
 
 import asyncio
 import os
@@ -11,13 +11,13 @@
 from robinthread._internal.node.stop_budget import StopBudget
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How long callers are still served after a planned stop began: the balancer needs
-# two misses, one a second, to send them elsewhere.
+# How long callers are served after the start of a planned stop: the load balancer needs two failed
+# checks, one per second, before it sends them to other nodes.
 LINGER_S: Final = 3.5
-# Most of the budget for which callers are served: the rest is for answers to what was read,
-# which is given up 0.8 s after the store has stopped answering.
+# Largest fraction of the budget for which callers are served.  The rest is for answers to requests
+# already read, which fail 0.8 s after the store has stopped responding.
 LINGER_SHARE: Final = 0.75
-# Share of the grace time after which a process that has not ended ends at once.
+# Fraction of the grace time after which a process that is still running is ended by force.
 FORCED_END_SHARE: Final = 11 / 12
 
 
@@ -28,11 +28,11 @@
     grace_s: float,
     events: EventLog,
 ) -> None:
-    """Hand back what the node owns and answer what it has read, as far as time allows."""
+    """Release the pools of the node and answer the requests read so far, if time allows."""
     lag_s = assembled.lag.lag_s
     loop = asyncio.get_running_loop()
-    # The end of the process cancels all tasks and waits for them, on this loop: a task that
-    # does not end would be waited for until the kill.
+    # At the end of the process, the event loop cancels all tasks and waits for them: without this
+    # timer, it would wait for a task that does not end until the kill.
     loop.call_later(max(0.0, grace_s * FORCED_END_SHARE - lag_s), _end_at_once, events)
     budget = StopBudget(grace_s, lag_s, events)
     events.write("stopping", grace_s=grace_s, budget_ms=round(budget.budget_s * 1000))
@@ -48,7 +48,7 @@
 
 
 async def _drain_callers(callers: HTTPServer, requests: OpenRequests, budget: StopBudget) -> None:
-    """Serve callers until the balancer has moved on, then answer what was read."""
+    """Serve callers until the balancer has moved them, then answer the remaining requests."""
     linger_s = min(LINGER_S, budget.left_s * LINGER_SHARE)
     await budget.run("callers", asyncio.sleep(linger_s))
     callers.stop()
--- a/src/robinthread/_internal/node/upkeep_reporter.py
+++ b/src/robinthread/_internal/node/upkeep_reporter.py
@@ -1,4 +1,4 @@
-"""Log lines on upkeep: what each order rests on, and when a machine's place is free again."""
+"""Log lines on upkeep: the counts behind each order, and when a machine is back."""
 
 from collections.abc import Iterable, Mapping
 from typing import Final
@@ -8,14 +8,14 @@
 from robinthread._internal.node.pool_runtime import get_loop_s
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Machines that a line names: some 700 bytes, for a wave of which a hundred may be down at once.
+# Limits the machine names in a line to about 700 bytes; a wave may allow a hundred machines down.
 MACHINES_NAMED_MAX: Final = 64
 
 
 class UpkeepReporter:
-    """Tells, wave by wave, which machines the steward takes for down and which it takes next.
+    """Logs, by wave, which machines the steward counts as down and which it orders next.
 
-    With these lines alone an engineer can replay the count behind any upkeep.
+    These lines suffice to reconstruct the count behind any upkeep order.
     """
 
     def __init__(self, events: EventLog) -> None:
@@ -24,7 +24,7 @@
         self._over_bound: set[int] = set()
 
     def report_down(self, waves: Iterable[WaveView], known: Mapping[str, Machine]) -> None:
-        """Tell which machines count as down no longer, and where too many do."""
+        """Log the machines that no longer count as down, and waves with too many down."""
         now_s = get_loop_s()
         for wave in waves:
             counted = wave.down | wave.unsettled
@@ -40,7 +40,7 @@
         orders: Iterable[MoveOrder | UpkeepOrder],
         listed_ago_s: float,
     ) -> None:
-        """Tell what the upkeep that is about to be ordered rests on."""
+        """Log the counts on which the upkeep orders about to be sent are based."""
         upkeep = [order for order in orders if isinstance(order, UpkeepOrder)]
         reserve = {machine.name for machine in view.reserve}
         for wave in view.waves:
@@ -72,7 +72,7 @@
         )
 
     def _check_bound(self, wave: WaveView) -> None:
-        """Tell of a wave that has too many down for sure; what is doubtful may be back."""
+        """Log a wave with too many machines confirmed down; unconfirmed ones may be back."""
         is_over = len(wave.down - wave.unconfirmed) > wave.at_once_max
         if is_over and wave.number not in self._over_bound:
             self._events.write(
--- a/src/robinthread/_internal/node/upkeep_tracker.py
+++ b/src/robinthread/_internal/node/upkeep_tracker.py
@@ -1,4 +1,4 @@
-"""Machines whose upkeep has begun, until they are back."""
+"""Tracks machines from the start of their upkeep until they are back."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
@@ -7,21 +7,22 @@
 from robinthread._internal.models.machine import Machine, MachineState
 from robinthread._internal.node.pool_runtime import get_loop_s
 
-# A machine that is not back so long after its upkeep should be over is lost, and its wave goes on
-# without it.  Hosts take some seconds to start where their machines are busy; a wave may have
-# 25 s for several rounds.
+# A machine that is not back this long after the scheduled end of its upkeep counts as lost, and its
+# wave continues without it.  Hosts take some seconds to start on busy machines, and a wave may have
+# only 25 s for several rounds.
 RETURN_DELAY_MAX_S: Final = 10.0
 
-# Returns the life that a machine's host is, as the owner of its pool names it: "" where it has
-# none, None where it is not heard of.
+# Returns the incarnation of a machine's host as the owner of its pool reports it: "" if the machine
+# has no host, None if the host has not reported.
 FindIncarnation = Callable[[Machine], str | None]
 
 
 @dataclass(frozen=True, slots=True)
 class _Downtime:
-    """Since when a machine is down, and until when at least; which life of a host it was before.
+    """When a machine went down, when it can be back at the earliest, and its previous host.
 
-    The life is "" where it is not known.  Where ``is_unconfirmed`` it may be back.
+    ``previous_incarnation`` is "" if it is not known.  With ``is_unconfirmed``, the machine may
+    already be back.
     """
 
     since_s: float
@@ -31,13 +32,14 @@
 
 
 class UpkeepTracker:
-    """Tells which machines are not back yet from their upkeep, of whatever wave.
-
-    The list of machines alone does not tell.  It may show a machine as up before its host has
-    come, in another state than upkeep until then, or as it was before the order: with hosts 1 s
-    late, or a list 0.5 s late, a wave that allows one machine had two down.  So a machine stays
-    down for ``upkeep_s`` after its order was answered, and from then on until the list shows it up
-    as another host than before, or as another life of it, one that its pool's owner names.
+    """Tracks which machines are not yet back from their upkeep, for all waves.
+
+    The machine list alone is not sufficient.  It may show a machine as up before its host has
+    started, in a state other than upkeep until then, or as it was before the order: with hosts
+    1 s late, or a list 0.5 s late, a wave that allows one machine had two down.  So a machine
+    counts as down for ``upkeep_s`` after the response to its order, and then until the list
+    shows it up with another host, or with another incarnation of its host, that the owner of
+    its pool reports.
     """
 
     def __init__(self, upkeep_s: float) -> None:
@@ -47,7 +49,7 @@
         self._is_seen = False
 
     def record_start(self, machine: str, is_unconfirmed: bool = False) -> None:
-        """Note that a machine's upkeep has begun, now at the latest; it may be back if doubtful."""
+        """Record that a machine's upkeep has begun by now; if unconfirmed, it may be over."""
         now_s = get_loop_s()
         previous = self._incarnations.get(machine, "")
         self._downtimes[machine] = _Downtime(
@@ -60,10 +62,11 @@
         find_incarnation: FindIncarnation,
         begun: frozenset[str],
     ) -> None:
-        """Take in the machines as listed last; ``find_incarnation`` tells whose host is heard of.
+        """Apply the last machine list; ``find_incarnation`` returns the hosts that have reported.
 
-        What is in upkeep has begun, by whoever's order.  What had ``begun`` under an earlier
-        steward and is not up when machines are first seen may not be back since.
+        Machines listed in upkeep have begun it, whichever steward ordered it.  A machine whose
+        upkeep had ``begun`` under an earlier steward and that is not up in the first list may not
+        be back yet.
         """
         now_s = get_loop_s()
         for name, machine in machines.items():
@@ -85,11 +88,11 @@
         }
 
     def list_down(self, machines: Iterable[str]) -> frozenset[str]:
-        """Return those of some machines that are not back."""
+        """Return those of the machines that are not back."""
         return frozenset(name for name in machines if name in self._downtimes)
 
     def list_unconfirmed(self, machines: Iterable[str]) -> frozenset[str]:
-        """Return those of some machines that are not known to be back, and may be."""
+        """Return those of the machines that may be back, but are not confirmed to be."""
         return frozenset(
             name for name in self.list_down(machines) if self._downtimes[name].is_unconfirmed
         )
--- a/src/robinthread/_internal/node/wave_tracker.py
+++ b/src/robinthread/_internal/node/wave_tracker.py
@@ -1,4 +1,4 @@
-"""How far each maintenance wave has come."""
+"""Tracks the progress of each maintenance wave."""
 
 from collections.abc import Iterable, Mapping
 
@@ -17,9 +17,9 @@
 
 
 class WaveTracker:
-    """Which machines of each wave have begun their upkeep and are not back; what is shown of it.
+    """Tracks which machines have begun their upkeep for a wave and which are back.
 
-    An upkeep takes a machine ``upkeep_s``.
+    Publishes the status of each wave.  The upkeep of a machine takes ``upkeep_s`` seconds.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._published: dict[int, bool] = {}
 
     def load(self, records: Iterable[KeyedRecord]) -> None:
-        """Take in what earlier stewards recorded."""
+        """Load the progress that earlier stewards recorded."""
         for record in records:
             try:
                 progress = parse_wave_record(record)
@@ -49,21 +49,21 @@
             self._begun[progress.wave] = set(progress.begun)
 
     async def record_start(self, wave: int, machine: str) -> None:
-        """Record that a machine's upkeep has begun."""
+        """Record and store that a machine's upkeep has begun."""
         self._upkeep_tracker.record_start(machine)
         begun = self._begun.setdefault(wave, set())
         begun.add(machine)
         await self._journal.write([make_wave_record(wave, begun)])
 
     def record_earlier_orders(self, machines: Iterable[str]) -> None:
-        """Note which machines an earlier steward may have just ordered, by its record."""
+        """Record the machines that an earlier steward may have just ordered."""
         for machine in self._list_begun(machines):
             self._upkeep_tracker.record_start(machine, is_unconfirmed=True)
 
     def record_observation(
         self, machines: Mapping[str, Machine], find_incarnation: FindIncarnation
     ) -> None:
-        """Take in the machines as listed last; ``find_incarnation`` finds their hosts."""
+        """Apply the last machine list; ``find_incarnation`` finds the machines' hosts."""
         self._upkeep_tracker.record_observation(
             machines, find_incarnation, self._list_begun(machines)
         )
@@ -76,11 +76,11 @@
         return machine in self._begun.get(wave, ())
 
     def count_begun(self, wave: int) -> int:
-        """Return how many machines have begun their upkeep for a wave."""
+        """Return the number of machines that have begun their upkeep for a wave."""
         return len(self._begun.get(wave, ()))
 
     def get_pending(self, wave: UpkeepWave, machines: dict[str, Machine]) -> frozenset[str]:
-        """Return the machines that stay and whose upkeep has not begun."""
+        """Return the listed machines of a wave whose upkeep has not begun."""
         begun = self._begun.get(wave.number, set())
         return frozenset(name for name in wave.machines if name not in begun and name in machines)
 
@@ -92,10 +92,10 @@
         under_way: Mapping[str, object],
         unsettled: Mapping[str, int],
     ) -> WaveView:
-        """Return a wave, first seen at ``first_seen_at_s``, as the planner sees it.
+        """Return the planner's view of a wave that was first seen at ``first_seen_at_s``.
 
-        The upkeep of ``unsettled`` machines, each for a wave, may begin without any order of
-        this steward, also while it has one moved.
+        The upkeep of the ``unsettled`` machines, each with its wave, may begin without an order of
+        this steward, even while this steward is moving the machine.
         """
         members = frozenset(wave.machines) & machines.keys()
         pending = self.get_pending(wave, machines)
@@ -122,7 +122,7 @@
     async def publish_status(
         self, waves: Iterable[UpkeepWave], machines: dict[str, Machine]
     ) -> None:
-        """Write the status of each wave where it has changed."""
+        """Publish the status of each wave whose status has changed."""
         for wave in waves:
             is_done = not self.get_pending(wave, machines)
             if self._published.get(wave.number) is not is_done:
