--- a/src/robinthread/_internal/node/config_holder.py
+++ b/src/robinthread/_internal/node/config_holder.py
@@ -87,7 +87,9 @@
             if old == new:
                 continue
             pairs = zip(old, new, strict=True)
-            has_fallen = any(most and (not had or most < had) for had, most in pairs)
+            has_fallen = any(
+                new_max and (not old_max or new_max < old_max) for old_max, new_max in pairs
+            )
             if has_fallen:
                 self.limit_lowered_in[name] = config.version
             self._events.write(
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -98,7 +98,7 @@
         members = self._member.members
         newest = sorted(members, key=lambda member: member.started_at_ms)
         newest_by_node = {member.node: member for member in newest}
-        returned = {
+        restarted = {
             pool: newest_by_node[found.owner.node]
             for pool in self._table.owners
             if (found := self._table.get(pool)) is not None
@@ -107,7 +107,7 @@
             and found.owner not in members
             and 0 < found.owner.started_at_ms < newest_by_node[found.owner.node].started_at_ms
         }
-        return returned | dict.fromkeys(self._get_pools_of_previous_incarnation(), self._me)
+        return restarted | dict.fromkeys(self._get_pools_of_previous_incarnation(), self._me)
 
     def _rank_candidates(
         self, pools: Iterable[str], live_members: Collection[Member], loads: Counter[Member]
@@ -123,11 +123,11 @@
             candidates = (
                 set(live_members) - {released.owner} if released is not None else live_members
             )
-            rankings[pool] = self._order_members(pool, candidates or live_members, loads)
+            rankings[pool] = self._rank_members(pool, candidates or live_members, loads)
             loads[rankings[pool][0]] += 1
         return rankings
 
-    def _order_members(
+    def _rank_members(
         self, pool: str, members: Collection[Member], loads: Mapping[Member, int]
     ) -> list[Member]:
         """Rank members by the load relative to their capacity that the pool would give them."""
--- a/src/robinthread/_internal/node/share_allocator.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -130,14 +130,14 @@
         reserved = get_reserved_share(self._reserved_share, config)
         if have_all_reported:
             defaults = self._find_defaults()
-            named = self._allocate_all(config, reserved, defaults)
+            own_shares = self._allocate_all(config, reserved, defaults)
         elif now_s - self._started_at_s >= FIRST_REPORTS_WAIT_S:
             defaults = {
                 pool: max(reserved, pool_shares.default_bound)
                 for pool, pool_shares in self._pools.items()
             }
             unreported_count = len(pools) - len(self._pools)
-            named = {
+            own_shares = {
                 workspace: self._keep_shares(
                     workspace, limit, reserved, 1.0 - unreported_count * reserved
                 )
@@ -147,12 +147,12 @@
         else:
             return
         for pool, pool_shares in self._pools.items():
-            shares = {workspace: assigned[pool] for workspace, assigned in named.items()}
+            shares = {workspace: assigned[pool] for workspace, assigned in own_shares.items()}
             table = ShareTable(config.version, defaults[pool], shares)
             is_changed = table != pool_shares.confirmed or not pool_shares.has_table
             if pool_shares.pending is None and is_changed:
                 pool_shares.pending = table
-        self._log_changes(named)
+        self._log_changes(own_shares)
 
     def _record_lowered_limits(
         self, config: FleetConfig, lowered_in: Mapping[str, int], have_all_reported: bool
@@ -180,9 +180,9 @@
             for pool_shares in self._pools.values()
             for table in (pool_shares.assigned, pool_shares.confirmed)
         )
-        named = {workspace for table in tables for workspace in table.shares}
+        with_shares = {workspace for table in tables for workspace in table.shares}
         reported = {name for pool_shares in self._pools.values() for name in pool_shares.usages}
-        return named | reported | self._unsettled.keys()
+        return with_shares | reported | self._unsettled.keys()
 
     def _find_defaults(self) -> dict[str, float]:
         """Return the next default share of each pool, for workspaces without own shares."""
@@ -225,18 +225,18 @@
         self, config: FleetConfig, reserved: float, defaults: Mapping[str, float]
     ) -> dict[str, dict[str, float]]:
         """Return, by workspace that needs its own shares, the share of each pool."""
-        named: dict[str, dict[str, float]] = {}
+        own_shares: dict[str, dict[str, float]] = {}
         for workspace in sorted(self._list_workspaces_with_shares()):
             limit = config.limits.get(workspace)
             if limit is None:
                 continue
             if workspace in self._unsettled:
-                named[workspace] = dict.fromkeys(self._pools, 0.0)
+                own_shares[workspace] = dict.fromkeys(self._pools, 0.0)
                 continue
             assigned = self._allocate(workspace, limit, reserved)
             if not self._can_use_default_shares(workspace, limit, assigned, defaults):
-                named[workspace] = assigned
-        return named
+                own_shares[workspace] = assigned
+        return own_shares
 
     def _allocate(self, workspace: str, limit: Resources, reserved: float) -> dict[str, float]:
         """Allocate a workspace's limit to the pools that report usage; others keep their share."""
@@ -277,11 +277,11 @@
             for pool, pool_shares in self._pools.items()
         )
 
-    def _log_changes(self, named: Mapping[str, Mapping[str, float]]) -> None:
+    def _log_changes(self, own_shares: Mapping[str, Mapping[str, float]]) -> None:
         """Log the allocation of each limit that has changed."""
         rounded = {
             workspace: {pool: round(share, 2) for pool, share in assigned.items()}
-            for workspace, assigned in named.items()
+            for workspace, assigned in own_shares.items()
         }
         for workspace in rounded.keys() | self._logged.keys():
             assigned = rounded.get(workspace)
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -115,6 +115,6 @@
     counts = Counter(host.contact.value if host.is_listed else "unlisted" for host in hosts)
     left_s = min((host.lease.over_at_s - now_s for host in hosts if host.runs), default=None)
     return {
-        **{f"{how}_hosts": count for how, count in counts.items()},
+        **{f"{state}_hosts": count for state, count in counts.items()},
         "lease_left_s": None if left_s is None else round(left_s, 3),
     }
--- a/tests/unit/test_capacity.py
+++ b/tests/unit/test_capacity.py
@@ -36,7 +36,7 @@
         election = Election(table, SMALL[0], member, owner_liveness, config, events, policy)
         loads: Counter[Member] = Counter()
         for number in range(pool_count):
-            loads[election._order_members(f"pool{number}", LARGE + SMALL, loads)[0]] += 1
+            loads[election._rank_members(f"pool{number}", LARGE + SMALL, loads)[0]] += 1
         await asyncio.sleep(0)
         return Counter({member.node: count for member, count in loads.items()})
 
