--- a/src/robinthread/_internal/node/advice_fetcher.py
+++ b/src/robinthread/_internal/node/advice_fetcher.py
@@ -37,10 +37,10 @@
             await self._request_advice(*found)
 
     def _find_next(self) -> tuple[StepKey, AdvicePolicy, dict[str, str]] | None:
-        """Return the most urgent step that lacks tickets, its policy and the hosts to request.
+        """Return the most urgent step that lacks tickets, its policy and the hosts to query.
 
-        The hosts map their ids, by which the service knows them, to their current incarnations,
-        for which the tickets are valid.  Return None if no step lacks a ticket.
+        The hosts are a map from their ids, by which the service knows them, to their current
+        incarnations, for which the tickets are valid.  Return None if no step lacks a ticket.
         """
         pool, now_s = self._runtime.jobs, get_loop_s()
         if not any(pool.jobs[key.job_id].policy.advice for key in pool.waiting):
--- a/src/robinthread/_internal/node/assembly.py
+++ b/src/robinthread/_internal/node/assembly.py
@@ -32,8 +32,8 @@
 from robinthread._internal.node.steward import Steward
 
 RETRY_PAUSE_S: Final = 0.2
-# Each heartbeat of a host changes its entry, so the host list is polled at this interval.  A
-# leaving host must get no work after 2 s, and a new host should get work soon.
+# Each heartbeat of a host changes its entry, so the host list is polled at this interval, not at
+# each change.  A leaving host must get no work after 2 s, and a new host should get work soon.
 HOSTS_PERIOD_S: Final = 0.3
 # While machines are coming up, the host list is polled faster for HOSTS_FAST_S: jobs wait as long
 # as a new host goes unnoticed.
--- a/src/robinthread/_internal/node/context.py
+++ b/src/robinthread/_internal/node/context.py
@@ -21,11 +21,11 @@
     """External interfaces of a node and the data that it has read from them.
 
     ``read_inbox_once`` reads all jobs that were accepted before the call, or raises
-    ``StoreError``.  ``read_inbox_to_end`` does the same, but retries until it succeeds, and
-    ``read_hosts_to_end`` so reads the list of hosts.  ``poll_hosts_faster`` shortens for a while
-    the interval at which that list is polled.
+    ``StoreError``; ``read_inbox_to_end`` does the same, but retries until it succeeds.
+    ``read_hosts_to_end`` reads the host list in the same way as ``read_inbox_to_end``, and
+    ``poll_hosts_faster`` shortens the polling interval of that list for a while.
     ``get_owners_unconfirmed_s`` returns the seconds since the store last confirmed the table of
-    pool owners, and ``get_hosts_unconfirmed_s`` the same for the list of hosts.  ``get_wall_ms``
+    pool owners, and ``get_hosts_unconfirmed_s`` the same for the host list.  ``get_wall_ms``
     returns Unix time in milliseconds.
     """
 
--- a/src/robinthread/_internal/node/election.py
+++ b/src/robinthread/_internal/node/election.py
@@ -46,7 +46,7 @@
 
     @property
     def may_acquire(self) -> bool:
-        """Tell whether the store serves this node, its member list is settled and it stays."""
+        """Tell whether this node may acquire pools: it is served, settled and not stopping."""
         return self._member.is_served and self.is_acquiring and self._member.is_settled
 
     def get_missing_s(self, pool: str) -> float | None:
@@ -60,7 +60,7 @@
         return previous is not None and self._owner_liveness.has_ended(previous.owner)
 
     def get_pools_to_acquire(self) -> list[str]:
-        """Return the pools without a live owner that this node should acquire, by name."""
+        """Return the pools without a live owner that this node should acquire."""
         config = self._config_holder.config
         if config is None or not self.is_acquiring or not self._member.is_served:
             return []
--- a/src/robinthread/_internal/node/environment.py
+++ b/src/robinthread/_internal/node/environment.py
@@ -37,7 +37,7 @@
 class NodeEnvironment:
     """External interfaces of a node; tests replace them by stand-ins.
 
-    ``get_wall_ms`` returns Unix time in milliseconds.  ``policy`` holds the scheduling policies.
+    ``get_wall_ms`` returns Unix time in milliseconds.  ``policy`` is the policy of its decisions.
     """
 
     store: Store
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -42,7 +42,7 @@
 # FAILING_MIN_S: a single response may be lost, and a rejected node fails many times in a moment.
 FAILURES_MIN: Final = 2
 FAILING_MIN_S: Final = 0.2
-# Time without a gap in the member lists before a missing member counts as missing.
+# How long the member lists must have had no gap before an unlisted member counts as missing.
 SETTLE_S: Final = 0.6
 
 
@@ -50,8 +50,8 @@
     """Keeps this node a member of the group; ``members`` is the last list from the store.
 
     ``listed_at_s`` is when the store returned that list, by the event loop's clock.
-    ``is_listed`` is true if the list has this node, which is how other nodes see it.
-    ``join_latency`` is the latency of its joins, which it repeats all the time.
+    ``is_listed`` is true if that list contains this node; other nodes do not see it otherwise.
+    ``join_latency`` is the latency of its joins, which it repeats continuously.
     """
 
     def __init__(
@@ -112,13 +112,13 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether joins have failed for long enough to count as not served."""
+        """Tell whether joins have failed often and long enough to treat this node as not served."""
         failing_s = asyncio.get_running_loop().time() - self._failing_since_s
         return self._failure_count >= FAILURES_MIN and failing_s >= FAILING_MIN_S
 
     @property
     def is_within_ttl(self) -> bool:
-        """Tell whether this node has joined within its time to live."""
+        """Tell whether this node has joined within its time to live and is not leaving."""
         return not self.is_leaving and self.get_store_silence_s() < self._get_ttl_ms() / 1000
 
     @property
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -48,9 +48,9 @@
 
     Machines that the previous steward ordered get no order for ``wait_s``, which is 0 if it
     can give no more orders.  The next steward may have to wait in any case, and has to know
-    which machines may be coming up.  So the record always has the machines that were ordered
-    within ``turn_s`` or within ``settle_s``, in which a machine comes up or is still tried.  Once
-    that time has passed without an order, an empty record is written.
+    which machines may be coming up.  So the record always contains the machines that were
+    ordered within ``turn_s`` or within ``settle_s``, in which a machine comes up or is still tried.
+    Once that time has passed without an order, an empty record is written.
 
     An order without a response stays in progress as long as it may be executed late, whatever
     the outcome of its repetition.
@@ -150,7 +150,7 @@
             self._spawn(self._execute(order))
 
     def drop_settled(self) -> None:
-        """Start writing an empty record once ``settle_s`` has passed since the last order."""
+        """Empty the record if no order is open and the last one is ``settle_s`` ago."""
         last_s = max(self._ordered_at_s.values(), default=-math.inf)
         is_open = self.under_way or self.unsettled.get_waves()
         is_settled = not is_open and get_loop_s() - last_s >= self._settle_s
--- a/src/robinthread/_internal/node/node.py
+++ b/src/robinthread/_internal/node/node.py
@@ -208,7 +208,7 @@
     def _get_wait_s(self) -> float:
         """Return the seconds for which machines that the previous steward ordered get no order.
 
-        Two stewards that both reach the platform must not give orders at the same time.  A
+        Two stewards that both reach the platform must not give orders in alternation.  A
         steward whose process is stopping, or that was a previous incarnation of this node, gives
         no more orders.  That its node is not listed as a member proves nothing: a live node may
         hold no partition.
--- a/src/robinthread/_internal/node/peer_messages.py
+++ b/src/robinthread/_internal/node/peer_messages.py
@@ -41,7 +41,7 @@
 
 
 class StoreStatusRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Requests from a node whether the store serves it, and its load."""
+    """Queries whether the store serves a node, and the load of that node."""
 
 
 class StoreStatusResponse(msgspec.Struct, frozen=True, array_like=True):
@@ -71,7 +71,7 @@
 
 
 class OwnerStoppedRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Requests whether a node's owners of a pool, up to this token, have all stopped."""
+    """Queries whether a node's owners of a pool, up to this token, have all stopped."""
 
     pool: str
     token: int
--- a/src/robinthread/_internal/node/share_allocator.py
+++ b/src/robinthread/_internal/node/share_allocator.py
@@ -45,7 +45,7 @@
 
     @property
     def table_to_send(self) -> ShareTable | None:
-        """Return the table to send, None while the pool has none to apply."""
+        """Return the table to send, None before the first table has been decided."""
         return self.assigned if self.has_table or self.pending is not None else None
 
     @property
@@ -71,7 +71,7 @@
 class ShareAllocator:
     """Allocates the limits of workspaces to the pools, under the steward's token.
 
-    A pool counts as reported once it has responded under this token: from then on it rejects
+    A pool has reported once it has responded under this token: from then on it rejects
     earlier stewards, and the shares that it may hold are known.  No share is lent until all
     pools have reported.  A workspace whose limit was lowered starts no tasks until all pools
     have reported its usage.
@@ -197,8 +197,8 @@
     ) -> dict[str, float]:
         """Return the pools' current shares, raised to the reserved one within ``available``.
 
-        All are 0 if the pools already hold more than that.  While a lowered limit is unsettled,
-        only the pools that apply that version of the limit keep their share.
+        All are 0 if the pools hold more than that, which shows a limit lowered earlier.  While a
+        lowered limit is unsettled, only pools that apply that version of it keep their share.
         """
         version = self._unsettled.get(workspace)
         if version is None:
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -19,7 +19,7 @@
 # a pool took 0.2 to 0.3 s.
 SLOW_PERIOD_S: Final = 1.0
 # Interval between the status lines of a pool.  A line has about 400 bytes, so a minute of one pool
-# takes a fifth of the 54 KB that log collectors retain of a process at least.
+# takes a fifth of the 54 KB that log collectors retain at least of a process.
 STATUS_PERIOD_S: Final = 2.0
 
 
--- a/src/robinthread/_internal/node/stop_budget.py
+++ b/src/robinthread/_internal/node/stop_budget.py
@@ -41,7 +41,7 @@
         task = self._loop.create_task(work)
         done, _ = await asyncio.wait({task}, timeout=self.left_s)
         self.took_ms[part] = round((self._loop.time() - began_at_s) * 1000, 1)
-        reason = _find_failure(task) if done else "no time is left"
+        reason = _find_failure(task) if done else "not finished within the time budget"
         if not reason:
             return True
         task.cancel()
@@ -53,6 +53,6 @@
 def _find_failure(task: asyncio.Task[object]) -> str:
     """Return why a finished task did not succeed, "" if it did."""
     if task.cancelled():
-        return "it was cancelled"
+        return "cancelled before it finished"
     error = task.exception()
     return "" if error is None else f"{type(error).__name__}: {error}"
--- a/src/robinthread/_internal/node/upkeep_reporter.py
+++ b/src/robinthread/_internal/node/upkeep_reporter.py
@@ -8,7 +8,7 @@
 from robinthread._internal.node.pool_runtime import get_loop_s
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Limits the machine names in a line to about 700 bytes; a wave may allow a hundred machines down.
+# Limits the names in a line to about 700 bytes; a wave may allow a hundred machines to be down.
 MACHINES_NAMED_MAX: Final = 64
 
 
--- a/src/robinthread/_internal/node/wave_tracker.py
+++ b/src/robinthread/_internal/node/wave_tracker.py
@@ -49,7 +49,7 @@
             self._begun[progress.wave] = set(progress.begun)
 
     async def record_start(self, wave: int, machine: str) -> None:
-        """Record and store that a machine's upkeep has begun."""
+        """Record, also in the journal, that a machine's upkeep for a wave has begun."""
         self._upkeep_tracker.record_start(machine)
         begun = self._begun.setdefault(wave, set())
         begun.add(machine)
