--- a/tests/functional/test_advice.py
+++ b/tests/functional/test_advice.py
@@ -1,4 +1,4 @@
-"""Queues whose steps run only on hosts that a service allows."""
+"""Queues whose steps run only on hosts that the advice service allows."""
 
 import asyncio
 import dataclasses
@@ -24,7 +24,7 @@
 
 
 async def start_advised_platform() -> PlatformStandin:
-    """Start a platform whose hosts take no start without a ticket."""
+    """Start a platform whose hosts reject starts without a ticket."""
     platform = await start_platform()
     platform.asks_for_tickets = True
     queue = dataclasses.replace(QUEUE, advice=AdvicePolicy(10, 1, 3000))
@@ -53,7 +53,7 @@
 
         run_virtual(work())
 
-    def test_ticket_that_expired_is_asked_for_again(self) -> None:
+    def test_expired_ticket_is_requested_again(self) -> None:
         async def work() -> None:
             platform = await start_advised_platform()
             platform.advice.valid_s = 0.5
@@ -64,7 +64,7 @@
 
         run_virtual(work())
 
-    def test_jobs_wait_while_the_service_is_away(self) -> None:
+    def test_jobs_wait_while_the_service_is_unavailable(self) -> None:
         async def work() -> None:
             platform = await start_advised_platform()
             platform.advice.is_down = True
--- a/tests/functional/test_idle_nodes.py
+++ b/tests/functional/test_idle_nodes.py
@@ -1,4 +1,4 @@
-"""What a node reads that owns no pool."""
+"""A node that owns no pool reads neither jobs nor hosts."""
 
 import asyncio
 from collections import Counter
--- a/tests/functional/test_late_upkeep_orders.py
+++ b/tests/functional/test_late_upkeep_orders.py
@@ -1,4 +1,4 @@
-"""Upkeep orders that are carried out seconds after they were given, beside a wave's bound."""
+"""A wave stays within its bound when upkeep orders are executed seconds late."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 WAVE = 1
 AT_ONCE_MAX = 2
 MACHINES = 14
-# How late the lost steward's orders are carried out; the next steward takes over within 4 s.
+# Delays of the lost steward's orders; the next steward takes over within 4 s.
 LATE_S = (5.0, 6.0, 7.0, 9.0, 11.0)
 
 
@@ -42,7 +42,7 @@
 
 
 async def _lose_steward(late_s: float) -> tuple[int, int]:
-    """Return how many machines were down at once, and how many had their upkeep."""
+    """Return the peak number of machines down, and the number that had their upkeep."""
     platform = await _start()
     faults = platform.machines.faults
     faults.lost_share, faults.late_s = 1.0, (late_s, late_s)
@@ -54,7 +54,7 @@
 
 
 async def _refuse_repeats() -> tuple[int, int]:
-    """As above, but the steward lives, and its first repeated orders are turned away."""
+    """Return the same for a steward that stays and whose first repeated orders are rejected."""
     platform = await _start()
     faults = platform.machines.faults
     faults.lost_share, faults.late_s = 1.0, (4.0, 4.0)
@@ -63,7 +63,7 @@
     faults.refused.add("*")
     await asyncio.sleep(1.6)
     faults.refused.clear()
-    # The orders that were turned away would come again 1 s later: others are free until then.
+    # The rejected orders would be repeated 1 s later: until then, others could use their slots.
     await asyncio.sleep(40)
     return platform.machines.waves.down_peak[WAVE], len(platform.machines.waves.begun[WAVE])
 
@@ -73,5 +73,5 @@
         found = {late_s: run_virtual(_lose_steward(late_s)) for late_s in LATE_S}
         self.assertEqual(dict.fromkeys(LATE_S, (AT_ONCE_MAX, MACHINES)), found)
 
-    def test_order_without_answer_counts_though_its_repeat_is_turned_away(self) -> None:
+    def test_order_without_response_counts_if_its_repetition_is_rejected(self) -> None:
         self.assertEqual((AT_ONCE_MAX, MACHINES), run_virtual(_refuse_repeats()))
--- a/tests/functional/test_many_nodes.py
+++ b/tests/functional/test_many_nodes.py
@@ -1,4 +1,4 @@
-"""More nodes than one topic of the store has partitions."""
+"""Group membership with more nodes than one topic of the store has partitions."""
 
 import asyncio
 import json
@@ -14,28 +14,28 @@
 from tests.lib.virtual import run_virtual
 
 NODES = 3 * TOPIC_PARTITIONS
-# Questions a second to one living owner that is not listed, and lists of members in all,
-# with as many nodes.  Some 31 (10 of them about its pool) and 38 were counted; 154 and 122
-# where all ask and list all the time.
+# Limits, with that many nodes, of the requests per second to one live owner that is not listed, and
+# of the member lists per second in all.  About 31 (10 of them about its pool) and 38 were counted;
+# 154 and 122 if all nodes send requests and list the members all the time.
 QUESTIONS_MAX_PER_S = 36
 LISTS_MAX_PER_S = 44
-# How long a node may be out of the list after it has joined.
+# The longest time after its join in which a node may be unlisted.
 LISTED_WITHIN_S = 5.0
 
 
 async def list_members(platform: PlatformStandin) -> dict[str, str]:
-    """List the members that the store lists, by their nodes."""
+    """Return the members that the store lists, by node."""
     names = await platform.store.connect("test").list_members(GROUP)
     return {msgspec.json.decode(name, type=Member).node: name for name in names}
 
 
 async def list_nodes(platform: PlatformStandin) -> set[str]:
-    """List the nodes that the store lists as members."""
+    """Return the nodes that the store lists as members."""
     return set(await list_members(platform))
 
 
 async def unlist_owner(platform: PlatformStandin) -> str:
-    """Have the store list the pool's owner no more, as another node joins; return its node."""
+    """Have the store no longer list the pool's owner, as another node joins; return its node."""
     owner = get_owner(platform)
     assert owner is not None
     platform.store.unlisted.add((await list_members(platform))[owner])
@@ -44,23 +44,23 @@
 
 
 class ManyNodesTest(TestCase):
-    def test_owner_that_joined_last_counts_as_living(self) -> None:
+    def test_owner_that_joined_last_counts_as_alive(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=NODES)
             platform.start_node("large", capacity_millicores=50_000)
-            # The others pass it their pools, for they see it among the members.
+            # The other nodes transfer their pools to it, as they see it among the members.
             await wait_until(lambda: get_owner(platform) == "large", 10)
             before = len(platform.events)
             await asyncio.sleep(60)
             later = [json.loads(line) for line in platform.events[before:]]
             taken = [event for event in later if event["event"] == "pool_taken"]
-            # The largest node may be passed other pools; the one it has stays.
+            # The largest node may get other pools; it keeps the one that it has.
             self.assertNotIn(POOL, [event["pool"] for event in taken])
             self.assertEqual("large", get_owner(platform))
 
         run_virtual(work())
 
-    def test_all_nodes_are_listed_also_those_that_come_back(self) -> None:
+    def test_all_nodes_are_listed_including_restarted_ones(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=NODES)
             await asyncio.sleep(LISTED_WITHIN_S)
@@ -76,10 +76,10 @@
 
         run_virtual(work())
 
-    def test_pools_stay_where_they_are_while_all_nodes_live(self) -> None:
+    def test_pools_keep_their_owners_while_all_nodes_are_alive(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=NODES)
-            # Large nodes that join last are passed the pools.
+            # Pools are transferred to large nodes that join last.
             for number in range(6):
                 platform.start_node(f"large{number}", capacity_millicores=50_000)
             await asyncio.sleep(30)
@@ -92,7 +92,7 @@
 
 
 class UnlistedOwnerTest(TestCase):
-    def test_owner_that_says_it_lives_keeps_its_pool(self) -> None:
+    def test_unlisted_owner_that_responds_keeps_its_pool(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=5)
             owner = await unlist_owner(platform)
@@ -102,7 +102,7 @@
 
         run_virtual(work())
 
-    def test_few_of_many_nodes_ask_an_owner_that_lives(self) -> None:
+    def test_few_of_many_nodes_query_a_live_owner(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=NODES)
             owner = await unlist_owner(platform)
@@ -119,7 +119,7 @@
 
         run_virtual(work())
 
-    def test_owner_of_many_nodes_that_does_not_answer_is_replaced_at_once(self) -> None:
+    def test_unresponsive_owner_is_replaced_at_once_by_many_nodes(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=NODES)
             owner = await unlist_owner(platform)
@@ -129,7 +129,7 @@
 
         run_virtual(work())
 
-    def test_owner_that_does_not_answer_is_replaced_at_once(self) -> None:
+    def test_unresponsive_owner_is_replaced_at_once(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=5)
             owner = await unlist_owner(platform)
@@ -139,7 +139,7 @@
 
         run_virtual(work())
 
-    def test_owner_that_the_store_does_not_answer_is_replaced(self) -> None:
+    def test_owner_that_gets_no_store_responses_is_replaced(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=5)
             owner = get_owner(platform)
@@ -150,7 +150,7 @@
 
         run_virtual(work())
 
-    def test_nobody_is_asked_any_more_once_the_pool_has_a_new_owner(self) -> None:
+    def test_previous_owner_is_not_queried_once_the_pool_has_a_new_one(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=5)
             owner = get_owner(platform)
--- a/tests/functional/test_new_life_not_listed.py
+++ b/tests/functional/test_new_life_not_listed.py
@@ -1,4 +1,4 @@
-"""A node's new life that owns a pool while the store lists its former life only."""
+"""A restarted node keeps its pool while the store lists only its previous incarnation."""
 
 import asyncio
 import json
@@ -9,21 +9,21 @@
 from tests.lib.job_platforms import POOL, get_owner, start_platform
 from tests.lib.virtual import run_virtual
 
-# A life that was killed is listed for its time to live, one that holds no partition not at all.
+# A killed incarnation stays listed for its time to live; one without a partition is not listed.
 RESTART_S = 0.1
 WATCH_S = 5.0
-# Not so much more than the others have that a pool would be passed on to it.
+# Too little above the capacity of the others for a transfer of the pool to it.
 CAPACITY_MILLICORES = 1200
 SETTLE_S = 3.0
 
 
 class NewLifeNotListedTest(TestCase):
-    def test_new_life_that_says_it_lives_keeps_its_pool(self) -> None:
+    def test_new_incarnation_that_responds_keeps_its_pool(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=4)
             name = get_owner(platform)
             assert name is not None
-            # It suits the pool better than a former life would.
+            # It ranks before a previous incarnation as an owner of the pool.
             platform.start_node("late", CAPACITY_MILLICORES)
             await asyncio.sleep(SETTLE_S)
             before = len(platform.events)
--- a/tests/functional/test_new_steward.py
+++ b/tests/functional/test_new_steward.py
@@ -1,4 +1,4 @@
-"""A steward that begins after another one ordered machines and was lost."""
+"""A new steward does not order machines again that the lost one has just moved."""
 
 import asyncio
 from collections import Counter
@@ -10,13 +10,13 @@
 from tests.lib.lasting import get_first_host, kill_owner, start_lasting
 from tests.lib.virtual import run_virtual
 
-# How long after an order its steward is lost, with the pool's owner: the machine is on its way,
-# has come up, is about to be left alone no more.
+# Times after an order at which its steward and the pool's owner are lost: the machine is moving,
+# has come up, or is about to be unblocked.
 LOST_AFTER_S = (0.0, 2.0, 2.8, 4.0, 5.8)
 
 
 async def _count_moves(lost_after_s: float) -> int:
-    """Return how many machines are moved for one host that was lost."""
+    """Return the number of machines moved for one lost host."""
     platform = await start_lasting(hosts=3, reserve=3, step=ALONE)
     moved = platform.machines.move_count
     platform.crash_host(get_first_host(platform).record.id)
@@ -32,6 +32,6 @@
 
 
 class NewStewardTest(TestCase):
-    def test_hosts_that_the_last_steward_fetched_stay(self) -> None:
+    def test_hosts_that_the_previous_steward_moved_stay(self) -> None:
         moves = {after_s: run_virtual(_count_moves(after_s)) for after_s in LOST_AFTER_S}
         self.assertEqual(Counter({1: len(LOST_AFTER_S)}), Counter(moves.values()), str(moves))
--- a/tests/functional/test_node_stop.py
+++ b/tests/functional/test_node_stop.py
@@ -1,4 +1,4 @@
-"""A node's real process ends within the time that it is given, and answers until then."""
+"""A node's process ends within its grace time, and answers requests until then."""
 
 import asyncio
 import json
@@ -56,9 +56,9 @@
 SHORT_GRACE_S = 2.5
 START_MAX_S = 30.0
 SILENT_S = 3.0
-# A job handed in so long after the signal is still taken by a node with the usual grace.
+# A job handed in this long after the signal is still accepted with the usual grace time.
 LATE_S = 3.0
-# By then a request has surely been read.
+# Time after which a request has certainly been read.
 SENT_S = 0.5
 
 
@@ -67,20 +67,20 @@
         async def work() -> None:
             async with run_process(GRACE_S) as node:
                 node.store.faults.silent.add("*")
-                # By then a call waits for as long as the store may ever take.
+                # After this time, a call waits for the longest time that the store may take.
                 await asyncio.sleep(SILENT_S)
                 self.assertLess(await node.stop(), GRACE_S)
 
         asyncio.run(work())
 
-    def test_process_ends_in_time_where_its_grace_is_short(self) -> None:
+    def test_process_ends_in_time_if_its_grace_is_short(self) -> None:
         async def work() -> None:
             async with run_process(SHORT_GRACE_S) as node:
                 self.assertLess(await node.stop(), SHORT_GRACE_S)
 
         asyncio.run(work())
 
-    def test_request_that_was_read_gets_a_whole_answer(self) -> None:
+    def test_request_that_was_read_gets_a_complete_response(self) -> None:
         async def work() -> None:
             async with run_process(GRACE_S) as node:
                 stop = asyncio.create_task(node.stop())
@@ -92,7 +92,7 @@
 
         asyncio.run(work())
 
-    def test_process_that_has_just_begun_ends_in_time(self) -> None:
+    def test_process_that_has_just_started_ends_in_time(self) -> None:
         async def work() -> None:
             async with run_process(SHORT_GRACE_S, until="started", is_silent=True) as node:
                 self.assertLess(await node.stop(), SHORT_GRACE_S)
@@ -104,7 +104,7 @@
 
         asyncio.run(work())
 
-    def test_process_ends_in_time_though_its_tasks_refuse_to(self) -> None:
+    def test_process_ends_in_time_if_its_tasks_ignore_cancellation(self) -> None:
         async def work() -> None:
             process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "tests.lib.stubborn_process", str(SHORT_GRACE_S)),
@@ -138,7 +138,7 @@
         self.events: list[dict[str, Any]] = []
 
     async def read(self, until: str) -> None:
-        """Read what it writes up to an event."""
+        """Read the log lines up to the event ``until``."""
         assert self._process.stdout is not None
         async with asyncio.timeout(START_MAX_S):
             async for line in self._process.stdout:
@@ -149,23 +149,23 @@
         raise AssertionError(f"no {until} in {self.events}")
 
     async def read_rest(self) -> bytes:
-        """Read what it writes until it ends."""
+        """Read the remaining output until the process ends."""
         assert self._process.stdout is not None
         return await self._process.stdout.read()
 
     async def stop(self) -> float:
-        """Stop as planned; return how long the process took to end."""
+        """Send SIGTERM; return the seconds until the process has ended."""
         began_at_s = time.monotonic()
         self._process.send_signal(signal.SIGTERM)
         await self._process.wait()
         return time.monotonic() - began_at_s
 
     async def hand_in(self) -> bytes:
-        """Hand a job in; return all that comes back."""
+        """Hand a job in; return the whole response."""
         return await self._call("POST", json.dumps({"spec": "text", "steps": [{"count": 1}]}))
 
     async def ask(self) -> bytes:
-        """Ask for the job; return all that comes back."""
+        """Request the job's state; return the whole response."""
         return await self._call("GET", "")
 
     async def _call(self, method: str, body: str) -> bytes:
@@ -188,7 +188,7 @@
 async def run_process(
     grace_s: float, until: str = "pool_opened", is_silent: bool = False
 ) -> AsyncIterator[NodeProcess]:
-    """Run a node on a store of its own until each of three pools was opened, or the like."""
+    """Run a node with its own store; yield once three pools are open, or at ``until``."""
     store = StoreStandin()
     if is_silent:
         store.faults.silent.add("*")
@@ -222,7 +222,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that are free now."""
+    """Return ports that are free at present."""
     sockets = [socket.socket() for _ in range(count)]
     for opened in sockets:
         opened.bind(("127.0.0.1", 0))
--- a/tests/functional/test_steward_lost_in_wave.py
+++ b/tests/functional/test_steward_lost_in_wave.py
@@ -1,4 +1,4 @@
-"""A steward that begins after another one had machines undergo upkeep and was lost."""
+"""A new steward does not drain machines again whose upkeep the lost one ordered."""
 
 import asyncio
 import json
@@ -23,11 +23,12 @@
 from tests.lib.lasting import plan_lasting
 from tests.lib.virtual import run_virtual
 
-# A pool without a reserve: upkeep is done where the machine is.
+# A pool without a reserve: machines undergo upkeep where they are.
 POOLS = (PoolPolicy(POOL),)
 SPREAD = StepSpec(8, cpu_millicores=1000, memory_mb=100, is_lasting=True)
 WAVE = 1
-# How long after a job began on the machine that came back the steward, which owns no pool, is lost.
+# Times from the start of a job on the machine that came back to the loss of the steward, which owns
+# no pool.
 LOST_AFTER_S = (0.0, 0.5, 1.0, 4.0)
 COMES_UP_S = 0.6
 WATCH_S = 10.0
@@ -39,7 +40,7 @@
 
 
 async def _count_emptied(lost_after_s: float | None) -> tuple[int, int]:
-    """Return how often a machine is emptied that has had its upkeep, and how many runs end."""
+    """Return how often a machine is drained after its upkeep, and how many runs end."""
     platform = PlatformStandin(plan_lasting)
     platform.configure(1, (QUEUE,), POOLS)
     for number in range(4):
@@ -71,7 +72,7 @@
 
 
 class StewardLostInWaveTest(TestCase):
-    def test_machine_that_had_its_upkeep_is_not_emptied_again(self) -> None:
+    def test_machine_is_not_drained_again_after_its_upkeep(self) -> None:
         self.assertEqual((0, 0), run_virtual(_count_emptied(None)))
         found = {after_s: run_virtual(_count_emptied(after_s)) for after_s in LOST_AFTER_S}
         self.assertEqual(dict.fromkeys(LOST_AFTER_S, (0, 0)), found)
--- a/tests/functional/test_stops_on_platform.py
+++ b/tests/functional/test_stops_on_platform.py
@@ -1,4 +1,4 @@
-"""Planned stops of nodes on the platform's stand-in while something else goes wrong."""
+"""Planned stops of nodes on the stand-in of the platform while the store fails."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 async def stop_owner(platform: PlatformStandin) -> tuple[float, list[str]]:
-    """Stop the pool's owner and end it; return how long that took, and what was left."""
+    """Stop and kill the pool's owner; return how long the stop took and its unfinished parts."""
     owner = get_owner(platform)
     assert owner is not None
     budget, began_at_s = make_stop_budget(platform), asyncio.get_running_loop().time()
@@ -40,7 +40,7 @@
 
 
 class StopsOnPlatformTest(TestCase):
-    def test_stop_keeps_its_time_while_the_store_fails(self) -> None:
+    def test_stop_stays_within_its_budget_while_the_store_fails(self) -> None:
         async def work(name: str, seed: int) -> None:
             platform = await start_platform(
                 lambda task: TaskPlan(2.0, Resources(1000, 100)), seed=seed
@@ -66,13 +66,13 @@
             for seed in seeds:
                 run_virtual(work(name, seed))
 
-    def test_node_that_stops_is_given_no_pool(self) -> None:
+    def test_stopping_node_takes_over_no_pool(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             owner = get_owner(platform)
             assert owner is not None
             node = platform.nodes[owner].assembled
-            # Leaving takes as long as a call may, and others still take it for a member.
+            # Leaving takes as long as a call may, and other nodes still see it as a member.
             platform.store.faults.silent.add(owner)
             stop = asyncio.create_task(node.node.stop(make_stop_budget(platform)))
             await asyncio.sleep(0.1)
--- a/tests/functional/test_turned_away_nodes.py
+++ b/tests/functional/test_turned_away_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that the store turns away while it serves the others."""
+"""Nodes that the store rejects while it serves the others."""
 
 import asyncio
 
@@ -25,14 +25,14 @@
 
 
 def get_fleet_owner(platform: PlatformStandin) -> str:
-    """Return the node that every node believes to own the fleet's machines."""
+    """Return the node that owns the fleet pool according to the first node's table."""
     node = next(iter(platform.nodes.values())).assembled.node
     found = node._table.get(FLEET_POOL)
     return "" if found is None else found.owner.node
 
 
 async def await_owners(platform: PlatformStandin, former: set[str]) -> float:
-    """Wait until pool and fleet have owners beside ``former``; return how long that took."""
+    """Wait until pool and fleet have owners other than ``former``; return how long that took."""
 
     def is_so() -> bool:
         served = next(name for name in platform.nodes if name not in former)
@@ -44,9 +44,9 @@
 
 
 class TurnedAwayTest(TestCase):
-    """The store turns one node away and serves the others."""
+    """The store rejects one or more nodes and serves the others."""
 
-    def test_pools_pass_at_once_to_a_node_that_the_store_serves(self) -> None:
+    def test_pools_are_transferred_at_once_to_a_served_node(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             owner = get_owner(platform)
@@ -61,7 +61,7 @@
 
         run_virtual(work())
 
-    def test_pools_and_fleet_pass_at_once_where_several_nodes_are_turned_away(self) -> None:
+    def test_pools_and_fleet_are_transferred_at_once_from_several_rejected_nodes(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=5)
             turned_away = {get_owner(platform) or "", get_fleet_owner(platform)}
@@ -72,7 +72,7 @@
 
         run_virtual(work())
 
-    def test_running_tasks_go_on_under_the_next_owner(self) -> None:
+    def test_running_tasks_continue_under_the_next_owner(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(3.0, Resources(1000, 100)))
             spec = make_job(1)
@@ -86,7 +86,7 @@
 
         run_virtual(work())
 
-    def test_jobs_are_taken_in_through_another_node(self) -> None:
+    def test_jobs_are_accepted_through_another_node(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             platform.store.faults.refused.add("node1")
@@ -104,7 +104,7 @@
 
         run_virtual(work())
 
-    def test_pool_that_its_owner_could_not_give_back_is_served_again(self) -> None:
+    def test_pool_that_its_owner_could_not_release_is_served_again(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
             node = platform.nodes["node0"].assembled
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -1,10 +1,10 @@
-"""A machine's upkeep is over when its host is back, not when the list of machines says so.
+"""A machine counts as down until its host is back after the upkeep.
 
-A wave went over its bound by an order that was carried out at once.  The steward went by the list
-alone: a machine counted as back as soon as the list showed it up, though its host had not come, or
-showed it as anything but in upkeep, or did not show the order yet.  The stand-in told of a wave
-that allows one machine, with hosts that come 1 s after the list shows their machine up:
-"7.062 s: m-1 by node2/life3: 1 of wave 1 are down"; and at 5.028 s where the list is 0.5 s late.
+Guards against a wave that exceeds its bound although each order is executed at once: a steward
+that relied on the machine list alone counted a machine as back as soon as the list showed it up
+before its host had started, showed it in a state other than upkeep, or did not show the order
+yet.  With hosts 1 s later than the list, a wave that allows one machine had a second one down
+at 7.062 s; with a list 0.5 s late, at 5.028 s.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, get_owner, plan_second, wait_until
 from tests.lib.virtual import run_virtual
 
-# A pool without a reserve: upkeep is done where the machine is.
+# A pool without a reserve: machines undergo upkeep where they are.
 POOLS = (PoolPolicy(POOL),)
 WAVE = 1
 MACHINES = 6
@@ -47,7 +47,7 @@
     list_lag_s: float = 0.0,
     keeps_host_ids: bool = False,
 ) -> tuple[int, int]:
-    """Return how many machines were down at once, and how many had their upkeep in time."""
+    """Return the peak number of machines down, and the number that had their upkeep in time."""
     platform = await _start(at_once_max, keeps_host_ids)
     platform.machines.host_late_s = host_late_s
     platform.machines.shown_early = shown_early
@@ -59,22 +59,22 @@
 
 
 class UpkeepReturnsTest(TestCase):
-    def test_machine_is_down_until_its_host_has_come(self) -> None:
+    def test_machine_is_down_until_its_host_has_started(self) -> None:
         for state in (MachineState.UP, MachineState.DOWN, MachineState.MOVING):
             found = run_virtual(_play(1, host_late_s=1.0, shown_early=state))
             self.assertEqual((1, MACHINES), found)
 
-    def test_machine_without_a_host_is_down_for_longer_than_a_newcomer_is_looked_for(self) -> None:
-        """It counted as back 3 s after the list had shown it up; its host came after 4 s."""
+    def test_machine_without_a_host_is_down_longer_than_a_new_machine_is_awaited(self) -> None:
+        """It counted as back 3 s after the list showed it up; its host started after 4 s."""
         self.assertEqual((1, MACHINES), run_virtual(_play(1, host_late_s=4.0)))
 
-    def test_machine_is_down_though_the_list_does_not_show_it_yet(self) -> None:
+    def test_machine_is_down_before_a_late_list_shows_it(self) -> None:
         for at_once_max in (1, 2):
             found = run_virtual(_play(at_once_max, list_lag_s=0.5))
             self.assertEqual((at_once_max, MACHINES), found)
 
-    def test_machine_is_back_as_another_life_of_the_host_that_it_was(self) -> None:
-        """Each was waited for until it counted as lost, so that a wave missed its time."""
+    def test_machine_is_back_with_a_new_incarnation_of_its_host(self) -> None:
+        """Each machine was awaited until it counted as lost, so the wave ran out of time."""
         for host_late_s in (0.0, 1.0):
             found = run_virtual(_play(1, host_late_s=host_late_s, keeps_host_ids=True))
             self.assertEqual((1, MACHINES), found)
--- a/tests/unit/test_capacity.py
+++ b/tests/unit/test_capacity.py
@@ -1,4 +1,4 @@
-"""Which node is to own a pool, by how much work each can carry."""
+"""Selection of the owner of a pool by the capacities of the nodes."""
 
 import asyncio
 from collections import Counter
@@ -23,8 +23,8 @@
 SMALL = tuple(Member(f"small{number}", "1", "", 500) for number in range(6))
 
 
-def deal(pool_count: int, policy: OwnerPolicy) -> Counter[str]:
-    """Give pools away one by one; return how many each member got."""
+def assign_pools(pool_count: int, policy: OwnerPolicy) -> Counter[str]:
+    """Assign pools one by one; return the number of pools by node."""
 
     async def work() -> Counter[str]:
         events = EventLog("n", lambda line: None)
@@ -44,20 +44,20 @@
 
 
 class CapacityTest(TestCase):
-    def test_narrow_link_bounds_what_a_node_can_carry(self) -> None:
+    def test_slow_link_bounds_the_capacity_of_a_node(self) -> None:
         self.assertEqual(2000, get_capacity_millicores(2.0, 1000))
         self.assertEqual(500, get_capacity_millicores(2.0, 5))
         self.assertEqual(1, get_capacity_millicores(2.0, 0))
 
     def test_large_nodes_own_pools_before_small_ones(self) -> None:
-        owned = deal(6, OwnerPolicy(weighs_capacity=True))
+        owned = assign_pools(6, OwnerPolicy(weighs_capacity=True))
         self.assertEqual({"large0": 3, "large1": 3}, dict(owned))
 
-    def test_small_nodes_own_some_where_large_ones_are_full(self) -> None:
-        owned = deal(14, OwnerPolicy(weighs_capacity=True))
+    def test_small_nodes_own_pools_once_large_ones_are_loaded(self) -> None:
+        owned = assign_pools(14, OwnerPolicy(weighs_capacity=True))
         self.assertEqual(8, owned["large0"] + owned["large1"])
         self.assertEqual({1}, {owned[member.node] for member in SMALL})
 
-    def test_switched_off_all_own_as_many(self) -> None:
-        owned = deal(8, OwnerPolicy(weighs_capacity=False))
+    def test_without_the_policy_all_nodes_own_equally_many(self) -> None:
+        owned = assign_pools(8, OwnerPolicy(weighs_capacity=False))
         self.assertEqual({1}, set(owned.values()))
--- a/tests/unit/test_machine_orders.py
+++ b/tests/unit/test_machine_orders.py
@@ -1,4 +1,4 @@
-"""What a steward records of its orders, and what the next one leaves alone for a while."""
+"""Records of a steward's orders, and the machines that the next steward must not order yet."""
 
 import asyncio
 from dataclasses import replace
@@ -35,7 +35,7 @@
 
 
 def make_orders(platform: PlatformStandin, token: int, wait_s: float) -> MachineOrders:
-    """Make the orders of a steward that leaves alone for ``wait_s`` what the last one ordered."""
+    """Create the orders of a steward that blocks machines ordered before for ``wait_s``."""
     events = EventLog("n", platform.events.append)
     journal = Journal(platform.store.connect("n"), ORDERS_PARTITION, "steward", token, events)
     return MachineOrders(
@@ -53,7 +53,7 @@
 
 
 def read_records(platform: PlatformStandin) -> tuple[KeyedRecord, ...]:
-    """Return what stewards have recorded."""
+    """Return the records that stewards have written."""
     newest = platform.store.get_newest(ORDERS_PARTITION)
     return tuple(KeyedRecord(key, value) for key, value in newest.items())
 
@@ -72,7 +72,7 @@
     def _add_machines(self, count: int) -> list[str]:
         return [self.platform.machines.add(RESERVE, "r", HOST_CAPACITY) for _ in range(count)]
 
-    def test_steward_that_need_not_wait_records_what_it_is_about_to_order(self) -> None:
+    def test_steward_without_a_wait_records_machines_before_ordering_them(self) -> None:
         async def work() -> None:
             first, second = self._add_machines(2)
             orders = make_orders(self.platform, 1, wait_s=0.0)
@@ -84,31 +84,31 @@
 
         run_virtual(work())
 
-    def test_machine_on_its_way_stays_recorded_when_another_is_ordered(self) -> None:
+    def test_moving_machine_stays_recorded_when_another_is_ordered(self) -> None:
         async def work() -> None:
             first, second = self._add_machines(2)
             orders = make_orders(self.platform, 1, wait_s=0.0)
             await orders.give((MoveOrder(first, POOL),))
             await asyncio.sleep(TURN_S + 0.5)
             orders.record_listing(asyncio.get_running_loop().time())
-            # The first one may still be on its way: it settles only SETTLE_S after its order.
+            # The first machine may still be moving: its order settles only after SETTLE_S.
             await orders.give((MoveOrder(second, POOL),))
             self.assertEqual((first, second), read_machines(self.platform))
 
         run_virtual(work())
 
-    def test_next_steward_leaves_it_alone_if_it_is_to_wait(self) -> None:
+    def test_next_steward_blocks_recorded_machines_if_it_has_to_wait(self) -> None:
         async def work() -> None:
             (machine,) = self._add_machines(1)
             await make_orders(self.platform, 1, wait_s=0.0).give((MoveOrder(machine, POOL),))
-            for wait_s, held in ((TURN_S, {machine}), (0.0, set())):
+            for wait_s, blocked in ((TURN_S, {machine}), (0.0, set())):
                 following = make_orders(self.platform, 2, wait_s)
                 following.load(read_records(self.platform))
-                self.assertEqual(held, following.list_blocked())
+                self.assertEqual(blocked, following.list_blocked())
 
         run_virtual(work())
 
-    def test_what_was_ordered_long_ago_is_named_no_more(self) -> None:
+    def test_settled_orders_are_dropped_from_the_record(self) -> None:
         async def work() -> None:
             first, second = self._add_machines(2)
             orders = make_orders(self.platform, 1, wait_s=0.0)
@@ -120,8 +120,8 @@
 
         run_virtual(work())
 
-    def test_order_counts_as_recent_from_when_it_was_last_given(self) -> None:
-        """The platform leaves it unanswered for longer than the time between two stewards."""
+    def test_order_counts_as_recent_from_its_last_repetition(self) -> None:
+        """The platform does not respond for longer than the minimum time between two stewards."""
 
         async def work() -> None:
             first, second = self._add_machines(2)
@@ -138,7 +138,7 @@
 
         run_virtual(work())
 
-    def test_next_steward_knows_what_was_ordered_before(self) -> None:
+    def test_next_steward_loads_the_machines_ordered_before(self) -> None:
         async def work() -> None:
             (machine,) = self._add_machines(1)
             await make_orders(self.platform, 1, wait_s=0.0).give((MoveOrder(machine, POOL),))
@@ -149,7 +149,7 @@
 
         run_virtual(work())
 
-    def test_machine_that_has_come_where_the_last_steward_moved_it_does_not_leave(self) -> None:
+    def test_machine_that_has_arrived_in_its_new_pool_is_not_leaving(self) -> None:
         async def work() -> None:
             come, late = self._add_machines(2)
             orders = make_orders(self.platform, 1, wait_s=0.0)
@@ -167,7 +167,7 @@
 
         run_virtual(work())
 
-    def test_record_is_emptied_when_all_that_it_names_was_ordered_long_ago(self) -> None:
+    def test_record_is_emptied_once_all_its_orders_are_settled(self) -> None:
         async def work() -> None:
             first, second = self._add_machines(2)
             orders = make_orders(self.platform, 1, wait_s=0.0)
@@ -190,7 +190,7 @@
 
         run_virtual(work())
 
-    def test_record_names_an_order_for_as_long_as_it_is_tried(self) -> None:
+    def test_record_contains_an_order_while_it_is_repeated(self) -> None:
         async def work() -> None:
             (machine,) = self._add_machines(1)
             orders = make_orders(self.platform, 1, wait_s=0.0)
@@ -204,7 +204,7 @@
 
         run_virtual(work())
 
-    def test_next_steward_empties_the_record_of_the_last_one(self) -> None:
+    def test_next_steward_empties_the_record_of_the_previous_one(self) -> None:
         async def work() -> None:
             (machine,) = self._add_machines(1)
             await make_orders(self.platform, 1, wait_s=0.0).give((MoveOrder(machine, POOL),))
@@ -222,7 +222,7 @@
 
 
 class UnsettledUpkeepTest(TestCase):
-    """What a steward makes of the upkeep that the last one recorded."""
+    """Upkeep orders that the previous steward recorded and that may still be executed."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -237,7 +237,7 @@
         following.load(read_records(self.platform))
         return following, machine
 
-    def test_upkeep_that_has_begun_is_settled_and_its_record_is_emptied(self) -> None:
+    def test_begun_upkeep_is_settled_and_its_record_is_emptied(self) -> None:
         async def work() -> None:
             orders, _machine = await self._replace(begun=True)
             self.assertEqual({}, orders.unsettled.get_waves())
@@ -248,7 +248,7 @@
 
         run_virtual(work())
 
-    def test_other_upkeep_counts_until_it_is_ordered_shown_or_long_ago(self) -> None:
+    def test_unsettled_upkeep_counts_until_it_is_listed_or_too_old(self) -> None:
         async def work() -> None:
             orders, machine = await self._replace(begun=False)
             self.assertEqual({machine: 1}, orders.unsettled.get_waves())
@@ -268,15 +268,15 @@
         run_virtual(work())
 
 
-class PlaceKeptTest(TestCase):
-    """An upkeep that may be done keeps its place in the wave, whatever comes after it."""
+class UpkeepSlotTest(TestCase):
+    """An upkeep order that may be executed occupies its slot in the wave."""
 
     def setUp(self) -> None:
         super().setUp()
         self.platform = PlatformStandin(plan_second)
 
-    def test_order_without_answer_keeps_it_though_its_repetition_does_not_fit(self) -> None:
-        """The place was free 1.3 s after the order was sent, which was done 4 s after."""
+    def test_order_without_response_keeps_its_slot_if_the_repetition_is_rejected(self) -> None:
+        """The slot was free 1.3 s after the order was sent, which was executed after 4 s."""
 
         async def work() -> None:
             (machine,) = (self.platform.machines.add(RESERVE, "r", HOST_CAPACITY),)
@@ -295,8 +295,8 @@
 
         run_virtual(work())
 
-    def test_end_of_an_order_leaves_the_place_of_the_next_one(self) -> None:
-        """A store that is slow for 3 s had the first upkeep recorded after the second was sent."""
+    def test_end_of_an_order_does_not_free_the_slot_of_the_next_one(self) -> None:
+        """With a store silent for 3 s, the first upkeep was recorded after the second was sent."""
 
         async def work() -> None:
             machine = self.platform.machines.add(RESERVE, "r", HOST_CAPACITY)
--- a/tests/unit/test_settings_holder.py
+++ b/tests/unit/test_settings_holder.py
@@ -1,4 +1,4 @@
-"""Settings that follow their file."""
+"""Reloading of the settings when their file changes."""
 
 import dataclasses
 import json
@@ -28,24 +28,24 @@
     def get_events(self) -> list[str]:
         return [json.loads(line)["event"] for line in self.lines]
 
-    def test_change_without_a_signal_is_taken_over_and_told(self) -> None:
+    def test_change_without_a_signal_is_applied_and_logged(self) -> None:
         self.now = dataclasses.replace(
             self.now, bounds=dataclasses.replace(BOUNDS, drain_ms=500), ip="elsewhere"
         )
         self.holder.reload("file")
         self.assertEqual(500, self.holder.settings.bounds.drain_ms)
-        told = json.loads(self.lines[0])
-        self.assertEqual(["bounds", "ip"], told["changed"])
-        self.assertEqual(["ip"], told["in_force_after_restart"])
+        logged = json.loads(self.lines[0])
+        self.assertEqual(["bounds", "ip"], logged["changed"])
+        self.assertEqual(["ip"], logged["in_force_after_restart"])
 
-    def test_file_that_is_not_valid_changes_nothing_and_is_told_once(self) -> None:
+    def test_invalid_file_changes_nothing_and_is_logged_once(self) -> None:
         self.is_valid = False
         self.holder.reload("file")
         self.holder.reload("file")
         self.assertEqual(["settings_rejected"], self.get_events())
         self.assertEqual(BOUNDS, self.holder.settings.bounds)
 
-    def test_signal_is_told_also_where_nothing_changed(self) -> None:
+    def test_signal_is_logged_even_if_nothing_changed(self) -> None:
         self.holder.reload("file")
         self.holder.reload("signal")
         self.assertEqual(["settings_reloaded"], self.get_events())
--- a/tests/unit/test_share_allocator.py
+++ b/tests/unit/test_share_allocator.py
@@ -1,4 +1,4 @@
-"""What the steward tells pools of workspaces' shares, and when."""
+"""Allocation of workspace limits to the pools by the steward."""
 
 from testtools import TestCase
 
@@ -27,7 +27,7 @@
 
 
 class _Pools:
-    """Owners that take orders and answer; ``used`` is what the workspace takes there."""
+    """Owners that respond to share orders; ``used`` is what the workspace uses in each pool."""
 
     def __init__(self, token: int = 1, began_at_s: float = 0.0) -> None:
         self.allocator = ShareAllocator(
@@ -44,7 +44,7 @@
         answering: tuple[str, ...] = POOLS,
         now_s: float = 0.0,
     ) -> dict[str, ShareTable | None]:
-        """Have the keeper ask the pools once and decide; return what they go by."""
+        """Send the pools' orders once and decide; return the tables that the pools apply."""
         orders = {pool: self.allocator.make_order(pool, config) for pool in POOLS}
         reports = {pool: self._answer(pool, orders[pool]) for pool in answering}
         self.allocator.record_reports(config, reports)
@@ -64,18 +64,18 @@
         return PoolReport(True, share_state=self.states[pool], workspaces=(standing,))
 
     def settle(self, config: FleetConfig, fell_in: dict[str, int] | None = None) -> None:
-        """Take steps until nothing changes any more."""
+        """Take enough steps for the shares to settle."""
         for _ in range(6):
             self.step(config, fell_in)
 
     def get_share(self, pool: str) -> float:
-        """Return what a pool lets the workspace take."""
+        """Return the workspace's share in a pool."""
         table = self.states[pool].table
         return 0.0 if table is None else table.get("maps")
 
 
 class ShareAllocatorTest(TestCase):
-    def test_pools_have_even_shares_once_both_were_heard(self) -> None:
+    def test_pools_have_even_shares_once_both_have_reported(self) -> None:
         pools = _Pools()
         pools.settle(make_config(1, 1000))
         self.assertEqual([0.5, 0.5], [pools.get_share(pool) for pool in POOLS])
@@ -86,7 +86,7 @@
         pools.used["a"], pools.held_back["a"] = 500, 100
         sums = []
         for _ in range(6):
-            # The other one does not answer for a while.
+            # The other pool does not respond for a while.
             pools.step(config, answering=("a",))
             sums.append(pools.get_share("a"))
         self.assertEqual([0.5] * 6, sums)
@@ -94,7 +94,7 @@
         self.assertAlmostEqual(0.9, pools.get_share("a"), places=5)
         self.assertAlmostEqual(0.1, pools.get_share("b"), places=5)
 
-    def test_new_steward_lends_nothing_before_it_has_heard_all(self) -> None:
+    def test_new_steward_lends_nothing_before_all_have_reported(self) -> None:
         pools, config = _Pools(), make_config(1, 1000)
         pools.settle(config)
         pools.used["a"], pools.held_back["a"] = 500, 100
@@ -110,7 +110,7 @@
         later.settle(config)
         self.assertEqual([0.5, 0.5], [later.get_share(pool) for pool in POOLS])
 
-    def test_pool_that_heeds_a_later_steward_counts_as_not_heard(self) -> None:
+    def test_pool_that_obeys_a_later_steward_counts_as_not_reported(self) -> None:
         pools, config = _Pools(token=1), make_config(1, 1000)
         pools.step(config)
         pools.states["b"] = ShareState(2, 1, ShareTable(1, 0.9))
@@ -121,7 +121,7 @@
         assert order is not None
         self.assertEqual(1, order.token)
 
-    def test_fallen_limit_lets_nothing_begin_until_both_have_told_what_they_hold(self) -> None:
+    def test_lowered_limit_blocks_starts_until_both_have_reported_usage(self) -> None:
         pools, config = _Pools(), make_config(1, 1000)
         pools.settle(config)
         pools.used["a"] = 600
@@ -133,10 +133,10 @@
         self.assertLessEqual(pools.get_share("b"), 0.4 + 1e-6)
         self.assertGreater(pools.get_share("b"), 0.1)
 
-    def test_new_steward_gives_nothing_after_a_fall_before_it_has_heard_all(self) -> None:
+    def test_new_steward_assigns_nothing_of_a_lowered_limit_before_all_reported(self) -> None:
         pools, fallen, fell_in = _Pools(), make_config(2, 1000), {"maps": 2}
         pools.settle(make_config(1, 2000))
-        # The pool that holds more than the whole limit has lost its owner, and so has the other.
+        # The pool that uses more than the whole limit has lost its owner, and so has the other.
         pools.used["a"] = 1500
         later = _Pools(token=2, began_at_s=10.0)
         later.used, later.states = pools.used, {"a": pools.states["a"], "b": ShareState()}
@@ -153,9 +153,9 @@
         later.settle(fallen, fell_in)
         self.assertAlmostEqual(0.5, later.get_share("b"))
 
-    def test_new_steward_that_knows_of_no_fall_counts_what_new_owners_hold(self) -> None:
+    def test_new_steward_unaware_of_a_lowered_limit_counts_reported_usage(self) -> None:
         later, config = _Pools(token=2, began_at_s=10.0), make_config(2, 1000)
-        # A new owner of one pool holds more than its even share, from before the limit fell.
+        # A new owner of one pool uses more than its even share, from before the limit was lowered.
         later.used["a"] = 900
         shares = set()
         for step in range(8):
@@ -168,7 +168,7 @@
             later.step(config, now_s=20.0 + step)
         self.assertEqual(0.0, later.get_share("b"))
 
-    def test_new_steward_that_has_not_heard_all_counts_what_others_hold(self) -> None:
+    def test_new_steward_counts_usage_while_not_all_have_reported(self) -> None:
         later, config = _Pools(token=2, began_at_s=10.0), make_config(2, 1000)
         later.used["a"] = 950
         three = make_fleet_config(
--- a/tests/unit/test_status_reporter.py
+++ b/tests/unit/test_status_reporter.py
@@ -1,4 +1,4 @@
-"""Lines that tell how a node and its pools stand."""
+"""Status lines of a node and its pools, and the node's readiness."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 class StatusReporterTest(TestCase):
-    def test_open_pool_is_told_each_two_seconds_with_what_it_has(self) -> None:
+    def test_status_of_an_open_pool_is_logged_every_two_seconds(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
             await hand_in(platform, "node0", make_job(1, LASTING))
@@ -53,7 +53,7 @@
 
         run_virtual(work())
 
-    def test_silent_hosts_and_lasting_tasks_away_show(self) -> None:
+    def test_status_counts_silent_hosts_and_lasting_tasks_not_running(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
             await hand_in(platform, "node0", make_job(1, LASTING))
@@ -70,7 +70,7 @@
 
         run_virtual(work())
 
-    def test_pool_is_told_before_it_is_open(self) -> None:
+    def test_status_is_logged_before_the_pool_is_open(self) -> None:
         async def work() -> None:
             platform = start_on_slow_link()
             await wait_until(lambda: bool(find_lines(platform, "owner_standing")))
@@ -82,7 +82,7 @@
 
         run_virtual(work())
 
-    def test_first_accept_and_first_start_are_told_once(self) -> None:
+    def test_first_accept_and_first_start_are_logged_once(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
             for number in (1, 2):
@@ -99,7 +99,7 @@
 
 
 class ReadinessTest(TestCase):
-    def test_changes_are_told_with_their_reason(self) -> None:
+    def test_changes_are_logged_with_their_reason(self) -> None:
         async def work() -> None:
             platform = PlatformStandin(plan_second, 1)
             node = platform.start_node("node0").assembled
--- a/tests/unit/test_stop_budget.py
+++ b/tests/unit/test_stop_budget.py
@@ -1,4 +1,4 @@
-"""A stop keeps its time whatever a part of it does."""
+"""A stop ends within its budget even if parts of it fail or do not end."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
     def _make(self, grace_s: float = GRACE_S) -> StopBudget:
         return StopBudget(grace_s, LAG_S, EventLog("n", write=self.lines.append))
 
-    def test_part_that_does_not_end_takes_the_budget_and_no_more(self) -> None:
+    def test_part_that_does_not_end_takes_at_most_the_budget(self) -> None:
         async def work() -> None:
             loop = asyncio.get_running_loop()
             budget, began_at_s = self._make(), loop.time()
@@ -41,7 +41,7 @@
 
         run_virtual(work())
 
-    def test_part_that_fails_is_told_and_the_next_one_runs(self) -> None:
+    def test_failed_part_is_logged_and_the_next_one_runs(self) -> None:
         async def work() -> None:
             budget = self._make()
             self.assertFalse(await budget.run("odd", fail()))
@@ -54,7 +54,7 @@
 
         run_virtual(work())
 
-    def test_no_time_at_all_leaves_all_undone(self) -> None:
+    def test_empty_budget_leaves_all_parts_unfinished(self) -> None:
         async def work() -> None:
             budget = self._make(grace_s=0.0)
             self.assertEqual(0.0, budget.left_s)
