--- a/src/robinthread/_internal/node/settings_holder.py
+++ b/src/robinthread/_internal/node/settings_holder.py
@@ -36,7 +36,7 @@
             self.reload("file")
 
     def reload(self, cause: str) -> None:
-        """Read the file again; log changed or invalid settings, and each reload by signal."""
+        """Read the file again; log changes, each new error and each valid reload by signal."""
         try:
             settings = self._read()
         except FaultError as error:
