--- a/src/robinthread/_internal/durable/append_latency.py
+++ b/src/robinthread/_internal/durable/append_latency.py
@@ -15,32 +15,32 @@
     """Watches the appends, or joins, that one caller makes in turn."""
 
     def __init__(self) -> None:
-        self._began_at_s: float | None = None
-        self._slow_at_s = -math.inf
+        self._started_at_s: float | None = None
+        self._last_slow_at_s = -math.inf
 
     def begin(self) -> None:
         """Note that an append begins."""
-        self._began_at_s = asyncio.get_running_loop().time()
+        self._started_at_s = asyncio.get_running_loop().time()
 
     def end(self) -> None:
         """Note that the append has ended, however it went."""
-        if self._began_at_s is not None:
-            self.record_duration(asyncio.get_running_loop().time() - self._began_at_s)
-        self._began_at_s = None
+        if self._started_at_s is not None:
+            self.record_duration(asyncio.get_running_loop().time() - self._started_at_s)
+        self._started_at_s = None
 
-    def record_duration(self, took_s: float) -> None:
+    def record_duration(self, duration_s: float) -> None:
         """Note how long an append took that another node made."""
-        if took_s >= SLOW_APPEND_S:
+        if duration_s >= SLOW_APPEND_S:
             self.mark_slow()
 
     def mark_slow(self) -> None:
         """Note that the store turned an append away."""
-        self._slow_at_s = asyncio.get_running_loop().time()
+        self._last_slow_at_s = asyncio.get_running_loop().time()
 
     @property
     def is_slow(self) -> bool:
         """Tell whether an append takes long now, or has done so of late."""
         now_s = asyncio.get_running_loop().time()
-        if self._began_at_s is not None and now_s - self._began_at_s >= SLOW_APPEND_S:
+        if self._started_at_s is not None and now_s - self._started_at_s >= SLOW_APPEND_S:
             return True
-        return now_s - self._slow_at_s < SLOW_HOLD_S
+        return now_s - self._last_slow_at_s < SLOW_HOLD_S
--- a/src/robinthread/_internal/durable/group_writer.py
+++ b/src/robinthread/_internal/durable/group_writer.py
@@ -16,7 +16,7 @@
 # How long the answer of a batch is sought before its outcome is given up as unknown.
 # Callers come again at another node, which may reach the store where this one does not,
 # and they have 3 s in all.
-GIVE_UP_AFTER_S: Final = 0.8
+BATCH_TIMEOUT_S: Final = 0.8
 # Pause before a batch without an answer is sent again.
 RETRY_PAUSE_S: Final = 0.02
 # Bytes that a record takes beside its key and value.
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class _Entry:
+class _PendingRecord:
     record: KeyedRecord
     deadline_s: float
     done: asyncio.Future[int] = field(
@@ -49,7 +49,7 @@
         self._batch_max_bytes = batch_max_bytes
         self._epoch = 0
         self._sequence = 0
-        self._waiting: deque[_Entry] = deque()
+        self._pending: deque[_PendingRecord] = deque()
         self._wakeup = asyncio.Event()
         self.latency = AppendLatency()
 
@@ -60,8 +60,8 @@
         ``StoreRefusedError`` where the record surely was not and never will be
         appended, ``StoreNoAnswerError`` where that is not known.
         """
-        entry = _Entry(record, deadline_s)
-        self._waiting.append(entry)
+        entry = _PendingRecord(record, deadline_s)
+        self._pending.append(entry)
         self._wakeup.set()
         return await entry.done
 
@@ -70,27 +70,27 @@
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            while self._waiting:
+            while self._pending:
                 self.latency.begin()
-                await self._append(self._take_batch())
+                await self._append(self._pop_batch())
                 self.latency.end()
 
-    def _take_batch(self) -> list[_Entry]:
-        batch: list[_Entry] = []
+    def _pop_batch(self) -> list[_PendingRecord]:
+        batch: list[_PendingRecord] = []
         size_bytes = 0
-        while self._waiting:
-            record = self._waiting[0].record
+        while self._pending:
+            record = self._pending[0].record
             size_bytes += len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES
             if batch and size_bytes > self._batch_max_bytes:
                 break
-            batch.append(self._waiting.popleft())
+            batch.append(self._pending.popleft())
         return batch
 
-    async def _append(self, batch: list[_Entry]) -> None:
+    async def _append(self, batch: list[_PendingRecord]) -> None:
         """Send a batch until it is answered or given up."""
         records = [entry.record for entry in batch]
         loop = asyncio.get_running_loop()
-        deadline_s = min(loop.time() + GIVE_UP_AFTER_S, max(entry.deadline_s for entry in batch))
+        deadline_s = min(loop.time() + BATCH_TIMEOUT_S, max(entry.deadline_s for entry in batch))
         stamp = WriterStamp(self._name, self._epoch, self._sequence)
         error: StoreError | None = None
         while True:
@@ -99,11 +99,11 @@
             except StoreRefusedError as refused:
                 self.latency.mark_slow()
                 if error is None:
-                    _fail(batch, refused)
+                    _fail_batch(batch, refused)
                     return
-            except StoreError as unanswered:
-                error = unanswered
-                self._refuse_waiting()
+            except StoreError as unconfirmed:
+                error = unconfirmed
+                self._reject_pending()
             else:
                 self._sequence += 1
                 for position, entry in enumerate(batch):
@@ -114,21 +114,21 @@
             await asyncio.sleep(RETRY_PAUSE_S)
         self._epoch += 1
         self._sequence = 0
-        _fail(batch, StoreNoAnswerError(str(error)))
+        _fail_batch(batch, StoreNoAnswerError(str(error)))
 
-    def _refuse_waiting(self) -> None:
+    def _reject_pending(self) -> None:
         """Refuse what has not been sent: it must not wait behind a silent store."""
-        waiting = list(self._waiting)
-        self._waiting.clear()
-        _fail(waiting, StoreRefusedError("the store does not answer"))
+        pending = list(self._pending)
+        self._pending.clear()
+        _fail_batch(pending, StoreRefusedError("the store does not answer"))
 
 
-def _resolve(entry: _Entry, offset: int) -> None:
+def _resolve(entry: _PendingRecord, offset: int) -> None:
     if not entry.done.done():
         entry.done.set_result(offset)
 
 
-def _fail(batch: list[_Entry], error: StoreError) -> None:
+def _fail_batch(batch: list[_PendingRecord], error: StoreError) -> None:
     for entry in batch:
         if not entry.done.done():
             entry.done.set_exception(error)
--- a/src/robinthread/_internal/durable/inbox_records.py
+++ b/src/robinthread/_internal/durable/inbox_records.py
@@ -48,9 +48,9 @@
 InboxRecord = JobSubmitted | JobCancelled | RecordDropped
 
 
-def make_job_record(spec: JobSpec, copy: str) -> KeyedRecord:
-    """Make the record of a job; ``copy`` tells this attempt from all others."""
-    return KeyedRecord(f"{JOB_PREFIX}{spec.job_id}/{copy}", msgspec.msgpack.encode(spec))
+def make_job_record(spec: JobSpec, submission_id: str) -> KeyedRecord:
+    """Make the record of a job; ``submission_id`` tells this attempt from all others."""
+    return KeyedRecord(f"{JOB_PREFIX}{spec.job_id}/{submission_id}", msgspec.msgpack.encode(spec))
 
 
 def make_cancel_record(job_id: str, workspace: str | None = None) -> KeyedRecord:
@@ -67,11 +67,13 @@
 
 def parse_inbox_record(record: KeyedRecord) -> InboxRecord:
     """Read a record of the inbox; raise ``msgspec.MsgspecError``."""
-    job_id = _get_job_id(record.key)
+    job_id = _parse_job_id(record.key)
     if record.value is None:
         return RecordDropped(record.key, job_id)
     if record.key.startswith(CANCEL_PREFIX):
-        return JobCancelled(record.key, job_id, _parse_canceller(record.key, record.value))
+        return JobCancelled(
+            record.key, job_id, _parse_cancelling_workspace(record.key, record.value)
+        )
     spec = msgspec.msgpack.decode(record.value, type=JobSpec)
     fault = spec.find_fault() or ("" if spec.job_id == job_id else "its key names another job")
     if fault:
@@ -79,7 +81,7 @@
     return JobSubmitted(record.key, spec)
 
 
-def _parse_canceller(key: str, value: bytes) -> str | None:
+def _parse_cancelling_workspace(key: str, value: bytes) -> str | None:
     """Return the workspace that cancelled a job; None where no key was asked for."""
     if "/" not in key.removeprefix(CANCEL_PREFIX):
         return None
@@ -89,7 +91,7 @@
         raise msgspec.ValidationError("a workspace's name is not a text") from error
 
 
-def _get_job_id(key: str) -> str:
+def _parse_job_id(key: str) -> str:
     """Return the id of the job that a key is about."""
     prefix, _, rest = key.partition("/")
     job_id = rest.partition("/")[0]
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -45,7 +45,7 @@
     def __init__(self, events: EventLog, meter: ShareMeter) -> None:
         self.jobs: dict[str, IndexedJob] = {}
         self._meter = meter
-        self._cancelled_ahead: dict[str, list[JobCancelled]] = {}
+        self._early_cancellations: dict[str, list[JobCancelled]] = {}
         self._listeners: list[Listener] = []
         self._events = events
 
@@ -66,14 +66,14 @@
         progress: an owner that still found it here would run it again.
         """
         if is_snapshot:
-            self._keep_only(frozenset(record.key for record in records))
+            self._retain_keys(frozenset(record.key for record in records))
         for record in records:
             try:
-                self._apply_one(record)
+                self._apply_record(record)
             except msgspec.MsgspecError as error:
                 self._events.write("record_malformed", key=record.key, error=str(error))
 
-    def _apply_one(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         match parse_inbox_record(record):
             case JobSubmitted(key, spec):
                 self._add(key, spec, record.offset)
@@ -90,19 +90,22 @@
         is_beyond = self._meter.is_beyond(spec.workspace, spec.accepted_at_ms)
         job = self.jobs[spec.job_id] = IndexedJob(spec, offset, is_beyond)
         job.keys.add(key)
-        ahead = self._cancelled_ahead.pop(spec.job_id, ())
-        job.is_cancelled = any(may_access(one.workspace, spec.workspace) for one in ahead)
-        self._tell(job)
+        early_cancellations = self._early_cancellations.pop(spec.job_id, ())
+        job.is_cancelled = any(
+            may_access(cancellation.workspace, spec.workspace)
+            for cancellation in early_cancellations
+        )
+        self._notify(job)
 
     def _cancel(self, cancelled: JobCancelled) -> None:
         job = self.jobs.get(cancelled.job_id)
         if job is None:
-            self._cancelled_ahead.setdefault(cancelled.job_id, []).append(cancelled)
+            self._early_cancellations.setdefault(cancelled.job_id, []).append(cancelled)
             return
         job.keys.add(cancelled.key)
         if not job.is_cancelled and may_access(cancelled.workspace, job.spec.workspace):
             job.is_cancelled = True
-            self._tell(job)
+            self._notify(job)
 
     def _drop(self, key: str, job_id: str) -> None:
         job = self.jobs.get(job_id)
@@ -111,13 +114,13 @@
             if not job.keys:
                 del self.jobs[job_id]
 
-    def _keep_only(self, keys: frozenset[str]) -> None:
-        self._cancelled_ahead.clear()
+    def _retain_keys(self, keys: frozenset[str]) -> None:
+        self._early_cancellations.clear()
         for job_id, job in list(self.jobs.items()):
             job.keys &= keys
             if not job.keys:
                 del self.jobs[job_id]
 
-    def _tell(self, job: IndexedJob) -> None:
+    def _notify(self, job: IndexedJob) -> None:
         for listener in list(self._listeners):
             listener(job)
--- a/src/robinthread/_internal/durable/journal.py
+++ b/src/robinthread/_internal/durable/journal.py
@@ -32,19 +32,19 @@
         self._writer = writer
         self._token = token
         self._sequence = 0
-        self._turn = asyncio.Lock()
+        self._append_lock = asyncio.Lock()
         self.confirmed_at_s = -math.inf
         self._events = events
 
     async def open(self) -> None:
         """Shut out older owners; raise ``StoreFencedError`` where there is a newer one."""
-        async with self._turn:
+        async with self._append_lock:
             await self._append(())
 
     async def write(self, records: Sequence[KeyedRecord]) -> None:
         """Append records, trying until they are kept; raise ``StoreFencedError``."""
         if records:
-            async with self._turn:
+            async with self._append_lock:
                 await self._append(records)
 
     async def _append(self, records: Sequence[KeyedRecord]) -> None:
--- a/src/robinthread/_internal/durable/keyed_follower.py
+++ b/src/robinthread/_internal/durable/keyed_follower.py
@@ -20,12 +20,12 @@
 FOLLOW_WAIT_S: Final = 1.5
 # Longest wait for records up to an end that the store has told: an answer may be of a
 # copy that is behind.
-READ_ON_WAIT_S: Final = 0.1
+CATCH_UP_WAIT_S: Final = 0.1
 # Time-outs of reads after one that was lost, twice as long each time.  What calls of late
 # took says nothing of a large record: a configuration of 362 KB takes 0.6 s over 5 Mbit/s.
 # Even the longest is below the 3 s after which a node that was cut off counts as reachable.
-LOST_TIMEOUT_MIN_S: Final = 1.2
-LOST_TIMEOUT_MAX_S: Final = 2.4
+RETRY_TIMEOUT_MIN_S: Final = 1.2
+RETRY_TIMEOUT_MAX_S: Final = 2.4
 # Pause after a failed read.
 RETRY_PAUSE_S: Final = 0.2
 
@@ -58,14 +58,14 @@
         self._apply = apply
         self._events = events
         self._reader = NewestReader(store, partition)
-        self._loading = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
         self._is_failing = False
         self._period_s = period_s
-        self._hurry_period_s = 0.0
-        self._hurry_until_s = 0.0
-        self._is_wanted = asyncio.Event()
+        self._fast_period_s = 0.0
+        self._fast_until_s = 0.0
+        self._resumed = asyncio.Event()
         if not is_paused:
-            self._is_wanted.set()
+            self._resumed.set()
         self._read_timeout_s: float | None = None
         self.next_offset: int | None = None
         self.confirmed_at_s = -math.inf
@@ -74,36 +74,36 @@
     async def run(self) -> None:
         """Follow until cancelled, whenever that is wanted."""
         while True:
-            await self._is_wanted.wait()
+            await self._resumed.wait()
             try:
                 # After a failure one read without waiting tells at once how things are.
-                is_quick = self._period_s > 0 or self._is_failing
-                await self._follow_once(0 if is_quick else FOLLOW_WAIT_S)
+                skips_wait = self._period_s > 0 or self._is_failing
+                await self._follow_once(0 if skips_wait else FOLLOW_WAIT_S)
             except StoreError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await asyncio.sleep(RETRY_PAUSE_S)
             else:
-                self._note_success()
+                self._record_success()
                 await asyncio.sleep(self._get_pause_s())
 
     def poll_faster(self, period_s: float, for_s: float) -> None:
         """Read every ``period_s`` at least, for a while."""
-        self._hurry_period_s = period_s
-        self._hurry_until_s = asyncio.get_running_loop().time() + for_s
+        self._fast_period_s = period_s
+        self._fast_until_s = asyncio.get_running_loop().time() + for_s
 
     def _get_pause_s(self) -> float:
-        is_hurried = asyncio.get_running_loop().time() < self._hurry_until_s
-        return min(self._hurry_period_s, self._period_s) if is_hurried else self._period_s
+        is_fast = asyncio.get_running_loop().time() < self._fast_until_s
+        return min(self._fast_period_s, self._period_s) if is_fast else self._period_s
 
     def pause(self) -> None:
         """Stop following; what is known from now on is out of date."""
-        self._is_wanted.clear()
+        self._resumed.clear()
         self.next_offset = None
         self._reader = NewestReader(self._store, self._partition)
 
     def resume(self) -> None:
         """Follow again, from the newest record of each key."""
-        self._is_wanted.set()
+        self._resumed.set()
 
     async def read_to_end(self) -> None:
         """Read all that was there at the call; raise ``StoreError``.
@@ -116,18 +116,18 @@
             end = await self._follow_once(0)
         # A pause forgets how far the reading had come, and what was under way.
         while self.next_offset is None or self.next_offset < end:
-            await self._follow_once(READ_ON_WAIT_S)
+            await self._follow_once(CATCH_UP_WAIT_S)
 
     async def _follow_once(self, wait_s: float) -> int | None:
         """Make one read; return the partition's end at that time, if it told one."""
-        asked_at_s = asyncio.get_running_loop().time()
+        sent_at_s = asyncio.get_running_loop().time()
         end = await self._read_once(wait_s)
-        self.confirmed_at_s = max(self.confirmed_at_s, asked_at_s)
+        self.confirmed_at_s = max(self.confirmed_at_s, sent_at_s)
         return end
 
     async def _read_once(self, wait_s: float) -> int | None:
         if self.next_offset is None:
-            async with self._loading:
+            async with self._load_lock:
                 if self.next_offset is None:
                     await self._load()
                     return None
@@ -136,8 +136,8 @@
                 self._partition, self.next_offset, wait_s, self._read_timeout_s
             )
         except StoreNoAnswerError:
-            longer_s = 2 * (self._read_timeout_s or LOST_TIMEOUT_MIN_S / 2)
-            self._read_timeout_s = min(longer_s, LOST_TIMEOUT_MAX_S)
+            timeout_s = 2 * (self._read_timeout_s or RETRY_TIMEOUT_MIN_S / 2)
+            self._read_timeout_s = min(timeout_s, RETRY_TIMEOUT_MAX_S)
             raise
         except HistoryGoneError as error:
             self._events.write(
@@ -146,18 +146,18 @@
                 next_offset=self.next_offset,
                 first_offset=error.first,
             )
-            async with self._loading:
+            async with self._load_lock:
                 self.next_offset = None
                 await self._load()
             return None
         self._read_timeout_s = None
-        self._take(page)
+        self._apply_page(page)
         return page.end
 
-    def _take(self, page: ReadPage) -> None:
+    def _apply_page(self, page: ReadPage) -> None:
         if self.next_offset is None:
             return
-        self._note_unreadable(page.unreadable_count)
+        self._log_unreadable(page.unreadable_count)
         new = [record for record in page.records if record.offset >= self.next_offset]
         if new:
             self._apply(new, False)
@@ -173,24 +173,24 @@
         if self.next_offset is not None and self.next_offset > newest.next_offset:
             # Another read has come further meanwhile.
             return
-        self._note_unreadable(newest.unreadable_count)
+        self._log_unreadable(newest.unreadable_count)
         records = sorted(newest.records, key=lambda record: record.offset)
         self._apply(records, True)
         self.next_offset = newest.next_offset
         self.first_read.set()
 
-    def _note_unreadable(self, count: int) -> None:
+    def _log_unreadable(self, count: int) -> None:
         if count:
             self._events.write("records_unreadable", topic=self._partition.topic, count=count)
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if not self._is_failing:
             self._is_failing = True
             self._events.write(
                 "store_lost", topic=self._partition.topic, error=f"{type(error).__name__}: {error}"
             )
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._is_failing:
             self._is_failing = False
             self._events.write(
--- a/src/robinthread/_internal/durable/ownership.py
+++ b/src/robinthread/_internal/durable/ownership.py
@@ -103,46 +103,47 @@
         return None if found is None or found.is_released else found
 
     async def acquire(
-        self, pool: str, member: Member, returned: Mapping[str, Member] | None = None
+        self, pool: str, member: Member, reassigned: Mapping[str, Member] | None = None
     ) -> bool:
         """Take a pool unless anything has changed; the fold tells the outcome.
 
-        ``returned`` are other pools that go to the members named, in the same append.
+        ``reassigned`` are other pools that go to the members named, in the same append.
         """
-        earlier = self._list_earlier(pool, member, self._get_lost(pool, member))
+        earlier = self._list_earlier(pool, member, self._list_replaced(pool, member))
         records = {
             other: OwnerRecord(
-                owner, earlier=self._list_earlier(other, None, self._get_lost(other, owner))
+                owner, earlier=self._list_earlier(other, None, self._list_replaced(other, owner))
             )
-            for other, owner in (returned or {}).items()
+            for other, owner in (reassigned or {}).items()
         }
-        return await self._put(records | {pool: OwnerRecord(member, earlier=earlier)})
+        return await self._append(records | {pool: OwnerRecord(member, earlier=earlier)})
 
     async def take_over(self, tokens: Mapping[str, int], member: Member) -> list[str]:
         """Take pools, all at once, that still have these tokens; return which.
 
         Their owners under these tokens have stopped.
         """
-        while held := [pool for pool, token in tokens.items() if self._has_token(pool, token)]:
+        while remaining := [pool for pool, token in tokens.items() if self._has_token(pool, token)]:
             records = {
-                pool: OwnerRecord(member, earlier=self._list_earlier(pool, member)) for pool in held
+                pool: OwnerRecord(member, earlier=self._list_earlier(pool, member))
+                for pool in remaining
             }
-            if await self._put(records):
-                self._drop_stopped({pool: tokens[pool] for pool in held})
-                return held
+            if await self._append(records):
+                self._forget_stopped({pool: tokens[pool] for pool in remaining})
+                return remaining
         return []
 
     async def release(self, pools: Collection[str], member: Member, is_stopping: bool) -> None:
         """Give pools back, all at once, but for those that others have taken."""
-        while held := [pool for pool in pools if self._is_held(pool, member)]:
+        while remaining := [pool for pool in pools if self._is_owned_by(pool, member)]:
             records = {
                 pool: OwnerRecord(member, True, is_stopping, self._list_earlier(pool, member))
-                for pool in held
+                for pool in remaining
             }
-            if await self._put(records):
+            if await self._append(records):
                 return
 
-    def _get_lost(self, pool: str, author: Member) -> tuple[EarlierOwner, ...]:
+    def _list_replaced(self, pool: str, author: Member) -> tuple[EarlierOwner, ...]:
         """Return a pool's owner as one that ``author`` replaces and that may be running still."""
         found = self.get(pool)
         if found is None or found.owner == author:
@@ -158,40 +159,40 @@
         the author's node none: whoever replaces the author waits for this life.  None for an
         author that gives the pool to another member: it does not know what ended there.
         """
-        kept = (EarlierOwner(lost.owner, lost.token) for lost in self._list_lost(pool))
+        known = (EarlierOwner(entry.owner, entry.token) for entry in self._list_unreleased(pool))
         by_node = {
             earlier.owner.node: earlier
-            for earlier in (*kept, *replaced)
+            for earlier in (*known, *replaced)
             if author is None or earlier.owner.node != author.node
         }
         return tuple(
             sorted(by_node.values(), key=lambda earlier: earlier.token)[-EARLIER_OWNERS_MAX:]
         )
 
-    def _list_lost(self, pool: str) -> list[UnreleasedOwner]:
+    def _list_unreleased(self, pool: str) -> list[UnreleasedOwner]:
         now_s = asyncio.get_running_loop().time()
         return [
-            lost
-            for lost in self.unreleased.get(pool, ())
-            if now_s - lost.replaced_at_s < UNRELEASED_RETENTION_S
+            entry
+            for entry in self.unreleased.get(pool, ())
+            if now_s - entry.replaced_at_s < UNRELEASED_RETENTION_S
         ]
 
-    def _drop_stopped(self, tokens: Mapping[str, int]) -> None:
+    def _forget_stopped(self, tokens: Mapping[str, int]) -> None:
         """Forget owners that have stopped under these tokens."""
         for pool, token in tokens.items():
             self.unreleased[pool] = tuple(
-                lost for lost in self.unreleased.get(pool, ()) if lost.token != token
+                entry for entry in self.unreleased.get(pool, ()) if entry.token != token
             )
 
     def _has_token(self, pool: str, token: int) -> bool:
         current = self.get(pool)
         return current is not None and current.token == token
 
-    def _is_held(self, pool: str, member: Member) -> bool:
+    def _is_owned_by(self, pool: str, member: Member) -> bool:
         current = self.get(pool)
         return current is not None and current.owner == member
 
-    async def _put(self, records: dict[str, OwnerRecord]) -> bool:
+    async def _append(self, records: dict[str, OwnerRecord]) -> bool:
         end = self.follower.next_offset
         if end is None:
             raise StoreRefusedError("the owners have not been read")
@@ -219,8 +220,8 @@
             token = record.offset + 1
             replaced = self.owners.get(record.key)
             if replaced is None or replaced.token < token:
-                self._note_lost(
-                    record.key, (*found.earlier, *self._get_lost(record.key, found.owner))
+                self._record_unreleased(
+                    record.key, (*found.earlier, *self._list_replaced(record.key, found.owner))
                 )
                 if replaced is not None:
                     self.previous[record.key] = replaced
@@ -229,10 +230,10 @@
             )
         self.changed.set()
 
-    def _note_lost(self, pool: str, found: Iterable[EarlierOwner]) -> None:
+    def _record_unreleased(self, pool: str, found: Iterable[EarlierOwner]) -> None:
         """Keep those in mind, from now on, that are not known yet."""
         now_s = asyncio.get_running_loop().time()
-        lost = {
+        by_token = {
             earlier.token: UnreleasedOwner(earlier.owner, earlier.token, now_s) for earlier in found
-        } | {lost.token: lost for lost in self._list_lost(pool)}
-        self.unreleased[pool] = tuple(lost[token] for token in sorted(lost))
+        } | {entry.token: entry for entry in self._list_unreleased(pool)}
+        self.unreleased[pool] = tuple(by_token[token] for token in sorted(by_token))
--- a/src/robinthread/_internal/durable/share_meter.py
+++ b/src/robinthread/_internal/durable/share_meter.py
@@ -15,8 +15,8 @@
 
 @dataclass
 class _Bucket:
-    left: float
-    at_ms: int
+    tokens: float
+    updated_at_ms: int
 
 
 class ShareMeter:
@@ -31,14 +31,14 @@
         share = self._get_share(workspace)
         if not workspace or not share:
             return False
-        most = max(1.0, share * BURST_S)
+        capacity = max(1.0, share * BURST_S)
         bucket = self._buckets.get(workspace)
         if bucket is None:
-            bucket = self._buckets[workspace] = _Bucket(most, accepted_at_ms)
-        passed_ms = max(0, accepted_at_ms - bucket.at_ms)
-        bucket.left = min(most, bucket.left + share * passed_ms / 1000)
-        bucket.at_ms += passed_ms
-        if bucket.left < 1.0:
+            bucket = self._buckets[workspace] = _Bucket(capacity, accepted_at_ms)
+        elapsed_ms = max(0, accepted_at_ms - bucket.updated_at_ms)
+        bucket.tokens = min(capacity, bucket.tokens + share * elapsed_ms / 1000)
+        bucket.updated_at_ms += elapsed_ms
+        if bucket.tokens < 1.0:
             return True
-        bucket.left -= 1.0
+        bucket.tokens -= 1.0
         return False
