--- a/src/robinthread/_internal/durable/__init__.py
+++ b/src/robinthread/_internal/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts in the platform's store: jobs, their progress, who owns a pool."""
+"""Records in the platform's store: jobs, their progress, and the ownership of pools."""
--- a/src/robinthread/_internal/durable/append_latency.py
+++ b/src/robinthread/_internal/durable/append_latency.py
@@ -1,45 +1,46 @@
-"""Whether the store takes appends and joins at its usual pace."""
+"""Detection of slow appends to the store."""
 
 import asyncio
 import math
 from typing import Final
 
-# The store is slow where an append takes so long; it takes 8 to 19 ms, some 40 ms at worst
-# while many append to one partition.
+# An append that takes this long counts as slow.  Usual is 8 to 19 ms, and about 40 ms at worst
+# while many callers append to one partition.
 SLOW_APPEND_S: Final = 0.1
-# How long it counts as slow afterwards: callers that were turned away come back within 1 to 2 s.
+# How long the store counts as slow after the last slow append.  Callers that were refused retry
+# within 1 to 2 s.
 SLOW_HOLD_S: Final = 2.0
 
 
 class AppendLatency:
-    """Watches the appends, or joins, that one caller makes in turn."""
+    """Monitors the latency of appends, or of group joins, that one caller makes in sequence."""
 
     def __init__(self) -> None:
         self._started_at_s: float | None = None
         self._last_slow_at_s = -math.inf
 
     def begin(self) -> None:
-        """Note that an append begins."""
+        """Record the start of an append."""
         self._started_at_s = asyncio.get_running_loop().time()
 
     def end(self) -> None:
-        """Note that the append has ended, however it went."""
+        """Record the end of the append, whether it succeeded or failed."""
         if self._started_at_s is not None:
             self.record_duration(asyncio.get_running_loop().time() - self._started_at_s)
         self._started_at_s = None
 
     def record_duration(self, duration_s: float) -> None:
-        """Note how long an append took that another node made."""
+        """Record the duration in seconds of an append made by another node."""
         if duration_s >= SLOW_APPEND_S:
             self.mark_slow()
 
     def mark_slow(self) -> None:
-        """Note that the store turned an append away."""
+        """Mark the store as slow because it refused an append."""
         self._last_slow_at_s = asyncio.get_running_loop().time()
 
     @property
     def is_slow(self) -> bool:
-        """Tell whether an append takes long now, or has done so of late."""
+        """Return whether an append is slow now or was within the last ``SLOW_HOLD_S``."""
         now_s = asyncio.get_running_loop().time()
         if self._started_at_s is not None and now_s - self._started_at_s >= SLOW_APPEND_S:
             return True
--- a/src/robinthread/_internal/durable/errors.py
+++ b/src/robinthread/_internal/durable/errors.py
@@ -1,4 +1,4 @@
-"""How a call to the platform's store may fail."""
+"""Errors of calls to the platform's store."""
 
 
 class StoreError(Exception):
@@ -6,36 +6,38 @@
 
 
 class StoreRefusedError(StoreError):
-    """The store says that it did nothing; the call may be made again later."""
+    """The store refused the call and changed nothing; the call may be retried later."""
 
 
 class StoreNoAnswerError(StoreError):
-    """No answer came: the call may have been done, or may be done later."""
+    """No response arrived: the call may have taken effect, or may do so later."""
 
 
 class StoreConditionError(StoreError):
-    """Nothing was done, for the partition does not end where the call expected."""
+    """The append was rejected because the partition does not end at the expected offset."""
 
     def __init__(self, end: int) -> None:
-        super().__init__(f"the partition ends at {end}")
+        super().__init__(f"the partition does not end at the expected offset: it ends at {end}")
         self.end = end
 
 
 class StoreFencedError(StoreError):
-    """Nothing was done, for a newer writer of the same name has been seen."""
+    """The append was rejected because a writer of the same name has a newer epoch."""
 
 
 class StoreSequenceError(StoreError):
-    """Nothing was done, for an earlier append of the same writer is missing."""
+    """The append was rejected because an earlier append of the same writer is missing."""
 
     def __init__(self, wanted: int) -> None:
-        super().__init__(f"the next sequence number is {wanted}")
+        super().__init__(f"sequence gap: the store expects sequence number {wanted}")
         self.wanted = wanted
 
 
 class HistoryGoneError(StoreError):
-    """The records asked for have expired; ``first`` is the oldest one kept."""
+    """The requested records have expired; ``first`` is the oldest retained offset."""
 
     def __init__(self, first: int) -> None:
-        super().__init__(f"the oldest record kept is {first}")
+        super().__init__(
+            f"the requested records have expired: the oldest retained offset is {first}"
+        )
         self.first = first
--- a/src/robinthread/_internal/durable/group_writer.py
+++ b/src/robinthread/_internal/durable/group_writer.py
@@ -1,4 +1,4 @@
-"""Appending many callers' records together."""
+"""Batched appends of records from many callers."""
 
 import asyncio
 from collections import deque
@@ -13,13 +13,13 @@
 )
 from robinthread._internal.durable.store import KeyedRecord, Partition, Store, WriterStamp
 
-# How long the answer of a batch is sought before its outcome is given up as unknown.
-# Callers come again at another node, which may reach the store where this one does not,
-# and they have 3 s in all.
+# How long a batch is retried for a response before its outcome is reported as unknown.
+# Callers have 3 s in all, within which they retry at another node.  That node may reach the
+# store when this one does not.
 BATCH_TIMEOUT_S: Final = 0.8
-# Pause before a batch without an answer is sent again.
+# Pause before a batch without a response is sent again.
 RETRY_PAUSE_S: Final = 0.02
-# Bytes that a record takes beside its key and value.
+# Size of a record in addition to its key and value.
 RECORD_OVERHEAD_BYTES: Final = 8
 
 
@@ -33,13 +33,11 @@
 
 
 class GroupWriter:
-    """Appends to one partition, one batch at a time, each with all that waits.
+    """Appends to one partition, one batch of all pending records at a time.
 
-    ``latency`` tells how the store takes its appends.
-
-    A batch without an answer is sent again under the same stamp, and kept once.
-    One that is given up may have been kept, but will not be later: the next
-    batch has a higher epoch.
+    A batch without a response is sent again under the same stamp, so the store keeps it at
+    most once.  A batch that timed out may have been stored, but can't be stored later, because
+    the next batch has a higher epoch.  ``latency`` monitors the appends.
     """
 
     def __init__(self, store: Store, partition: Partition, name: str, batch_max_bytes: int) -> None:
@@ -56,9 +54,9 @@
     async def write(self, record: KeyedRecord, deadline_s: float) -> int:
         """Append a record and return its offset.
 
-        ``deadline_s`` is a time of the event loop's clock.  Raises
-        ``StoreRefusedError`` where the record surely was not and never will be
-        appended, ``StoreNoAnswerError`` where that is not known.
+        ``deadline_s`` is a time of the event loop's clock.  Raises ``StoreRefusedError`` if
+        the record has not been and never will be appended, and ``StoreNoAnswerError`` if the
+        outcome is unknown.
         """
         entry = _PendingRecord(record, deadline_s)
         self._pending.append(entry)
@@ -66,7 +64,7 @@
         return await entry.done
 
     async def run(self) -> None:
-        """Append until cancelled."""
+        """Append pending records until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
@@ -87,7 +85,7 @@
         return batch
 
     async def _append(self, batch: list[_PendingRecord]) -> None:
-        """Send a batch until it is answered or given up."""
+        """Send a batch until the store responds or the batch times out."""
         records = [entry.record for entry in batch]
         loop = asyncio.get_running_loop()
         deadline_s = min(loop.time() + BATCH_TIMEOUT_S, max(entry.deadline_s for entry in batch))
@@ -117,10 +115,12 @@
         _fail_batch(batch, StoreNoAnswerError(str(error)))
 
     def _reject_pending(self) -> None:
-        """Refuse what has not been sent: it must not wait behind a silent store."""
+        """Reject records that were not sent, so that they don't wait for an unresponsive store."""
         pending = list(self._pending)
         self._pending.clear()
-        _fail_batch(pending, StoreRefusedError("the store does not answer"))
+        _fail_batch(
+            pending, StoreRefusedError("the store does not respond; the record was not sent")
+        )
 
 
 def _resolve(entry: _PendingRecord, offset: int) -> None:
--- a/src/robinthread/_internal/durable/inbox_records.py
+++ b/src/robinthread/_internal/durable/inbox_records.py
@@ -1,7 +1,7 @@
-"""Records of the inbox: jobs handed in, and jobs cancelled.
+"""Inbox records: submitted and cancelled jobs.
 
-A job that is handed in several times makes several records, each with a key of
-its own, so that the first in the log's order is never replaced.
+Each submission of a job has a record with a key of its own, so a repeated submission never
+replaces the first one in log order.
 """
 
 import hashlib
@@ -16,13 +16,13 @@
 INBOX_PARTITION: Final = Partition("keyed.inbox")
 JOB_PREFIX: Final = "j/"
 CANCEL_PREFIX: Final = "c/"
-# Of a workspace's name in a key, which has 255 bytes at most.
+# Size of the digest that stands for a workspace's name in a key; keys have at most 255 bytes.
 NAME_DIGEST_BYTES: Final = 8
 
 
 @dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A job's record."""
+    """The record of a submitted job."""
 
     key: str
     spec: JobSpec
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCancelled:
-    """A cancelled job's record; ``workspace`` tells by whom, None by one who needed no key."""
+    """The record of a cancellation.
+
+    ``workspace`` is the one that cancelled the job, or None if the caller needed no key.
+    """
 
     key: str
     job_id: str
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordDropped:
-    """A record that its job no longer needs."""
+    """A tombstone: the record under this key was dropped because its job no longer needs it."""
 
     key: str
     job_id: str
@@ -49,14 +52,14 @@
 
 
 def make_job_record(spec: JobSpec, submission_id: str) -> KeyedRecord:
-    """Make the record of a job; ``submission_id`` tells this attempt from all others."""
+    """Make the record of a job; ``submission_id`` is unique to this submission."""
     return KeyedRecord(f"{JOB_PREFIX}{spec.job_id}/{submission_id}", msgspec.msgpack.encode(spec))
 
 
 def make_cancel_record(job_id: str, workspace: str | None = None) -> KeyedRecord:
-    """Make the record that cancels a job, if it is the workspace's.
+    """Make a record that cancels a job if the job belongs to the workspace.
 
-    Each workspace has a key of its own, so that no other one's record is replaced.
+    Each workspace has a key of its own, so it can't replace the record of another one.
     """
     if workspace is None:
         return KeyedRecord(f"{CANCEL_PREFIX}{job_id}", b"1")
@@ -66,7 +69,7 @@
 
 
 def parse_inbox_record(record: KeyedRecord) -> InboxRecord:
-    """Read a record of the inbox; raise ``msgspec.MsgspecError``."""
+    """Decode an inbox record; raise ``msgspec.MsgspecError`` if it is malformed."""
     job_id = _parse_job_id(record.key)
     if record.value is None:
         return RecordDropped(record.key, job_id)
@@ -75,26 +78,30 @@
             record.key, job_id, _parse_cancelling_workspace(record.key, record.value)
         )
     spec = msgspec.msgpack.decode(record.value, type=JobSpec)
-    fault = spec.find_fault() or ("" if spec.job_id == job_id else "its key names another job")
+    fault = spec.find_fault() or (
+        ""
+        if spec.job_id == job_id
+        else f"the key is of job {job_id!r}, the spec of {spec.job_id!r}"
+    )
     if fault:
         raise msgspec.ValidationError(fault)
     return JobSubmitted(record.key, spec)
 
 
 def _parse_cancelling_workspace(key: str, value: bytes) -> str | None:
-    """Return the workspace that cancelled a job; None where no key was asked for."""
+    """Return the workspace that cancelled a job, or None if no key was required."""
     if "/" not in key.removeprefix(CANCEL_PREFIX):
         return None
     try:
         return value.decode()
     except UnicodeDecodeError as error:
-        raise msgspec.ValidationError("a workspace's name is not a text") from error
+        raise msgspec.ValidationError("the workspace's name is not valid UTF-8") from error
 
 
 def _parse_job_id(key: str) -> str:
-    """Return the id of the job that a key is about."""
+    """Return the job id in a key."""
     prefix, _, rest = key.partition("/")
     job_id = rest.partition("/")[0]
     if f"{prefix}/" not in (JOB_PREFIX, CANCEL_PREFIX) or not job_id:
-        raise msgspec.ValidationError("the key names no job")
+        raise msgspec.ValidationError(f"the key {key!r} has no job id")
     return job_id
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -1,4 +1,4 @@
-"""All jobs in the inbox, folded in the log's order."""
+"""Index of the jobs in the inbox, built by applying its records in log order."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,9 +18,10 @@
 
 
 class IndexedJob:
-    """A job as first handed in, the keys of its records, and whether it is cancelled.
+    """A job as first submitted, the keys of its records, and whether it is cancelled.
 
-    One that ``is_beyond_share`` was handed in beyond its workspace's share.
+    ``is_beyond_share`` is set if its workspace exceeded its share of jobs per second when the
+    job was accepted.
     """
 
     __slots__ = ("is_beyond_share", "is_cancelled", "keys", "offset", "spec")
@@ -37,9 +38,9 @@
 
 
 class JobIndex:
-    """The fold of the inbox: the first record of an id decides its job and pool.
+    """Index of jobs by id; the first record of an id determines the job and its pool.
 
-    Listeners are called with each job that is new or newly cancelled.
+    Listeners are called with each new and each newly cancelled job.
     """
 
     def __init__(self, events: EventLog, meter: ShareMeter) -> None:
@@ -50,20 +51,20 @@
         self._events = events
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` for all jobs known and to come."""
+        """Call ``listener`` for all known jobs now and for each new or cancelled job later."""
         self._listeners.append(listener)
         for job in list(self.jobs.values()):
             listener(job)
 
     def unsubscribe(self, listener: Listener) -> None:
-        """Call ``listener`` no more."""
+        """Stop calling ``listener``."""
         self._listeners.remove(listener)
 
     def apply(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
-        """Fold records in; a snapshot is all that is left.
+        """Apply records in log order; a snapshot holds all records that still exist.
 
-        A job that is missing from a snapshot ended long ago and was dropped with its
-        progress: an owner that still found it here would run it again.
+        A job that is missing from a snapshot is removed.  It ended long ago and was dropped
+        together with its progress, so an owner that still found it here would run it again.
         """
         if is_snapshot:
             self._retain_keys(frozenset(record.key for record in records))
--- a/src/robinthread/_internal/durable/journal.py
+++ b/src/robinthread/_internal/durable/journal.py
@@ -1,4 +1,4 @@
-"""Writing the progress of a pool's jobs, fenced by the owner's token."""
+"""Writer of the progress of a pool's jobs, fenced by the owner's token."""
 
 import asyncio
 import math
@@ -13,15 +13,15 @@
 from robinthread._internal.durable.store import KeyedRecord, Partition, Store, WriterStamp
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pause before an append that failed is made again.
+# Pause before a failed append is retried.
 RETRY_PAUSE_S: Final = 0.05
 
 
 class Journal:
-    """The one writer of a pool's progress; the store refuses any older owner.
+    """The only writer of a pool's progress; the store rejects appends of earlier owners.
 
-    ``confirmed_at_s`` is when the last append that succeeded was sent: at that
-    time no newer owner had begun.
+    ``confirmed_at_s`` is when the last successful append was sent, in seconds of the event
+    loop's clock.  No later owner had opened the journal by then.
     """
 
     def __init__(
@@ -37,12 +37,15 @@
         self._events = events
 
     async def open(self) -> None:
-        """Shut out older owners; raise ``StoreFencedError`` where there is a newer one."""
+        """Fence off earlier owners; raise ``StoreFencedError`` if there is a later one."""
         async with self._append_lock:
             await self._append(())
 
     async def write(self, records: Sequence[KeyedRecord]) -> None:
-        """Append records, trying until they are kept; raise ``StoreFencedError``."""
+        """Append records, retrying until the store has them.
+
+        Raises ``StoreFencedError`` if a later owner has opened the journal.
+        """
         if records:
             async with self._append_lock:
                 await self._append(records)
@@ -58,7 +61,9 @@
                 raise
             except StoreSequenceError as error:
                 if error.wanted <= self._sequence:
-                    raise StoreFencedError(f"unexpected sequence {error.wanted}") from error
+                    raise StoreFencedError(
+                        f"the store expects sequence {error.wanted}, not {self._sequence}"
+                    ) from error
             except StoreError as error:
                 if not is_failing:
                     is_failing = True
--- a/src/robinthread/_internal/durable/keyed_follower.py
+++ b/src/robinthread/_internal/durable/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Following one partition of a keyed topic."""
+"""Follower of one partition of a keyed topic."""
 
 import asyncio
 import math
@@ -14,16 +14,17 @@
 from robinthread._internal.durable.store import KeyedRecord, Partition, ReadPage, Store
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Longest wait of one read.  A read whose connection was lost in silence hangs for
-# this long and the call's own timeout, which together must stay below the time
-# after which a node that was cut off counts as reachable again (3 s).
+# Longest wait of one long-polling read.  A read on a connection that was lost without a reset
+# hangs for this time plus the call's own timeout.  The sum must stay below 3 s, the time after
+# which a node that was cut off counts as reachable again.
 FOLLOW_WAIT_S: Final = 1.5
-# Longest wait for records up to an end that the store has told: an answer may be of a
-# copy that is behind.
+# Longest wait for records up to an end offset that the store has reported.  A response may come
+# from a replica that lags behind.
 CATCH_UP_WAIT_S: Final = 0.1
-# Time-outs of reads after one that was lost, twice as long each time.  What calls of late
-# took says nothing of a large record: a configuration of 362 KB takes 0.6 s over 5 Mbit/s.
-# Even the longest is below the 3 s after which a node that was cut off counts as reachable.
+# Timeouts of reads after one without a response; they double with each further one.  The
+# latency of recent calls does not predict that of a large record: a configuration of 362 KB
+# takes 0.6 s over 5 Mbit/s.  The maximum is below the 3 s after which a node that was cut off
+# counts as reachable again.
 RETRY_TIMEOUT_MIN_S: Final = 1.2
 RETRY_TIMEOUT_MAX_S: Final = 2.4
 # Pause after a failed read.
@@ -33,14 +34,15 @@
 
 
 class KeyedFollower:
-    """Reads the newest record of each key, then every change in order.
-
-    ``apply`` gets records in the order of their offsets; its second argument
-    tells whether they are all that is left, replacing what was known before.
-    ``confirmed_at_s`` is when the last read that succeeded was sent: nothing
-    older than that has been missed.  ``period_s`` is the least time between two
-    reads, for partitions that change all the time.  One that begins paused reads nothing
-    until it is resumed or asked to read to the end.
+    """Reads the newest record of each key, then every later record in order.
+
+    ``apply`` receives records in the order of their offsets; its second argument is True for a
+    snapshot of all remaining records, which replaces all earlier ones.  ``period_s`` is the
+    minimum time between two reads, for partitions that change continuously.  A follower that
+    starts paused reads nothing until ``resume`` or ``read_to_end`` is called.
+
+    ``confirmed_at_s`` is when the last successful read was sent, in seconds of the event
+    loop's clock: all records from before that time have been applied.
     """
 
     def __init__(
@@ -72,11 +74,11 @@
         self.first_read = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled, whenever that is wanted."""
+        """Follow until cancelled, except while paused."""
         while True:
             await self._resumed.wait()
             try:
-                # After a failure one read without waiting tells at once how things are.
+                # After a failure, a read without a wait shows at once whether the store is back.
                 skips_wait = self._period_s > 0 or self._is_failing
                 await self._follow_once(0 if skips_wait else FOLLOW_WAIT_S)
             except StoreError as error:
@@ -87,7 +89,7 @@
                 await asyncio.sleep(self._get_pause_s())
 
     def poll_faster(self, period_s: float, for_s: float) -> None:
-        """Read every ``period_s`` at least, for a while."""
+        """Read at least every ``period_s`` during the next ``for_s``."""
         self._fast_period_s = period_s
         self._fast_until_s = asyncio.get_running_loop().time() + for_s
 
@@ -96,30 +98,30 @@
         return min(self._fast_period_s, self._period_s) if is_fast else self._period_s
 
     def pause(self) -> None:
-        """Stop following; what is known from now on is out of date."""
+        """Stop following; the records applied so far become stale."""
         self._resumed.clear()
         self.next_offset = None
         self._reader = NewestReader(self._store, self._partition)
 
     def resume(self) -> None:
-        """Follow again, from the newest record of each key."""
+        """Follow again, starting with a snapshot of the newest record of each key."""
         self._resumed.set()
 
     async def read_to_end(self) -> None:
-        """Read all that was there at the call; raise ``StoreError``.
+        """Apply all records that exist at the time of the call; raise ``StoreError``.
 
-        The first read tells the end.  What comes later is left to the next read: with 60
-        records a second and answers of 0.24 s, reading until nothing is left never ends.
+        The first read returns the end offset.  Later records are left to the next read: with
+        60 records a second and responses of 0.24 s, reading until none is left never ends.
         """
         end = None
         while end is None:
             end = await self._follow_once(0)
-        # A pause forgets how far the reading had come, and what was under way.
+        # A pause resets the next offset and discards a snapshot that is being read.
         while self.next_offset is None or self.next_offset < end:
             await self._follow_once(CATCH_UP_WAIT_S)
 
     async def _follow_once(self, wait_s: float) -> int | None:
-        """Make one read; return the partition's end at that time, if it told one."""
+        """Read once; return the partition's end offset, or None if a snapshot was read."""
         sent_at_s = asyncio.get_running_loop().time()
         end = await self._read_once(wait_s)
         self.confirmed_at_s = max(self.confirmed_at_s, sent_at_s)
@@ -164,14 +166,15 @@
         self.next_offset = max(self.next_offset, page.next_offset)
 
     async def _load(self) -> None:
-        """Read the newest record of each key.
+        """Read and apply a snapshot of the newest record of each key.
 
-        Its end may be older than the call: it goes on where an earlier try failed.
+        Its end offset may be from before the call, because the reader resumes where an earlier
+        attempt failed.
         """
         newest = await self._reader.read()
         self._reader = NewestReader(self._store, self._partition)
         if self.next_offset is not None and self.next_offset > newest.next_offset:
-            # Another read has come further meanwhile.
+            # A concurrent read has already advanced further.
             return
         self._log_unreadable(newest.unreadable_count)
         records = sorted(newest.records, key=lambda record: record.offset)
--- a/src/robinthread/_internal/durable/newest_reader.py
+++ b/src/robinthread/_internal/durable/newest_reader.py
@@ -1,4 +1,4 @@
-"""Reading the newest record of each key, page by page."""
+"""Reader of the newest record of each key, page by page."""
 
 from typing import Final
 
@@ -10,18 +10,19 @@
     Store,
 )
 
-# A page has up to 1 MB.  The first try of each takes no longer than the store takes at its
-# slowest; after a lost answer all have twice the time, up to what 1 MB takes over 2 Mbit/s:
-# what holds one page up holds up the next one.
+# Timeouts of one page, which has up to 1 MB.  The minimum is how long the store takes at its
+# slowest.  Each lost response doubles the timeout of all further pages, because what delays one
+# page delays the next as well.  The maximum is enough for 1 MB over 2 Mbit/s.
 PAGE_TIMEOUT_MIN_S: Final = 1.2
 PAGE_TIMEOUT_MAX_S: Final = 4.8
 
 
 class NewestReader:
-    """Reads a partition once; what was read stays when a page fails.
+    """Reads a partition once and keeps the pages already read when a page fails.
 
-    The pages are no snapshot: what changes meanwhile lies at or after the end that the
-    first page tells, from where the reader goes on.
+    The pages together are not a consistent snapshot.  Records that change in the meantime have
+    offsets at or after the end that the first page reports, and that end is the offset
+    returned to read on from.
     """
 
     def __init__(self, store: Store, partition: Partition) -> None:
@@ -34,7 +35,10 @@
         self._timeout_s = PAGE_TIMEOUT_MIN_S
 
     async def read(self) -> NewestRecords:
-        """Read on to the last page; raise ``StoreError``, and go on there at the next call."""
+        """Read up to the last page and return all records.
+
+        Raises ``StoreError`` if a page fails; the next call resumes at that page.
+        """
         while True:
             try:
                 page = await self._store.read_newest(
--- a/src/robinthread/_internal/durable/order_records.py
+++ b/src/robinthread/_internal/durable/order_records.py
@@ -1,4 +1,4 @@
-"""Which machines were ordered last, and by which steward."""
+"""Record of the steward's recent orders to machines."""
 
 from collections.abc import Mapping
 from itertools import chain, repeat
@@ -13,19 +13,19 @@
 
 
 class OrderTarget(msgspec.Struct, frozen=True, array_like=True):
-    """What an order is for: the pool that a machine is to come up in, or the wave of its upkeep."""
+    """Target of an order: the pool that the machine joins, or the wave of its upkeep."""
 
     pool: str = ""
     wave: int = 0
 
 
 class RecentOrders(msgspec.Struct, frozen=True, array_like=True):
-    """Machines that a steward has ordered lately, or is about to.
+    """Machines that a steward has ordered recently or is about to order.
 
-    Written before an order is given, so it names at least all that the steward
-    has ordered within the time that must pass between two stewards.  It
-    names none once what was ordered last has had the time to come up.  ``targets`` tells what
-    each order is for; an older process writes none.
+    The record is written before the order is sent, so it lists at least every machine that the
+    steward ordered within the time that must pass between two stewards.  It is empty once the
+    machines ordered last have had time to come up.  ``targets`` has the target of each order,
+    by position; older processes write none.
     """
 
     machines: tuple[str, ...]
@@ -33,13 +33,13 @@
 
     @property
     def targets_by_machine(self) -> dict[str, OrderTarget]:
-        """Return what the order of each machine is for."""
+        """Return the target of each machine's order; an empty target if none was written."""
         targets = chain(self.targets, repeat(OrderTarget()))
         return dict(zip(self.machines, targets, strict=False))
 
 
 def make_orders_record(by_machine: Mapping[str, OrderTarget]) -> KeyedRecord:
-    """Make the record of a steward's recent orders, by machine."""
+    """Make the record of a steward's recent orders from their targets by machine."""
     machines = tuple(sorted(by_machine))
     targets = tuple(by_machine[machine] for machine in machines)
     value = msgspec.msgpack.encode(RecentOrders(machines, targets))
@@ -47,5 +47,5 @@
 
 
 def parse_orders_record(record: KeyedRecord) -> RecentOrders:
-    """Read the record of recent orders; raise ``msgspec.MsgspecError``."""
+    """Decode the record of recent orders; raise ``msgspec.MsgspecError`` if it is malformed."""
     return msgspec.msgpack.decode(record.value or b"", type=RecentOrders)
--- a/src/robinthread/_internal/durable/ownership.py
+++ b/src/robinthread/_internal/durable/ownership.py
@@ -1,7 +1,7 @@
-"""Who owns what: one record a pool, each taken under a condition.
+"""Ownership of pools: one record per pool, written by conditional appends.
 
-The offset of the record that grants a pool is the owner's token.  It rises with
-every change, and goes with every order and every record of the owner.
+The owner's fencing token derives from the offset of the record that grants the pool.  It
+increases with every change of owner and is part of every order and every record of the owner.
 """
 
 import asyncio
@@ -16,21 +16,21 @@
 from robinthread._internal.telemetry.event_log import EventLog
 
 OWNERS_PARTITION: Final = Partition("keyed.owners")
-# How long an owner that was replaced is kept in mind: ten times as long as one that does
-# not hear of it may go on.
+# How long an owner that was replaced without releasing its pool is remembered: ten times as long
+# as an owner that does not learn of its replacement may continue.
 UNRELEASED_RETENTION_S: Final = 60.0
-# How many a record names at most, one a node: a change of owner takes some 2 s, so 16 in
-# turn outlast by far what one that does not hear of it may go on.
+# Most earlier owners listed in a record, one per node.  A change of owner takes about 2 s, so 16
+# changes in a row take far longer than an owner that does not learn of them may continue.
 EARLIER_OWNERS_MAX: Final = 16
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A process that may own pools: its node, its life and where peers reach it.
+    """A process that may own pools: its node, its incarnation and its address for peers.
 
     ``capacity_millicores`` is how much work it can carry as an owner, see
-    ``get_capacity_millicores``.  ``started_at_ms`` is when it began by its clock's time of day,
-    which tells a newer life of a node from an older one that is still listed; 0 where it
-    does not tell.
+    ``get_capacity_millicores``.  ``started_at_ms`` is its start time by its wall clock, 0 if
+    unknown.  It distinguishes a newer incarnation of a node from an older one that is still
+    listed.
     """
 
     node: str
@@ -41,18 +41,18 @@
 
 
 class EarlierOwner(msgspec.Struct, frozen=True, array_like=True):
-    """An owner that was replaced, with its token."""
+    """An earlier owner of a pool, with its token."""
 
     owner: Member
     token: int
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who took a pool; ``is_released`` where the owner has given it back.
+    """The stored owner of a pool; ``is_released`` once the owner has released it.
 
-    One that ``is_stopping`` gave it back because its process ends.  ``earlier`` are those
-    replaced of late that had not given it back: whoever reads only the newest record must
-    know of them too.
+    ``is_stopping`` marks a release because the owner's process stops.  ``earlier`` lists the
+    owners that were replaced recently without having released the pool, for nodes that read
+    only the newest record.
     """
 
     owner: Member
@@ -62,7 +62,7 @@
 
 
 class Ownership(msgspec.Struct, frozen=True):
-    """A pool's owner and the token that goes with it."""
+    """A pool's owner, its token and whether it has released the pool."""
 
     owner: Member
     token: int
@@ -71,10 +71,10 @@
 
 
 class UnreleasedOwner(msgspec.Struct, frozen=True):
-    """An owner that was replaced and had not given its pool back: it may be running still.
+    """An owner that was replaced without having released its pool, and may still be running.
 
-    ``replaced_at_s`` is when that was seen or read, by the event loop's clock: it was replaced
-    by then.
+    ``replaced_at_s`` is when this process learned of the replacement, in seconds of the event
+    loop's clock; the replacement itself was earlier.
     """
 
     owner: Member
@@ -83,9 +83,9 @@
 
 
 class OwnerTable:
-    """The newest owner of each pool, and the one before it where that was seen.
+    """The newest owner of each pool, and the previous one if this process saw the change.
 
-    ``unreleased`` are, by pool, those of late that did not give it back, the last one last.
+    ``unreleased`` lists, by pool, the owners replaced recently without a release, newest last.
     """
 
     def __init__(self, store: Store, events: EventLog) -> None:
@@ -98,16 +98,16 @@
         self.follower = KeyedFollower(store, OWNERS_PARTITION, self._apply, events)
 
     def get(self, pool: str) -> Ownership | None:
-        """Return the owner of a pool, if it has one."""
+        """Return the owner of a pool, or None if it has none or the last one released it."""
         found = self.owners.get(pool)
         return None if found is None or found.is_released else found
 
     async def acquire(
         self, pool: str, member: Member, reassigned: Mapping[str, Member] | None = None
     ) -> bool:
-        """Take a pool unless anything has changed; the fold tells the outcome.
+        """Acquire a pool unless any ownership has changed; return whether it succeeded.
 
-        ``reassigned`` are other pools that go to the members named, in the same append.
+        ``reassigned`` maps other pools to members that get them in the same append.
         """
         earlier = self._list_earlier(pool, member, self._list_replaced(pool, member))
         records = {
@@ -119,9 +119,9 @@
         return await self._append(records | {pool: OwnerRecord(member, earlier=earlier)})
 
     async def take_over(self, tokens: Mapping[str, int], member: Member) -> list[str]:
-        """Take pools, all at once, that still have these tokens; return which.
+        """Acquire those pools that still have these tokens, in one append; return them.
 
-        Their owners under these tokens have stopped.
+        The owners with these tokens must have stopped.
         """
         while remaining := [pool for pool, token in tokens.items() if self._has_token(pool, token)]:
             records = {
@@ -134,7 +134,7 @@
         return []
 
     async def release(self, pools: Collection[str], member: Member, is_stopping: bool) -> None:
-        """Give pools back, all at once, but for those that others have taken."""
+        """Release those of the pools that ``member`` still owns, in one append."""
         while remaining := [pool for pool in pools if self._is_owned_by(pool, member)]:
             records = {
                 pool: OwnerRecord(member, True, is_stopping, self._list_earlier(pool, member))
@@ -144,7 +144,7 @@
                 return
 
     def _list_replaced(self, pool: str, author: Member) -> tuple[EarlierOwner, ...]:
-        """Return a pool's owner as one that ``author`` replaces and that may be running still."""
+        """Return the pool's current owner, which may still run, if ``author`` replaces it."""
         found = self.get(pool)
         if found is None or found.owner == author:
             return ()
@@ -153,11 +153,13 @@
     def _list_earlier(
         self, pool: str, author: Member | None, replaced: tuple[EarlierOwner, ...] = ()
     ) -> tuple[EarlierOwner, ...]:
-        """List the earlier owners that a record of ``author`` names, the last one last.
+        """List the earlier owners to put in a record of ``author``, newest last.
 
-        Of each node the last one: a node's former life ended before the next one began.  Of
-        the author's node none: whoever replaces the author waits for this life.  None for an
-        author that gives the pool to another member: it does not know what ended there.
+        Only the newest of each node is listed, because a node's previous incarnation ended
+        before the next one started.  Owners on the author's node are left out, because whoever
+        replaces the author waits for its current incarnation.  ``author`` is None if the record
+        gives the pool to another member, whose ended incarnations are unknown here; then no
+        node is left out.
         """
         known = (EarlierOwner(entry.owner, entry.token) for entry in self._list_unreleased(pool))
         by_node = {
@@ -178,7 +180,7 @@
         ]
 
     def _forget_stopped(self, tokens: Mapping[str, int]) -> None:
-        """Forget owners that have stopped under these tokens."""
+        """Forget the unreleased owners with these tokens, which have stopped."""
         for pool, token in tokens.items():
             self.unreleased[pool] = tuple(
                 entry for entry in self.unreleased.get(pool, ()) if entry.token != token
@@ -195,7 +197,7 @@
     async def _append(self, records: dict[str, OwnerRecord]) -> bool:
         end = self.follower.next_offset
         if end is None:
-            raise StoreRefusedError("the owners have not been read")
+            raise StoreRefusedError("the ownership records have not been read yet")
         entries = [
             KeyedRecord(pool, msgspec.msgpack.encode(record)) for pool, record in records.items()
         ]
@@ -231,7 +233,7 @@
         self.changed.set()
 
     def _record_unreleased(self, pool: str, found: Iterable[EarlierOwner]) -> None:
-        """Keep those in mind, from now on, that are not known yet."""
+        """Remember unreleased owners; those already known keep their times."""
         now_s = asyncio.get_running_loop().time()
         by_token = {
             earlier.token: UnreleasedOwner(earlier.owner, earlier.token, now_s) for earlier in found
--- a/src/robinthread/_internal/durable/settled_record.py
+++ b/src/robinthread/_internal/durable/settled_record.py
@@ -1,7 +1,7 @@
-"""Up to which owner of a pool all that earlier ones granted has lapsed.
+"""Record of which owners of a pool can't have live leases any more.
 
-The pool's owner writes it to its journal, out of which later owners have shut it by the time
-that they read.
+The pool's owner writes it to its journal.  A later owner fences the journal before it reads the
+record, so the record can't change afterwards.
 """
 
 from typing import Final
@@ -10,21 +10,21 @@
 
 from robinthread._internal.durable.store import KeyedRecord
 
-# Jobs, whose progress lies in the same partition, have no slash in their ids.
+# The same partition holds the progress of jobs, whose ids contain no slash.
 KEY_PREFIX: Final = "settled/"
 
 
 class SettledOwners(msgspec.Struct, frozen=True, array_like=True):
-    """All leases that owners with a lower token than ``before_token`` granted have lapsed."""
+    """All leases granted by owners with a token below ``before_token`` have expired."""
 
     before_token: int
 
 
 def make_settled_record(pool: str, before_token: int) -> KeyedRecord:
-    """Make the record of a pool."""
+    """Make the record of a pool's settled owners."""
     return KeyedRecord(KEY_PREFIX + pool, msgspec.msgpack.encode(SettledOwners(before_token)))
 
 
 def parse_settled_record(record: KeyedRecord) -> SettledOwners:
-    """Read a pool's record; raise ``msgspec.MsgspecError``."""
+    """Decode a pool's record; raise ``msgspec.MsgspecError`` if it is malformed."""
     return msgspec.msgpack.decode(record.value or b"", type=SettledOwners)
--- a/src/robinthread/_internal/durable/share_meter.py
+++ b/src/robinthread/_internal/durable/share_meter.py
@@ -1,15 +1,16 @@
-"""Which jobs a workspace hands in beyond its share.
+"""Token buckets that mark the jobs a workspace submits beyond its share.
 
-Answers a workspace that sends many times its usual: what is beyond its share comes after all
-other work, and its share is still served.  Jobs are counted in the log's order by when they were
-accepted, so that the owners of all pools come to the same without asking each other.
+They limit the effect of a workspace that sends many times its usual load: its jobs beyond the
+share run after all other work, and its share is still served.  Jobs are counted in log order by
+their acceptance times, so the owners of all pools get the same result without communicating.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Final
 
-# Jobs of so long come at once and are within the share: callers do not send evenly.
+# Capacity of a bucket, in seconds of the workspace's share.  A burst of this size is within the
+# share, because callers don't send at an even rate.
 BURST_S: Final = 1.0
 
 
@@ -20,14 +21,20 @@
 
 
 class ShareMeter:
-    """Counts each workspace's jobs; ``get_share`` returns a share in jobs a second, 0 for none."""
+    """Token bucket for each workspace.
+
+    ``get_share`` returns a workspace's share in jobs per second, 0 for no share set.
+    """
 
     def __init__(self, get_share: Callable[[str], float]) -> None:
         self._get_share = get_share
         self._buckets: dict[str, _Bucket] = {}
 
     def is_beyond(self, workspace: str, accepted_at_ms: int) -> bool:
-        """Count a job, and tell whether it is beyond its workspace's share."""
+        """Count a job and return whether it exceeds its workspace's share.
+
+        A workspace without a share, or no workspace (""), is never beyond it.
+        """
         share = self._get_share(workspace)
         if not workspace or not share:
             return False
--- a/src/robinthread/_internal/durable/store.py
+++ b/src/robinthread/_internal/durable/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as the product uses it."""
+"""Interface of the platform's store: keyed topics with fenced and conditional appends."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; ``value`` is None where its key was dropped."""
+    """A record of a keyed topic; ``value`` is None if its key was dropped."""
 
     key: str
     value: bytes | None
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriterStamp:
-    """A fenced writer: the store refuses lower epochs than it has seen."""
+    """Identity of a fenced writer; the store rejects epochs lower than the highest it has seen."""
 
     name: str
     epoch: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendResult:
-    """Where an append landed: its first record's offset, the partition's new end."""
+    """Result of an append: the offset of its first record and the partition's new end."""
 
     offset: int
     end: int
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadPage:
-    """Records from one offset on; ``next_offset`` is where to read on.
+    """Consecutive records; ``next_offset`` is the offset of the next read.
 
-    ``unreadable_count`` records among them are left out: their keys cannot be read.
+    ``unreadable_count`` is the number of skipped records whose keys cannot be decoded.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestPage:
-    """Some of the newest records; ``next_key`` is where the next page begins, if any.
+    """A page of the newest record of each key.
 
-    ``next_offset`` is the partition's end when the page was read.  ``unreadable_count``
-    records are left out.
+    The next page begins after ``next_key``, "" if this page is the last.  ``next_offset`` is
+    the partition's end when the page was read.  ``unreadable_count`` is the number of skipped
+    records that cannot be decoded.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -68,9 +69,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NewestRecords:
-    """The newest record of each key, and the offset from which to read on.
+    """The newest record of each key, and the offset of the next read.
 
-    ``unreadable_count`` records are left out.
+    ``unreadable_count`` is the number of skipped records that cannot be decoded.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -80,13 +81,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """A member's view of its group; ``generation`` rises with every change."""
+    """A member's view of its group; ``generation`` increases with every change."""
 
     generation: int
 
 
 class Store(Protocol):
-    """Calls of the store.  Each raises ``StoreError`` and ends in a bounded time."""
+    """Calls to the store.  Each raises ``StoreError`` on failure and ends within a bounded time."""
 
     async def append(
         self,
@@ -96,7 +97,11 @@
         expected_end: int | None = None,
         stamp: WriterStamp | None = None,
     ) -> AppendResult:
-        """Append all records or none; no records with a stamp sets its epoch."""
+        """Append all records or none.
+
+        ``expected_end`` makes the append conditional on the partition's end.  An append of no
+        records with a stamp only sets the writer's epoch.
+        """
 
     async def read(
         self,
@@ -107,22 +112,22 @@
     ) -> ReadPage:
         """Read from an offset, waiting up to ``wait_s`` for a record.
 
-        ``timeout_s`` is how long the answer may take beside that; None for what calls of
-        late took.
+        ``timeout_s`` is the timeout in addition to that wait; None derives it from the latency
+        of recent calls.
         """
 
     async def read_newest(
         self, partition: Partition, after_key: str, timeout_s: float
     ) -> NewestPage:
-        """Read a page of the newest record of each key; an empty key for the first page."""
+        """Read a page of the newest record of each key; ``after_key`` is "" for the first page."""
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], ttl_ms: int, generation: int
     ) -> Membership:
-        """Join a group, or stay in it."""
+        """Join a group, or renew the membership, for ``ttl_ms``."""
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group."""
 
     async def list_members(self, group: str) -> frozenset[str]:
-        """List the members of a group that have been dealt a partition."""
+        """List the members of a group that have a partition assigned."""
--- a/src/robinthread/_internal/durable/wave_records.py
+++ b/src/robinthread/_internal/durable/wave_records.py
@@ -1,4 +1,4 @@
-"""Which machines have begun their upkeep, wave by wave."""
+"""Records of the machines that have begun upkeep, one per wave."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -11,18 +11,18 @@
 
 
 class WaveProgress(msgspec.Struct, frozen=True, array_like=True):
-    """Machines of a wave that have begun their upkeep."""
+    """The machines of a wave that have begun upkeep."""
 
     wave: int
     begun: tuple[str, ...]
 
 
 def make_wave_record(wave: int, begun: Iterable[str]) -> KeyedRecord:
-    """Make the record of a wave."""
+    """Make the record of a wave's progress."""
     value = msgspec.msgpack.encode(WaveProgress(wave, tuple(sorted(begun))))
     return KeyedRecord(str(wave), value)
 
 
 def parse_wave_record(record: KeyedRecord) -> WaveProgress:
-    """Read the record of a wave; raise ``msgspec.MsgspecError``."""
+    """Decode the record of a wave's progress; raise ``msgspec.MsgspecError`` if it is malformed."""
     return msgspec.msgpack.decode(record.value or b"", type=WaveProgress)
