--- a/bench/placing.py
+++ b/bench/placing.py
@@ -89,9 +89,9 @@
     looks: list[int] = []
     compare = Resources.fits_in
 
-    def counted(self: Resources, room: Resources) -> bool:
+    def counted(self: Resources, capacity: Resources) -> bool:
         looks.append(1)
-        return compare(self, room)
+        return compare(self, capacity)
 
     Resources.fits_in = counted  # type: ignore[method-assign]
     try:
--- a/src/robinthread/_internal/models/fleet_config.py
+++ b/src/robinthread/_internal/models/fleet_config.py
@@ -19,14 +19,14 @@
     queues: dict[str, QueuePolicy]
     pools: dict[str, PoolPolicy]
     body_max_bytes: int
-    by_host: dict[str, tuple[QueuePolicy, ...]] = field(default_factory=dict)
+    queues_by_host: dict[str, tuple[QueuePolicy, ...]] = field(default_factory=dict)
     workspaces: dict[str, WorkspacePolicy] = field(default_factory=dict)
-    workspace_by_key: dict[bytes, str] = field(default_factory=dict)
+    workspace_by_digest: dict[bytes, str] = field(default_factory=dict)
     limits: dict[str, Resources] = field(default_factory=dict)
 
     def find_queue(self, host: str, path: str) -> QueuePolicy | None:
         """Return the queue of ``host`` with the longest prefix of ``path``."""
-        queues = self.by_host.get(host, ())
+        queues = self.queues_by_host.get(host, ())
         return next((queue for queue in queues if path.startswith(queue.path_prefix)), None)
 
     def list_working_pools(self) -> list[str]:
@@ -35,7 +35,7 @@
 
     def find_workspace(self, key: str) -> str | None:
         """Return the workspace that a key speaks for, or None for an unknown key."""
-        return self.workspace_by_key.get(digest_key(key))
+        return self.workspace_by_digest.get(digest_key(key))
 
 
 def make_fleet_config(
@@ -46,16 +46,16 @@
     workspaces: tuple[WorkspacePolicy, ...] = (),
 ) -> FleetConfig:
     """Make a configuration whose queues are found by the longest prefix first."""
-    by_host: dict[str, list[QueuePolicy]] = {}
+    queues_by_host: dict[str, list[QueuePolicy]] = {}
     for queue in sorted(queues, key=lambda queue: -len(queue.path_prefix)):
-        by_host.setdefault(queue.host, []).append(queue)
+        queues_by_host.setdefault(queue.host, []).append(queue)
     return FleetConfig(
         version,
         {queue.name: queue for queue in queues},
         {pool.name: pool for pool in pools},
         body_max_bytes,
-        {host: tuple(found) for host, found in by_host.items()},
+        {host: tuple(host_queues) for host, host_queues in queues_by_host.items()},
         {workspace.name: workspace for workspace in workspaces},
         {digest: workspace.name for workspace in workspaces for digest in workspace.key_digests},
-        {one.name: one.limit for one in workspaces if one.limit != NO_RESOURCES},
+        {policy.name: policy.limit for policy in workspaces if policy.limit != NO_RESOURCES},
     )
--- a/src/robinthread/_internal/models/resources.py
+++ b/src/robinthread/_internal/models/resources.py
@@ -48,14 +48,16 @@
             max(self.gpu_count, other.gpu_count),
         )
 
-    def count(self, part: "Resources") -> int:
-        """Return how many times ``part`` fits in; without bound for nothing."""
+    def count(self, unit: "Resources") -> int:
+        """Return how many times ``unit`` fits in; without bound for nothing."""
         pairs = (
-            (self.cpu_millicores, part.cpu_millicores),
-            (self.memory_mb, part.memory_mb),
-            (self.gpu_count, part.gpu_count),
+            (self.cpu_millicores, unit.cpu_millicores),
+            (self.memory_mb, unit.memory_mb),
+            (self.gpu_count, unit.gpu_count),
+        )
+        return min(
+            (available // needed for available, needed in pairs if needed), default=sys.maxsize
         )
-        return min((have // takes for have, takes in pairs if takes), default=sys.maxsize)
 
     def get_utilization(self, limit: "Resources") -> float:
         """Return the largest part that this is of any kind of room that is limited."""
@@ -64,18 +66,18 @@
             (self.memory_mb, limit.memory_mb),
             (self.gpu_count, limit.gpu_count),
         )
-        return max((takes / most for takes, most in pairs if most), default=0.0)
+        return max((needed / maximum for needed, maximum in pairs if maximum), default=0.0)
 
     def astuple(self) -> tuple[int, int, int]:
         """Return thousandths of a core, MB and accelerators."""
         return self.cpu_millicores, self.memory_mb, self.gpu_count
 
-    def fits_in(self, room: "Resources") -> bool:
-        """Tell whether ``room`` holds this much."""
+    def fits_in(self, capacity: "Resources") -> bool:
+        """Tell whether ``capacity`` holds this much."""
         return (
-            self.cpu_millicores <= room.cpu_millicores
-            and self.memory_mb <= room.memory_mb
-            and self.gpu_count <= room.gpu_count
+            self.cpu_millicores <= capacity.cpu_millicores
+            and self.memory_mb <= capacity.memory_mb
+            and self.gpu_count <= capacity.gpu_count
         )
 
 
--- a/src/robinthread/_internal/models/workspace_policy.py
+++ b/src/robinthread/_internal/models/workspace_policy.py
@@ -40,9 +40,9 @@
     return frozenset(map(digest_key, filter(None, keys)))
 
 
-def may_access(asking: str | None, workspace: str) -> bool:
+def may_access(caller_workspace: str | None, workspace: str) -> bool:
     """Tell whether a caller may see and change what belongs to a workspace.
 
     None stands for a caller who needs no key, "" for what was handed in without one.
     """
-    return asking is None or workspace in ("", asking)
+    return caller_workspace is None or workspace in ("", caller_workspace)
