--- a/src/robinthread/_internal/models/__init__.py
+++ b/src/robinthread/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Value types of the fleet: frozen dataclasses and enumerations."""
+"""Value types of the fleet: frozen dataclasses, structs and enumerations."""
--- a/src/robinthread/_internal/models/budget.py
+++ b/src/robinthread/_internal/models/budget.py
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """Fewest hosts and slots that must keep serving.
+    """Minimum numbers of hosts and slots that must keep serving.
 
-    ``per_hall_hosts`` and ``per_rack_hosts`` are floors by name of data hall
-    and rack; a hall or rack that is not named has no floor of its own.
+    ``per_hall_hosts`` and ``per_rack_hosts`` are minimum numbers of hosts by name of data hall
+    and of rack.  A hall or rack that is not listed has no minimum of its own.
     """
 
     min_serving_hosts: int = 0
@@ -20,7 +20,7 @@
     per_rack_hosts: dict[str, int] = field(default_factory=dict)
 
     def is_met_by(self, hosts: Iterable[Host]) -> bool:
-        """Tell whether the serving ones among ``hosts`` hold the budget."""
+        """Return whether the serving hosts among ``hosts`` meet all minimums."""
         serving = [host for host in hosts if host.is_serving]
         return (
             len(serving) >= self.min_serving_hosts
--- a/src/robinthread/_internal/models/daemon_member.py
+++ b/src/robinthread/_internal/models/daemon_member.py
@@ -1,11 +1,11 @@
-"""A daemon as a member of the fleet."""
+"""Membership of a daemon in the fleet."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonMember:
-    """A live daemon; ``joined_at`` is the log offset of its joining record."""
+    """A live daemon; ``joined_at`` is the log offset of its join record."""
 
     name: str
     incarnation: str
--- a/src/robinthread/_internal/models/fleet_config.py
+++ b/src/robinthread/_internal/models/fleet_config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in force."""
+"""Configuration that the operators have published."""
 
 from dataclasses import dataclass, field
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """One version of the configuration, whole; versions rise.
+    """One complete version of the configuration; version numbers increase.
 
-    ``limits`` are those of the workspaces that have one.
+    ``limits`` has the resource limits by workspace, without workspaces that have none.
     """
 
     version: int
@@ -25,16 +25,16 @@
     limits: dict[str, Resources] = field(default_factory=dict)
 
     def find_queue(self, host: str, path: str) -> QueuePolicy | None:
-        """Return the queue of ``host`` with the longest prefix of ``path``."""
+        """Return the queue of ``host`` with the longest matching prefix of ``path``, or None."""
         queues = self.queues_by_host.get(host, ())
         return next((queue for queue in queues if path.startswith(queue.path_prefix)), None)
 
     def list_working_pools(self) -> list[str]:
-        """List the pools that run jobs: all but the reserve's."""
+        """List the names of the pools that run jobs, which are all except the reserve."""
         return [pool.name for pool in self.pools.values() if not pool.is_reserve]
 
     def find_workspace(self, key: str) -> str | None:
-        """Return the workspace that a key speaks for, or None for an unknown key."""
+        """Return the workspace that a key authenticates, or None for an unknown key."""
         return self.workspace_by_digest.get(digest_key(key))
 
 
@@ -45,7 +45,7 @@
     body_max_bytes: int,
     workspaces: tuple[WorkspacePolicy, ...] = (),
 ) -> FleetConfig:
-    """Make a configuration whose queues are found by the longest prefix first."""
+    """Make a configuration; the queues of a host are sorted by descending length of prefix."""
     queues_by_host: dict[str, list[QueuePolicy]] = {}
     for queue in sorted(queues, key=lambda queue: -len(queue.path_prefix)):
         queues_by_host.setdefault(queue.host, []).append(queue)
--- a/src/robinthread/_internal/models/fleet_state.py
+++ b/src/robinthread/_internal/models/fleet_state.py
@@ -1,4 +1,4 @@
-"""The one fleet state that every daemon folds from the log."""
+"""Fleet state, which all daemons derive identically from the log."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class FleetState:
-    """Fleet state after all records below ``next_offset``."""
+    """Fleet state after all log records before ``next_offset``."""
 
     next_offset: int = 0
     pools: dict[str, Pool] = field(default_factory=dict)
@@ -38,10 +38,10 @@
         return iter(self._hosts_by_pool.get(pool, ()))
 
     def get_token(self, host: Host) -> int:
-        """Return the fencing token of acts on ``host``.
+        """Return the fencing token of operations on ``host``.
 
-        It rises with the host's own records and with every change of the
-        daemons of its data hall, any of which may change its dispatcher.
+        It increases with the host's own records and with every membership change among the
+        daemons of its data hall, because each of these may change the host's dispatcher.
         """
         return max(host.token, self.hall_epochs.get(host.hall, 0))
 
--- a/src/robinthread/_internal/models/host.py
+++ b/src/robinthread/_internal/models/host.py
@@ -1,4 +1,4 @@
-"""A host of workers as the fleet state knows it."""
+"""A host of workers in the fleet state."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 class Host:
     """An upstream host.
 
-    ``token`` is the log offset of the record that last granted the host to a
-    pool, a wave or back to service: the fencing token of every act on it.
-    ``boot_id`` is the worker's before the reboot of its current wave.
+    ``token`` is the log offset of the record that last assigned the host to a pool or a wave
+    or returned it to service.  It is the fencing token of every operation on the host.
+    ``boot_id`` is the worker's boot id from before the reboot in its current wave.
     """
 
     name: str
@@ -29,5 +29,5 @@
 
     @property
     def is_serving(self) -> bool:
-        """Tell whether the host counts as serving for its pool's budget."""
+        """Return whether the host counts as serving in its pool's budget."""
         return self.phase is HostPhase.SERVING
--- a/src/robinthread/_internal/models/host_incarnation.py
+++ b/src/robinthread/_internal/models/host_incarnation.py
@@ -1,15 +1,15 @@
-"""Lives of job hosts: a host that restarts under its id is another one."""
+"""Incarnations of job hosts: a host that restarts under the same id is a new incarnation."""
 
 from typing import Final
 
-# Between an id and a birth; no host's own id holds it with digits behind.
+# Separates a host's id from its start time.  No host id ends in this character and digits.
 _START_SEPARATOR: Final = "@"
 
 
 def make_incarnation_id(host_id: str, host_started_at_ms: int | None) -> str:
-    """Return what names one life of a host; the id alone where its birth is not told.
+    """Return the id of one incarnation of a host, or the host id if its start time is unknown.
 
-    All that is known of a host hangs on its life: two of them have two ids.
+    State about a host is kept per incarnation, so two incarnations must have different ids.
     """
     return (
         host_id
@@ -19,7 +19,7 @@
 
 
 def split_incarnation_id(incarnation_id: str) -> tuple[str, int | None]:
-    """Return a host's id, and when that life of it began if that was told."""
+    """Return the host id, and the start time of that incarnation or None if unknown."""
     host_id, separator, started_at = incarnation_id.rpartition(_START_SEPARATOR)
     if separator and started_at.isdecimal():
         return host_id, int(started_at)
--- a/src/robinthread/_internal/models/host_phase.py
+++ b/src/robinthread/_internal/models/host_phase.py
@@ -1,10 +1,10 @@
-"""Phases of a host in its life within a pool."""
+"""Phases of a host within a pool."""
 
 import enum
 
 
 class HostPhase(enum.Enum):
-    """Phase of a host; every step between phases is a record in the log."""
+    """Phase of a host; every transition is a record in the log."""
 
     FREE = "free"
     SERVING = "serving"
--- a/src/robinthread/_internal/models/host_report.py
+++ b/src/robinthread/_internal/models/host_report.py
@@ -1,4 +1,4 @@
-"""What a job host says of the tasks on it."""
+"""Reports of job hosts about their runs of tasks."""
 
 import enum
 from dataclasses import dataclass
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A run that is present: its progress, last checkpoint and recent load.
+    """A run that is in progress on the host.
 
-    ``recent_load`` is the tail latency in ms of a task that serves, else the
-    thousandths of a core in use.
+    ``checkpoint`` is the last one.  ``recent_load`` is the tail latency in ms of a serving
+    task, for any other task the processor use in thousandths of a core.
     """
 
     task: TaskKey
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRun:
-    """A run that ended; ``number`` rises from 1 within a life of the host."""
+    """A run that ended; ``number`` counts ends from 1 within an incarnation of the host."""
 
     number: int
     task: TaskKey
@@ -45,9 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostReport:
-    """All runs present, and the ends that are not acknowledged yet.
+    """All runs in progress and the ends that are not acknowledged yet.
 
-    ``host_started_at_ms`` tells which life of the host says so, where it tells that.
+    ``clock_ms`` is the time on the host's own clock.  ``host_started_at_ms`` identifies the
+    host's incarnation; None if the host does not report it.
     """
 
     clock_ms: int
--- a/src/robinthread/_internal/models/job_spec.py
+++ b/src/robinthread/_internal/models/job_spec.py
@@ -1,7 +1,7 @@
-"""A job as its caller handed it in.
+"""Specification of a job as submitted by its caller.
 
-These types are kept in the platform's store as they are, in array form: new
-fields go to the end and carry a default.
+These types are stored in the platform's store as arrays, so new fields are appended at the end
+and have a default.
 """
 
 from itertools import chain
@@ -11,13 +11,13 @@
 
 from robinthread._internal.models.resources import Resources
 
-# Tasks of one job at most.  A pool of 300 hosts with 16 cores each runs some 5,000 of one core
-# at a time; a job of 100,000 takes its owner some 100 MB.
+# Most tasks of one job.  A pool of 300 hosts with 16 cores each runs about 5,000 one-core tasks
+# at a time.  A job of 100,000 tasks takes about 100 MB of its owner's memory.
 TASKS_MAX: Final = 100_000
 
 
 class StepSpec(msgspec.Struct, frozen=True, array_like=True):
-    """One step of a job: ``task_count`` tasks that are alike."""
+    """One step of a job: ``task_count`` identical tasks."""
 
     task_count: int
     cpu_millicores: int = 0
@@ -41,24 +41,26 @@
 
     @property
     def resources(self) -> Resources:
-        """Return what one task takes of a host's room."""
+        """Return the resources that one task reserves on a host.
+
+        A task that only fills leftover capacity reserves no processor time.
+        """
         cpu = 0 if self.fills_leftover else self.cpu_millicores
         return Resources(cpu, self.memory_mb, self.gpu_count)
 
     @property
     def charged_resources(self) -> Resources:
-        """Return what one task takes of its workspace's limit."""
+        """Return the resources of one task that count towards its workspace's limit."""
         return Resources(self.cpu_millicores, self.memory_mb, self.gpu_count)
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A job; ``pool`` is where its queue led when it was accepted.
-
-    ``workspace`` is whose key it was handed in with, "" where none was asked for.
+    """A job; ``pool`` is the pool of its queue when the job was accepted.
 
-    ``text`` is passed to each task unread.  With ``occurrence_count`` over
-    zero the steps run that often, the first time at ``first_due_ms`` (Unix
-    time), then each ``interval_ms``.
+    ``workspace`` is the workspace whose key the caller used, "" if no key was required.
+    ``text`` is passed to each task without being interpreted.  If ``occurrence_count`` is
+    positive, the steps run that many times: first at ``first_due_ms`` (Unix time), then every
+    ``interval_ms``.
     """
 
     job_id: str
@@ -75,27 +77,29 @@
 
     @property
     def is_timed(self) -> bool:
-        """Tell whether the job runs at set times."""
+        """Return whether the job runs at scheduled times."""
         return self.occurrence_count > 0
 
     @property
     def is_lasting(self) -> bool:
-        """Tell whether any task of the job runs until the job is cancelled."""
+        """Return whether any task of the job runs until the job is cancelled."""
         return any(step.is_lasting for step in self.steps)
 
     def find_fault(self) -> str:
-        """Return why no owner could work the job off, or ""."""
+        """Return why the job can't be run by any owner, or "" if the spec is valid."""
         if not self.steps:
-            return "a job has a step at least"
+            return "a job must have at least one step"
         return next(filter(None, chain(map(_find_step_fault, self.steps), _find_faults(self))), "")
 
 
 def _find_step_fault(step: StepSpec) -> str:
     if step.task_count < 1:
-        return "a step has a task at least"
+        return f"a step must have at least one task, not {step.task_count}"
     sizes = (step.cpu_millicores, step.memory_mb, step.gpu_count, step.estimate_ms)
     bounds = (step.per_host_max, step.not_running_max, step.latency_target_ms)
-    return "a negative size" if min(*sizes, *bounds) < 0 else ""
+    return (
+        "a step's sizes, limits and times must not be negative" if min(*sizes, *bounds) < 0 else ""
+    )
 
 
 def _find_faults(job: JobSpec) -> tuple[str, ...]:
@@ -106,7 +110,11 @@
     )
     task_count = sum(step.task_count for step in job.steps)
     return (
-        "" if is_ordered else "a step comes after earlier ones only",
-        "" if task_count <= TASKS_MAX else f"a job has at most {TASKS_MAX} tasks",
-        "" if min(job.occurrence_count, job.interval_ms) >= 0 else "a negative time",
+        "" if is_ordered else "a step may only depend on earlier steps of the job",
+        ""
+        if task_count <= TASKS_MAX
+        else f"the job has {task_count} tasks, the limit is {TASKS_MAX}",
+        ""
+        if min(job.occurrence_count, job.interval_ms) >= 0
+        else "the number of occurrences and the interval must not be negative",
     )
--- a/src/robinthread/_internal/models/job_status.py
+++ b/src/robinthread/_internal/models/job_status.py
@@ -1,10 +1,10 @@
-"""State of a job as its caller sees it."""
+"""Status of a job as reported to its caller."""
 
 import enum
 
 
 class JobStatus(enum.Enum):
-    """State of a job; the last three are final."""
+    """Status of a job; the last three are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -14,7 +14,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether nothing of the job may start any more."""
+        """Return whether no task of the job may start any more."""
         return self in FINAL_STATUSES
 
 
--- a/src/robinthread/_internal/models/machine.py
+++ b/src/robinthread/_internal/models/machine.py
@@ -1,4 +1,4 @@
-"""A machine of the fleet as the platform lists it."""
+"""A machine of the fleet in the platform's list."""
 
 import enum
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A machine, its pool, and the id of the host that it is now ("" for none)."""
+    """A machine; ``host_id`` is the id of the host that it currently runs, "" for none."""
 
     name: str
     pool: str
--- a/src/robinthread/_internal/models/pool.py
+++ b/src/robinthread/_internal/models/pool.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A pool; ``version`` is the log offset of the last change of it."""
+    """A pool; ``version`` is the log offset of its last change."""
 
     name: str
     budget: Budget = field(default_factory=Budget)
--- a/src/robinthread/_internal/models/pool_policy.py
+++ b/src/robinthread/_internal/models/pool_policy.py
@@ -1,14 +1,14 @@
-"""What the configuration says of a pool of hosts."""
+"""Configuration of a pool of hosts."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PoolPolicy:
-    """A pool of hosts.
+    """Settings of a pool of hosts.
 
-    ``hosts_check_room`` tells whether its hosts reject what does not fit.
-    The hosts of a reserve are off and cost nothing.
+    ``hosts_check_room`` states whether the pool's hosts reject tasks that do not fit.  The
+    hosts of a reserve are off and cost nothing.
     """
 
     name: str
--- a/src/robinthread/_internal/models/queue_policy.py
+++ b/src/robinthread/_internal/models/queue_policy.py
@@ -1,14 +1,14 @@
-"""What the configuration says of a queue."""
+"""Configuration of a queue."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class AdvicePolicy:
-    """Limits of the service that says which hosts may run a step.
+    """Timing of the advice service, which decides which hosts may run a step.
 
-    An answer takes ``base_ms`` and ``per_host_ms`` for each host asked about,
-    and its tickets hold for ``valid_ms``.
+    A response takes ``base_ms`` plus ``per_host_ms`` for each host in the request.  Its
+    tickets are valid for ``valid_ms``.
     """
 
     base_ms: int
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuePolicy:
-    """A queue: where callers reach it, which pool runs its jobs, and how.
+    """A queue: its address for callers, the pool that runs its jobs, and scheduling parameters.
 
-    The lowest ``priority`` goes first.  A task may fail ``attempts_max`` times.
-    A job is on time within ``stretch`` times its longest chain of work plus
-    ``latency_target_ms``.  One that is not ``is_public`` asks callers for a workspace's key.
+    Queues with a lower ``priority`` go first.  A task may fail ``attempts_max`` times.  A job
+    is on time if it takes at most ``stretch`` times its longest chain of work plus
+    ``latency_target_ms``.  If ``is_public`` is not set, callers need a workspace's key.
     """
 
     name: str
--- a/src/robinthread/_internal/models/quota.py
+++ b/src/robinthread/_internal/models/quota.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Slots that a team may hold at once, in each pool and data hall."""
+    """Most slots that a team may hold at once in each pool and data hall."""
 
     team: str
     max_slots: int
--- a/src/robinthread/_internal/models/resources.py
+++ b/src/robinthread/_internal/models/resources.py
@@ -1,4 +1,4 @@
-"""Room on a host, and what a task takes of it."""
+"""Amounts of resources: capacities of hosts and requirements of tasks."""
 
 import sys
 from dataclasses import dataclass
@@ -27,13 +27,13 @@
         )
 
     def scale(self, count: int) -> "Resources":
-        """Return so many times as much."""
+        """Return ``count`` times these resources."""
         return Resources(
             self.cpu_millicores * count, self.memory_mb * count, self.gpu_count * count
         )
 
     def min(self, other: "Resources") -> "Resources":
-        """Return the lesser of each kind."""
+        """Return the minimum of each kind of resource."""
         return Resources(
             min(self.cpu_millicores, other.cpu_millicores),
             min(self.memory_mb, other.memory_mb),
@@ -41,7 +41,7 @@
         )
 
     def max(self, other: "Resources") -> "Resources":
-        """Return the greater of each kind."""
+        """Return the maximum of each kind of resource."""
         return Resources(
             max(self.cpu_millicores, other.cpu_millicores),
             max(self.memory_mb, other.memory_mb),
@@ -49,7 +49,7 @@
         )
 
     def count(self, unit: "Resources") -> int:
-        """Return how many times ``unit`` fits in; without bound for nothing."""
+        """Return how many times ``unit`` fits, or ``sys.maxsize`` if it is zero."""
         pairs = (
             (self.cpu_millicores, unit.cpu_millicores),
             (self.memory_mb, unit.memory_mb),
@@ -60,7 +60,10 @@
         )
 
     def get_utilization(self, limit: "Resources") -> float:
-        """Return the largest part that this is of any kind of room that is limited."""
+        """Return the highest share of ``limit`` in use over all kinds of resources.
+
+        Kinds whose limit is zero are unlimited and not considered.
+        """
         pairs = (
             (self.cpu_millicores, limit.cpu_millicores),
             (self.memory_mb, limit.memory_mb),
@@ -73,7 +76,7 @@
         return self.cpu_millicores, self.memory_mb, self.gpu_count
 
     def fits_in(self, capacity: "Resources") -> bool:
-        """Tell whether ``capacity`` holds this much."""
+        """Return whether ``capacity`` is at least this much of each kind."""
         return (
             self.cpu_millicores <= capacity.cpu_millicores
             and self.memory_mb <= capacity.memory_mb
--- a/src/robinthread/_internal/models/start_order.py
+++ b/src/robinthread/_internal/models/start_order.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """A run of a task; ``lease_until_ms`` is a time on the host's own clock."""
+    """A run to start; ``lease_until_ms`` is the end of its lease on the host's own clock."""
 
     task: TaskKey
     run: int
--- a/src/robinthread/_internal/models/step_key.py
+++ b/src/robinthread/_internal/models/step_key.py
@@ -1,4 +1,4 @@
-"""Name of a step."""
+"""Key of a step."""
 
 from dataclasses import dataclass
 
--- a/src/robinthread/_internal/models/task_key.py
+++ b/src/robinthread/_internal/models/task_key.py
@@ -1,4 +1,4 @@
-"""Name of a task."""
+"""Key of a task."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class TaskKey:
-    """A task: its job, the job's occurrence, the step and its place in the step."""
+    """A task: its job, the job's occurrence, the step and its index in the step."""
 
     job_id: str
     occurrence: int
@@ -16,10 +16,10 @@
 
     @property
     def step_key(self) -> StepKey:
-        """Return the name of the task's step."""
+        """Return the key of the task's step."""
         return StepKey(self.job_id, self.occurrence, self.step)
 
     @property
     def position(self) -> str:
-        """Return the task's place within its job as log lines show it."""
+        """Return "occurrence.step.index", the task's position in its job as shown in log lines."""
         return f"{self.occurrence}.{self.step}.{self.index}"
--- a/src/robinthread/_internal/models/upkeep_wave.py
+++ b/src/robinthread/_internal/models/upkeep_wave.py
@@ -1,11 +1,11 @@
-"""A maintenance wave that the operators ask for."""
+"""A maintenance wave requested by the operators."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class UpkeepWave:
-    """Machines that are due for upkeep within ``duration_s``, so many at once."""
+    """Machines due for upkeep within ``duration_s``, at most ``at_once_max`` at the same time."""
 
     number: int
     machines: tuple[str, ...]
--- a/src/robinthread/_internal/models/upstream_host.py
+++ b/src/robinthread/_internal/models/upstream_host.py
@@ -1,4 +1,4 @@
-"""A job host as it records itself."""
+"""A job host as described by its own record in the store."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamHost:
-    """One life of a job host.
+    """One incarnation of a job host.
 
-    ``host_started_at_ms`` is when it began, in Unix milliseconds by a clock that may step back:
-    it tells
-    lives under one ``id`` apart, and does not order them.  None where the host does not say it.
-    ``machine`` is the same over all lives.  ``leaves_in_ms`` is the least time
-    that is left where the host ``is_draining`` and has said so, else zero.
+    ``host_started_at_ms`` is its start time in Unix milliseconds, None if the host does not
+    report it.  It distinguishes incarnations with the same ``id`` but does not order them,
+    because the clock may step back.  ``machine`` is the same for all incarnations.  If the host
+    ``is_draining``, ``leaves_in_ms`` is the minimum time left before it leaves; it is zero if
+    the host is not draining or has not reported the time.
     """
 
     id: str
@@ -31,12 +31,12 @@
 
     @property
     def incarnation_id(self) -> str:
-        """Return what names this life, see ``make_incarnation_id``."""
+        """Return the id of this incarnation, see ``make_incarnation_id``."""
         return make_incarnation_id(self.id, self.host_started_at_ms)
 
 
 def make_unknown_host(incarnation_id: str) -> UpstreamHost:
-    """Make the record of a life that is named in progress but not listed (yet)."""
+    """Make a placeholder for an incarnation that progress records name but that is not listed."""
     host_id, host_started_at_ms = split_incarnation_id(incarnation_id)
     return UpstreamHost(
         host_id,
--- a/src/robinthread/_internal/models/urgency.py
+++ b/src/robinthread/_internal/models/urgency.py
@@ -4,7 +4,7 @@
 
 
 class Urgency(enum.IntEnum):
-    """Urgency of a request; a lower value goes first."""
+    """Urgency of a request; lower values are served first."""
 
     URGENT = 0
     NORMAL = 1
--- a/src/robinthread/_internal/models/wave.py
+++ b/src/robinthread/_internal/models/wave.py
@@ -14,7 +14,7 @@
 
 
 class WaveKind(enum.Enum):
-    """What a wave does with a host that it has drained."""
+    """The operation of a wave on each host after draining it."""
 
     REBOOT = "reboot"
     RELEASE = "release"
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """A wave over hosts; ``version`` is the offset of its last change.
+    """A wave of maintenance over hosts.
 
-    ``deadline_at_s`` is a Unix time in seconds, zero for none.  A migration is
-    a wave that releases a pool's hosts in one data hall and has ``to_pool``
-    filled with free hosts in ``to_hall`` until it has ``to_count`` there.
+    ``version`` is the log offset of the last change.  ``deadline_at_s`` is a Unix time in
+    seconds, zero for none.  A migration is a wave that releases a pool's hosts in one data hall
+    and fills ``to_pool`` with free hosts in ``to_hall`` until it has ``to_count`` hosts there.
     """
 
     name: str
@@ -46,10 +46,10 @@
 
     @property
     def is_unfinished(self) -> bool:
-        """Tell whether the wave still holds its hosts."""
+        """Return whether the wave still holds its hosts."""
         return self.state in UNFINISHED
 
     @property
     def waiting(self) -> tuple[str, ...]:
-        """Return the hosts that are not done, in the wave's order."""
+        """Return the hosts that are not done, in the order of the wave."""
         return tuple(name for name in self.hosts if name not in self.done)
--- a/src/robinthread/_internal/models/workspace_policy.py
+++ b/src/robinthread/_internal/models/workspace_policy.py
@@ -1,4 +1,4 @@
-"""What the configuration says of a workspace."""
+"""Configuration of a workspace and access to its jobs."""
 
 import hashlib
 import secrets
@@ -9,17 +9,18 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
 DIGEST_BYTES: Final = 16
-# Digests of one process say nothing to another, nor to whoever reads a dump of both.
+# Random per process, so digests can't be compared across processes or memory dumps.
 _SALT: Final = secrets.token_bytes(hashlib.blake2b.SALT_SIZE)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkspacePolicy:
-    """A workspace: who may speak for it, its share and its limit.
+    """A workspace: its keys, its share and its limit.
 
-    Its keys are kept as digests alone, which this process made.  What it hands in beyond
-    ``share_jobs_per_s`` comes after all other work when all is full; zero sets no share.  Its
-    tasks take ``limit`` at most at once, over all hosts; a zero there limits nothing.
+    Only digests of its keys are retained; they are specific to this process.  Jobs submitted
+    beyond ``share_jobs_per_s`` run after all other work when capacity is exhausted; zero sets
+    no share.  All running tasks together use at most ``limit`` over all hosts; zero means that
+    kind of resource is unlimited.
     """
 
     name: str
@@ -29,20 +30,21 @@
 
 
 def digest_key(key: str) -> bytes:
-    """Return what stands for a key; how long that takes tells nothing of known keys."""
+    """Return the digest of a key; its timing reveals nothing about known keys."""
     return hashlib.blake2b(
         key.encode(errors="surrogateescape"), digest_size=DIGEST_BYTES, salt=_SALT
     ).digest()
 
 
 def digest_keys(keys: Iterable[str]) -> frozenset[bytes]:
-    """Return what stands for each of some keys; an empty one is none."""
+    """Return the digests of keys, skipping empty keys."""
     return frozenset(map(digest_key, filter(None, keys)))
 
 
 def may_access(caller_workspace: str | None, workspace: str) -> bool:
-    """Tell whether a caller may see and change what belongs to a workspace.
+    """Return whether a caller may read and change the jobs of a workspace.
 
-    None stands for a caller who needs no key, "" for what was handed in without one.
+    ``caller_workspace`` is None for a caller that needs no key.  ``workspace`` is "" for jobs
+    submitted without a key.
     """
     return caller_workspace is None or workspace in ("", caller_workspace)
--- a/src/robinthread/_internal/models/workspace_shares.py
+++ b/src/robinthread/_internal/models/workspace_shares.py
@@ -1,12 +1,13 @@
-"""Shares of workspaces' limits, as nodes tell each other of them."""
+"""Messages between nodes about shares of workspaces' limits."""
 
 import msgspec
 
 
 class ShareTable(msgspec.Struct, frozen=True, array_like=True):
-    """Shares of their limits that workspaces may take in one pool; the others have ``default``.
+    """Shares of their limits that workspaces may use in one pool.
 
-    They were dealt out by what limits were in ``config_version``.
+    Workspaces not in ``shares`` have the share ``default``.  The shares were allocated with the
+    limits of ``config_version``.
     """
 
     config_version: int
@@ -14,14 +15,14 @@
     shares: dict[str, float] = {}
 
     def get(self, workspace: str) -> float:
-        """Return a workspace's share."""
+        """Return a workspace's share of its limit, as a fraction."""
         return self.shares.get(workspace, self.default)
 
 
 class ShareOrder(msgspec.Struct, frozen=True, array_like=True):
-    """Tell a pool's owner its shares; without a ``table`` those that it has stand.
+    """Order of the steward that sets the shares in a pool; without ``table`` they stay the same.
 
-    ``number`` rises with each order under the steward's ``token``.
+    ``number`` increases with each order under the steward's ``token``.
     """
 
     token: int
@@ -30,7 +31,7 @@
 
 
 class ShareState(msgspec.Struct, frozen=True, array_like=True):
-    """The shares that a pool's owner goes by, and the newest order that it has heard."""
+    """The shares that a pool's owner applies, and the newest order that it has received."""
 
     token: int = 0
     number: int = 0
@@ -38,10 +39,10 @@
 
 
 class WorkspaceUsage(msgspec.Struct, frozen=True, array_like=True):
-    """What a workspace takes in a pool, what its waiting tasks would, and one of them.
+    """Resources that a workspace uses in a pool, and those that its waiting tasks need.
 
-    That one, ``held_back``, is the most urgent that had to wait for a larger share.  Rooms are
-    thousandths of a core, MB and accelerators.
+    ``held_back`` are the resources of the most urgent task that had to wait for a larger share.
+    Each value is thousandths of a core, MB of memory and number of accelerators.
     """
 
     name: str
