--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -26,7 +26,7 @@
 # How long a request without a deadline of its own is worked on.
 DEFAULT_DEADLINE_S: Final = 3.0
 # Of the caller's time, what is left for the way back.
-ANSWER_MARGIN_S: Final = 0.1
+RESPONSE_MARGIN_S: Final = 0.1
 # Number and status of each outcome of a call.
 OUTCOME_CODES: Final = {
     JobRequestOutcome.DONE: (ResultCode.OK, 200),
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Call:
+class _ResolvedCall:
     """A call that a queue takes: the rest of its path, and whose key it carried.
 
     ``workspace`` is None where the queue asks for none.
@@ -113,11 +113,11 @@
 
     def prepare(self) -> None:
         """Refuse a body over the limit."""
-        self._began_at_s = time.monotonic()
+        self._started_at_s = time.monotonic()
         self._requests.begin(self)
         config = self._config_holder.config
         if config is not None and len(self.request.body) > config.body_max_bytes:
-            self._answer(413, ResultCode.BODY_TOO_LARGE)
+            self._respond(413, ResultCode.BODY_TOO_LARGE)
 
     def on_finish(self) -> None:
         """Note that the request is answered."""
@@ -126,67 +126,67 @@
     def answer_early(self) -> None:
         """Answer before the outcome is known."""
         is_read = self.request.method == "GET"
-        self._answer_outcome(
+        self._respond_with_outcome(
             JobRequestOutcome.OWNER_UNREACHABLE if is_read else JobRequestOutcome.UNKNOWN
         )
 
     async def post(self) -> None:
         """Take a job in."""
-        call = self._find()
+        call = self._resolve_call()
         if call is None:
             return
         try:
             spec = _parse_job(call, self.request.body)
         except (msgspec.MsgspecError, ValueError) as error:
-            self._answer(400, ResultCode.BAD_REQUEST, error=str(error))
+            self._respond(400, ResultCode.BAD_REQUEST, error=str(error))
             return
-        self._answer_outcome(await self._job_service.accept(spec, self._get_deadline_s()))
+        self._respond_with_outcome(await self._job_service.accept(spec, self._get_deadline_s()))
 
     async def get(self) -> None:
         """Tell a job's state, or a queue's count of pending jobs."""
-        call = self._find()
+        call = self._resolve_call()
         if call is None:
             return
         if not call.rest:
             count = await self._job_service.count_pending(call.queue)
             if count is None:
-                self._answer_outcome(JobRequestOutcome.OWNER_UNREACHABLE)
+                self._respond_with_outcome(JobRequestOutcome.OWNER_UNREACHABLE)
             else:
-                self._answer(200, ResultCode.OK, pending=count)
+                self._respond(200, ResultCode.OK, pending=count)
             return
-        told = await self._job_service.get_status(call.queue, call.rest, call.workspace)
-        if told.status is not None:
-            self._answer(200, ResultCode.OK, state=STATUS_WORDS[told.status])
+        job_state = await self._job_service.get_status(call.queue, call.rest, call.workspace)
+        if job_state.status is not None:
+            self._respond(200, ResultCode.OK, state=STATUS_WORDS[job_state.status])
         else:
-            self._answer_outcome(told.outcome)
+            self._respond_with_outcome(job_state.outcome)
 
     async def delete(self) -> None:
         """Cancel a job."""
-        call = self._find()
+        call = self._resolve_call()
         if call is None:
             return
-        self._answer_outcome(
+        self._respond_with_outcome(
             await self._job_service.cancel(
                 call.queue, call.rest, self._get_deadline_s(), call.workspace
             )
         )
 
-    def _find(self) -> _Call | None:
+    def _resolve_call(self) -> _ResolvedCall | None:
         """Return what is called and for whom, or answer why the call is not taken."""
         config = self._config_holder.config
         if config is None:
-            self._answer(503, ResultCode.NOT_READY)
+            self._respond(503, ResultCode.NOT_READY)
             return None
         path = self.request.path
         queue = config.find_queue(self.request.host_name, path)
         if queue is None:
-            self._answer(404, ResultCode.NO_SUCH_POOL)
+            self._respond(404, ResultCode.NO_SUCH_POOL)
             return None
         workspace = None if queue.is_public else config.find_workspace(self._get_key())
         if workspace is None and not queue.is_public:
-            self._answer(401, ResultCode.KEY_UNKNOWN)
+            self._respond(401, ResultCode.KEY_UNKNOWN)
             return None
-        return _Call(queue, config, path.removeprefix(queue.path_prefix), workspace)
+        return _ResolvedCall(queue, config, path.removeprefix(queue.path_prefix), workspace)
 
     def _get_key(self) -> str:
         """Return the key that the call carries, or ""."""
@@ -196,28 +196,28 @@
     def _get_deadline_s(self) -> float:
         """Return until when to work on the request, by the event loop's clock."""
         text = self.request.headers.get(DEADLINE_HEADER, "")
-        left_s = int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
-        return asyncio.get_running_loop().time() + max(0.0, left_s - ANSWER_MARGIN_S)
+        remaining_s = int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
+        return asyncio.get_running_loop().time() + max(0.0, remaining_s - RESPONSE_MARGIN_S)
 
-    def _answer_outcome(self, outcome: JobRequestOutcome) -> None:
+    def _respond_with_outcome(self, outcome: JobRequestOutcome) -> None:
         code, status = OUTCOME_CODES[outcome]
-        self._answer(status, code)
+        self._respond(status, code)
 
-    def _answer(self, status: int, code: ResultCode, **fields: Any) -> None:
+    def _respond(self, status: int, code: ResultCode, **fields: Any) -> None:
         """Answer with a result code, and tell a caller that was refused when to come back."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         body: dict[str, Any] = fields
         if status != 200:
             body = {"code": int(code), "error": MEANINGS[code]} | fields
-            self._note_refusal(status, code, str(body["error"]))
+            self._log_refusal(status, code, str(body["error"]))
         if status == 503:
             self.set_header("Retry-After", str(RETRY_AFTER_S))
-        took_s = time.monotonic() - self._began_at_s
+        took_s = time.monotonic() - self._started_at_s
         self._events.metrics.note_request(str(self.request.method), int(code), took_s)
         self.finish(msgspec.json.encode(body))
 
-    def _note_refusal(self, status: int, code: ResultCode, error: str) -> None:
+    def _log_refusal(self, status: int, code: ResultCode, error: str) -> None:
         """Write the last word on a request that was not served."""
         if code in (ResultCode.NO_SUCH_POOL, ResultCode.KEY_UNKNOWN):
             self._gather_refusal(status, code)
@@ -234,7 +234,7 @@
             code=int(code),
             outcome=code.name,
             error=error,
-            held_ms=round((time.monotonic() - self._began_at_s) * 1000, 1),
+            held_ms=round((time.monotonic() - self._started_at_s) * 1000, 1),
         )
 
     def _gather_refusal(self, status: int, code: ResultCode) -> None:
@@ -264,7 +264,7 @@
     return Application([(r"/.*", JobsHandler, arguments)], log_function=lambda handler: None)
 
 
-def _parse_job(call: _Call, body: bytes) -> JobSpec:
+def _parse_job(call: _ResolvedCall, body: bytes) -> JobSpec:
     if not JOB_ID.fullmatch(call.rest):
         raise ValueError("a job's id has 16 hexadecimal digits")
     wire = msgspec.json.decode(body, type=_WireJob)
--- a/src/robinthread/_internal/platform/host_start_time.py
+++ b/src/robinthread/_internal/platform/host_start_time.py
@@ -10,6 +10,6 @@
 HostStartTime = Annotated[int, msgspec.Meta(ge=0, le=HOST_STARTED_AT_MAX_MS)] | msgspec.UnsetType
 
 
-def get_host_started_at_ms(birth: HostStartTime) -> int | None:
+def get_host_started_at_ms(start_time: HostStartTime) -> int | None:
     """Return when a host began, or None where it does not say so."""
-    return birth if isinstance(birth, int) else None
+    return start_time if isinstance(start_time, int) else None
--- a/src/robinthread/_internal/platform/hosts.py
+++ b/src/robinthread/_internal/platform/hosts.py
@@ -72,7 +72,7 @@
     born: HostStartTime = msgspec.UNSET
 
 
-class _WireAnswer(msgspec.Struct):
+class _WireResponse(msgspec.Struct):
     clock_ms: int = 0
     reason: str = ""
 
@@ -126,7 +126,7 @@
         if order.ticket:
             body["ticket"] = order.ticket
         response = await self._order(host, "start", "/run-start", body, ORDER_TIMEOUT_S)
-        return _decode(response, _WireAnswer).clock_ms
+        return _decode(response, _WireResponse).clock_ms
 
     async def stop(self, host: UpstreamHost, task: TaskKey, run: int, token: int) -> None:
         """Stop a run, or have its start rejected from now on."""
@@ -181,7 +181,7 @@
     if response.code in (429, 503):
         return HostUnhealthyError(f"status {response.code}")
     if response.code == 409:
-        reason = _decode(response, _WireAnswer).reason
+        reason = _decode(response, _WireResponse).reason
         return REJECTIONS.get(reason, StartRejectedError)(reason)
     if response.code == 400:
         return StartRejectedError(f"malformed order: {response.body[:200]!r}")
@@ -201,5 +201,5 @@
 
 
 def _parse_ended(row: list[Any]) -> EndedRun:
-    number, task, run, how, checkpoint = row
-    return EndedRun(number, parse_task(task), run, ENDS[how], checkpoint)
+    number, task, run, end_name, checkpoint = row
+    return EndedRun(number, parse_task(task), run, ENDS[end_name], checkpoint)
--- a/src/robinthread/_internal/platform/settings.py
+++ b/src/robinthread/_internal/platform/settings.py
@@ -37,8 +37,10 @@
     """Return the path of the process's settings file; raise ``FaultError`` if unset."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        what = f"the environment variable {SETTINGS_VARIABLE} is not set; set it to a file's path"
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, what))
+        problem = (
+            f"the environment variable {SETTINGS_VARIABLE} is not set; set it to a file's path"
+        )
+        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, problem))
     return path
 
 
@@ -53,7 +55,7 @@
 
 def parse_node_settings(table: dict[str, Any]) -> NodeSettings:
     """Decode the platform's table, listing all that is missing or malformed at once."""
-    reader = _Reader(table)
+    reader = _TableReader(table)
     listen, platform = reader.get_table("listen"), reader.get_table("platform")
     machines, limits = reader.get_table("cloud"), reader.get_table("limits")
     settings = NodeSettings(
@@ -82,7 +84,7 @@
     return settings
 
 
-class _Reader:
+class _TableReader:
     """Reads fields and collects what is wrong with them."""
 
     def __init__(self, table: dict[str, Any]) -> None:
@@ -127,7 +129,7 @@
             raise FaultError(make_fault(ResultCode.BAD_SETTINGS, "; ".join(self._errors)))
 
 
-def _read_bounds(reader: _Reader) -> NodeBounds:
+def _read_bounds(reader: _TableReader) -> NodeBounds:
     table = reader.get_table("bounds")
 
     def get(key: str) -> float:
--- a/src/robinthread/_internal/platform/store.py
+++ b/src/robinthread/_internal/platform/store.py
@@ -45,7 +45,7 @@
 CALL_TIMEOUT_MIN_S: Final = 0.3
 CALL_TIMEOUT_MAX_S: Final = 1.2
 # Most of one read: over 5 Mbit/s it takes 0.2 s, well within the time-out.
-LONG_READ_KB: Final = 128
+READ_MAX_KB: Final = 128
 # Where a row of the list of members names one.
 MEMBER_COLUMN: Final = 2
 T = TypeVar("T")
@@ -114,7 +114,7 @@
             query |= {"producer": stamp.name, "epoch": stamp.epoch, "sequence": stamp.sequence}
         body = b"".join(map(_encode_record, records))
         response = await self._call(f"/log-append?{urlencode(query)}", body)
-        appended = decode_answer(response, _WireAppended)
+        appended = _decode_response(response, _WireAppended)
         return AppendResult(appended.offset, appended.end)
 
     async def read(
@@ -129,7 +129,7 @@
             "topic": partition.topic,
             "part": partition.number,
             "from": from_offset,
-            "max_kb": LONG_READ_KB,
+            "max_kb": READ_MAX_KB,
             "wait_ms": int(wait_s * 1000),
         }
         path = f"/log-read?{urlencode(query)}"
@@ -151,7 +151,7 @@
             # On this call "depends_on" is the key after which the page begins.
             query["depends_on"] = after_key
         response = await self._call(f"/log-newest?{urlencode(query)}", timeout_s=timeout_s)
-        page = decode_answer(response, _WireNewest)
+        page = _decode_response(response, _WireNewest)
         records = tuple(filter(None, map(_decode_item, page.items)))
         if page.has_more and not records:
             raise StoreNoAnswerError("a page without a record that can be read")
@@ -170,7 +170,7 @@
             "generation": generation,
         }
         response = await self._call("/log-join", msgspec.json.encode(body))
-        return Membership(decode_answer(response, _WireJoined).generation)
+        return Membership(_decode_response(response, _WireJoined).generation)
 
     async def leave(self, group: str, member: str) -> None:
         """Leave a group."""
@@ -180,11 +180,11 @@
     async def list_members(self, group: str) -> frozenset[str]:
         """List the members of a group that have been dealt a partition."""
         response = await self._call(f"/log-owners?group={quote(group)}")
-        found = decode_answer(response, _WireOwners)
+        found = _decode_response(response, _WireOwners)
         # A row is topic, partition, member, committed offset.
         rows = found.parts or found.owners
-        named = (row[MEMBER_COLUMN] for row in rows if len(row) > MEMBER_COLUMN)
-        return frozenset(str(name) for name in named if name)
+        members = (row[MEMBER_COLUMN] for row in rows if len(row) > MEMBER_COLUMN)
+        return frozenset(str(name) for name in members if name)
 
     async def _call(
         self,
@@ -200,7 +200,7 @@
     async def _call_once(
         self, path: str, body: bytes | None, wait_s: float, timeout_s: float | None
     ) -> HTTPResponse:
-        began_at_s = time.monotonic()
+        sent_at_s = time.monotonic()
         try:
             response = await call(
                 self._client,
@@ -217,13 +217,13 @@
             self._timeout.note_lost()
             raise StoreNoAnswerError(str(error)) from error
         if not wait_s and timeout_s is None:
-            self._timeout.note_answer(time.monotonic() - began_at_s)
+            self._timeout.note_answer(time.monotonic() - sent_at_s)
         if response.code != 200:
             raise _make_error(response)
         return response
 
 
-def decode_answer(response: HTTPResponse, type_: type[T]) -> T:
+def _decode_response(response: HTTPResponse, type_: type[T]) -> T:
     """Decode the body of an answer of the store; raise ``StoreNoAnswerError``."""
     try:
         return decode(response.body, type_)
