--- a/src/robinthread/_internal/platform/__init__.py
+++ b/src/robinthread/_internal/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translation between the product and the company platform.
+"""Adapters to the company platform's services.
 
-Nothing outside this package knows the platform's names.
+The platform's names are used only in this package.
 """
--- a/src/robinthread/_internal/platform/advice.py
+++ b/src/robinthread/_internal/platform/advice.py
@@ -1,4 +1,4 @@
-"""Client of the service that says which hosts may run a step."""
+"""Client of the advice service, which decides which hosts may run a step."""
 
 from collections.abc import Sequence
 
@@ -18,20 +18,20 @@
 
 
 class _WireAdvice(msgspec.Struct):
-    # Rows of a host's id and its ticket; hosts that may not run the step are left out.
+    # Pairs of host id and ticket; hosts that may not run the step are omitted.
     good: list[tuple[str, str]] = []
     valid_ms: float = 0
 
 
 class PlatformAdvice:
-    """The service over HTTP."""
+    """The advice service over HTTP."""
 
     def __init__(self, client: HttpClient, address: str) -> None:
         self._client = client
         self._url = f"http://{address}/advise"
 
     async def advise(self, step: StepKey, host_ids: Sequence[str], timeout_s: float) -> HostAdvice:
-        """Ask which of some hosts may run a step; raise ``AdviceError``."""
+        """Request which of the hosts may run a step; raise ``AdviceError`` on failure."""
         name = f"{step.job_id}.{step.occurrence}.{step.step}"
         body = msgspec.json.encode({"step": name, "workers": list(host_ids)})
         try:
@@ -39,7 +39,7 @@
                 self._client, self._url, timeout_s=timeout_s, body=body, headers=JSON_HEADERS
             )
             if response.code != 200:
-                raise AdviceError(f"status {response.code}")
+                raise AdviceError(f"the advice service responded with status {response.code}")
             answer = decode(response.body, _WireAdvice)
         except (CallUnsentError, CallLostError) as error:
             raise AdviceError(str(error)) from error
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests over HTTP."""
+"""HTTP interface for callers: submit, query and cancel jobs."""
 
 import asyncio
 import re
@@ -23,11 +23,11 @@
 DEADLINE_HEADER: Final = "X-Deadline-Ms"
 KEY_HEADER: Final = "Authorization"
 KEY_SCHEME: Final = "bearer"
-# How long a request without a deadline of its own is worked on.
+# Time limit of a request without a deadline header.
 DEFAULT_DEADLINE_S: Final = 3.0
-# Of the caller's time, what is left for the way back.
+# Part of the time until the caller's deadline that is reserved for returning the response.
 RESPONSE_MARGIN_S: Final = 0.1
-# Number and status of each outcome of a call.
+# Result code and HTTP status of each outcome.
 OUTCOME_CODES: Final = {
     JobRequestOutcome.DONE: (ResultCode.OK, 200),
     JobRequestOutcome.REFUSED: (ResultCode.PLATFORM_OUT, 503),
@@ -36,7 +36,7 @@
     JobRequestOutcome.UNKNOWN: (ResultCode.OUTCOME_UNKNOWN, 504),
     JobRequestOutcome.ID_TAKEN: (ResultCode.JOB_ID_TAKEN, 409),
 }
-# When a caller that was refused should come back.
+# Seconds after which a refused caller should retry.
 RETRY_AFTER_S: Final = 1
 SPEC_MAX_CHARACTERS: Final = 4000
 
@@ -59,13 +59,13 @@
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
-    # A label that the host must have.
+    # Label that the host must have.
     requirements: str = ""
-    # The rack that holds the data.
+    # Rack that holds the data.
     affinity: str = ""
-    # How many tasks of the step one host may carry.
+    # Most tasks of the step on one host.
     anti_affinity: int = 0
-    # Copies of a task may run at once.
+    # Whether several copies of a task may run at the same time.
     speculative: bool = False
     long_running: bool = False
     image: str = ""
@@ -84,9 +84,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _ResolvedCall:
-    """A call that a queue takes: the rest of its path, and whose key it carried.
+    """A call resolved to its queue, the rest of its path and the caller's workspace.
 
-    ``workspace`` is None where the queue asks for none.
+    ``workspace`` is None if the queue requires no key.
     """
 
     queue: QueuePolicy
@@ -96,7 +96,7 @@
 
 
 class JobsHandler(RequestHandler):
-    """Serves one queue's path."""
+    """Serves the calls to a queue's path."""
 
     def initialize(  # type: ignore[override]
         self,
@@ -105,14 +105,14 @@
         events: EventLog,
         requests: OpenRequests,
     ) -> None:
-        """Take what answers."""
+        """Set the objects that serve requests."""
         self._requests = requests
         self._job_service = job_service
         self._config_holder = config_holder
         self._events = events
 
     def prepare(self) -> None:
-        """Refuse a body over the limit."""
+        """Register the request, and reject it if its body is over the limit."""
         self._started_at_s = time.monotonic()
         self._requests.begin(self)
         config = self._config_holder.config
@@ -120,18 +120,18 @@
             self._respond(413, ResultCode.BODY_TOO_LARGE)
 
     def on_finish(self) -> None:
-        """Note that the request is answered."""
+        """Remove the request from the open ones."""
         self._requests.end(self)
 
     def answer_early(self) -> None:
-        """Answer before the outcome is known."""
+        """Respond before the outcome is known: a read as unreachable, a write as unknown."""
         is_read = self.request.method == "GET"
         self._respond_with_outcome(
             JobRequestOutcome.OWNER_UNREACHABLE if is_read else JobRequestOutcome.UNKNOWN
         )
 
     async def post(self) -> None:
-        """Take a job in."""
+        """Submit a job."""
         call = self._resolve_call()
         if call is None:
             return
@@ -143,7 +143,7 @@
         self._respond_with_outcome(await self._job_service.accept(spec, self._get_deadline_s()))
 
     async def get(self) -> None:
-        """Tell a job's state, or a queue's count of pending jobs."""
+        """Respond with a job's state, or with a queue's number of pending jobs."""
         call = self._resolve_call()
         if call is None:
             return
@@ -172,7 +172,11 @@
         )
 
     def _resolve_call(self) -> _ResolvedCall | None:
-        """Return what is called and for whom, or answer why the call is not taken."""
+        """Resolve the call's queue and workspace.
+
+        Returns None after responding with an error if the configuration is not loaded, the
+        queue does not exist or the key is unknown.
+        """
         config = self._config_holder.config
         if config is None:
             self._respond(503, ResultCode.NOT_READY)
@@ -189,12 +193,12 @@
         return _ResolvedCall(queue, config, path.removeprefix(queue.path_prefix), workspace)
 
     def _get_key(self) -> str:
-        """Return the key that the call carries, or ""."""
+        """Return the key in the call's header, or "" if there is none."""
         scheme, _, key = self.request.headers.get(KEY_HEADER, "").partition(" ")
         return key.strip() if scheme.lower() == KEY_SCHEME else ""
 
     def _get_deadline_s(self) -> float:
-        """Return until when to work on the request, by the event loop's clock."""
+        """Return when to stop work on the request, in seconds of the event loop's clock."""
         text = self.request.headers.get(DEADLINE_HEADER, "")
         remaining_s = int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_S
         return asyncio.get_running_loop().time() + max(0.0, remaining_s - RESPONSE_MARGIN_S)
@@ -204,7 +208,7 @@
         self._respond(status, code)
 
     def _respond(self, status: int, code: ResultCode, **fields: Any) -> None:
-        """Answer with a result code, and tell a caller that was refused when to come back."""
+        """Respond with a result code, and with a retry time if the status is 503."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         body: dict[str, Any] = fields
@@ -218,7 +222,7 @@
         self.finish(msgspec.json.encode(body))
 
     def _log_refusal(self, status: int, code: ResultCode, error: str) -> None:
-        """Write the last word on a request that was not served."""
+        """Log a request that was not served."""
         if code in (ResultCode.NO_SUCH_POOL, ResultCode.KEY_UNKNOWN):
             self._gather_refusal(status, code)
             return
@@ -238,7 +242,7 @@
         )
 
     def _gather_refusal(self, status: int, code: ResultCode) -> None:
-        """Tell of requests for a queue, or under a key, that nobody knows; there may be many."""
+        """Log requests with an unknown queue or key as a count, because there may be many."""
         config = self._config_holder.config
         self._events.gather(
             "request_refused",
@@ -254,7 +258,7 @@
 def make_callers_application(
     job_service: JobService, config_holder: ConfigHolder, events: EventLog, requests: OpenRequests
 ) -> Application:
-    """Make the callers' listener."""
+    """Make the web application that serves callers."""
     arguments = {
         "job_service": job_service,
         "config_holder": config_holder,
@@ -266,10 +270,12 @@
 
 def _parse_job(call: _ResolvedCall, body: bytes) -> JobSpec:
     if not JOB_ID.fullmatch(call.rest):
-        raise ValueError("a job's id has 16 hexadecimal digits")
+        raise ValueError("the job id in the path must be 16 lowercase hexadecimal digits")
     wire = msgspec.json.decode(body, type=_WireJob)
     if len(wire.spec) > SPEC_MAX_CHARACTERS:
-        raise ValueError(f"a spec has at most {SPEC_MAX_CHARACTERS} characters")
+        raise ValueError(
+            f"the spec has {len(wire.spec)} characters, the limit is {SPEC_MAX_CHARACTERS}"
+        )
     spec = JobSpec(
         job_id=call.rest,
         queue=call.queue.name,
--- a/src/robinthread/_internal/platform/hosts.py
+++ b/src/robinthread/_internal/platform/hosts.py
@@ -39,10 +39,10 @@
     decode,
 )
 
-# An order without an answer for so long is sent again.  Hosts answer within some
-# milliseconds; an entry host that runs five times slower needs some 100.
+# Timeout of an order, after which it is sent again.  Hosts respond within a few milliseconds; an
+# entry host that runs five times slower needs about 100 ms.
 ORDER_TIMEOUT_S: Final = 0.4
-# How much longer than its own wait a watch may take.
+# Time that a watch may take in addition to its own wait.
 WATCH_SLACK_S: Final = 0.4
 HOST_HEADER: Final = "X-Target-Instance"
 
@@ -65,9 +65,9 @@
 
 class _WireReport(msgspec.Struct):
     clock_ms: int
-    # Rows: task, run, checkpoint, progress in percent, and perhaps a recent load.
+    # Rows: task, run, checkpoint, progress in percent, and optionally the recent load.
     running: list[list[Any]] = []
-    # Rows: number, task, run, how it ended, checkpoint.
+    # Rows: number, task, run, kind of end, checkpoint.
     finished: list[list[Any]] = []
     born: HostStartTime = msgspec.UNSET
 
@@ -92,9 +92,13 @@
         lease_until_ms: int | None,
         wait_s: float,
     ) -> HostReport:
-        """Ask what runs, waiting for an end; acknowledge ends, extend the lease."""
-        # "observed" is the number of the last end that may be forgotten, and
-        # "deadline_ms" the end of the lease on the host's clock.
+        """Request a report, waiting up to ``wait_s`` for a run to end.
+
+        Acknowledges ends up to number ``acknowledged`` and extends the lease unless
+        ``lease_until_ms`` is None.
+        """
+        # "observed" is the number of the last end that the host may discard, "deadline_ms" the
+        # end of the lease on the host's clock.
         body: dict[str, Any] = {"fencing_token": token, "observed": acknowledged}
         if lease_until_ms is not None:
             body["deadline_ms"] = lease_until_ms
@@ -110,10 +114,10 @@
                 get_host_started_at_ms(report.born),
             )
         except (ValueError, KeyError, TypeError) as error:
-            raise HostNoAnswerError(f"malformed report: {error!r}") from error
+            raise HostNoAnswerError(f"malformed report of host {host.id}: {error!r}") from error
 
     async def start(self, host: UpstreamHost, order: StartOrder) -> int:
-        """Start a run; return the host's clock in ms."""
+        """Start a run; return the time on the host's clock in ms."""
         body: dict[str, Any] = {
             "task": format_task(order.task),
             "run": order.run,
@@ -129,14 +133,14 @@
         return _decode(response, _WireResponse).clock_ms
 
     async def stop(self, host: UpstreamHost, task: TaskKey, run: int, token: int) -> None:
-        """Stop a run, or have its start rejected from now on."""
+        """Stop a run; if it has not started, the host rejects its start from now on."""
         body = {"task": format_task(task), "run": run, "fencing_token": token}
         await self._order(host, "stop", "/run-stop", body, ORDER_TIMEOUT_S)
 
     async def pace(
         self, host: UpstreamHost, task: TaskKey, run: int, percent: int, token: int
     ) -> None:
-        """Have a run work at a share of its speed."""
+        """Limit a run to ``percent`` of its full speed."""
         body = {
             "task": format_task(task),
             "run": run,
@@ -177,15 +181,17 @@
 
 def _make_error(response: HTTPResponse) -> HostError:
     if response.code == 421:
-        return HostGoneError("another life answers at the address")
+        return HostGoneError("another incarnation of the host responds at the address")
     if response.code in (429, 503):
-        return HostUnhealthyError(f"status {response.code}")
+        return HostUnhealthyError(f"the host responded with status {response.code}")
     if response.code == 409:
         reason = _decode(response, _WireResponse).reason
         return REJECTIONS.get(reason, StartRejectedError)(reason)
     if response.code == 400:
-        return StartRejectedError(f"malformed order: {response.body[:200]!r}")
-    return HostNoAnswerError(f"status {response.code}")
+        return StartRejectedError(
+            f"the host rejected the order as malformed: {response.body[:200]!r}"
+        )
+    return HostNoAnswerError(f"unexpected status {response.code} of the host")
 
 
 def _decode(response: HTTPResponse, type_: type) -> Any:
--- a/src/robinthread/_internal/platform/machines.py
+++ b/src/robinthread/_internal/platform/machines.py
@@ -26,11 +26,11 @@
     decode,
 )
 
-# A call that has had no answer for so long is given up.
+# Timeout of a call.
 CALL_TIMEOUT_S: Final = 1.0
 HOLDER_HEADER: Final = "X-Lease-Holder"
 TOKEN_HEADER: Final = "X-Fencing-Token"
-# A machine in any other state gets no order, as one that is down.
+# A machine in any other state is treated as down and gets no orders.
 STATES: Final = {state.value: state for state in MachineState}
 
 
@@ -41,7 +41,7 @@
     zone: str = ""
     labels: list[str] = []
     capacity: WireCapacity = msgspec.field(default_factory=WireCapacity)
-    # The id of the host that the machine is now.
+    # Id of the host that the machine currently runs.
     id: str | None = None
 
 
@@ -63,7 +63,7 @@
         self._base = f"http://{address}"
 
     async def list_machines(self) -> tuple[Machine, ...]:
-        """List all machines, over several pages."""
+        """List all machines, requesting page after page."""
         found: list[_WireMachine] = []
         path = "/machines"
         while True:
@@ -75,11 +75,11 @@
             path = f"/machines?page_token={page.next_token}"
 
     async def move(self, machine: str, pool: str, holder: str, token: int) -> None:
-        """Move a machine to a pool; everything on it ends at once."""
+        """Move a machine to a pool; all runs on it end immediately."""
         await self._order("/machine-move", {"machine": machine, "pool": pool}, holder, token)
 
     async def begin_upkeep(self, machine: str, wave: int, holder: str, token: int) -> None:
-        """Begin a machine's upkeep for a wave; everything on it ends at once."""
+        """Begin a machine's upkeep for a wave; all runs on it end immediately."""
         await self._order("/machine-upkeep", {"machine": machine, "wave": wave}, holder, token)
 
     async def _order(self, path: str, body: dict[str, Any], holder: str, token: int) -> None:
@@ -117,15 +117,15 @@
     if response.code == 409:
         reason = _decode(response, _WireProblem).reason
         if reason == "fence":
-            return MachineFencedError("a newer token has been seen")
+            return MachineFencedError("the platform has seen a newer fencing token")
         if reason == "busy":
-            return MachineBusyError("the machine is not up, or it leaves")
+            return MachineBusyError("the machine is not up or is leaving")
         return MachineMisfitError(reason)
     if response.code == 400:
-        return MachineMisfitError(f"rejected: {response.body[:200]!r}")
+        return MachineMisfitError(f"the platform rejected the order: {response.body[:200]!r}")
     if response.code in (429, 503):
-        return MachineRefusedError(f"status {response.code}")
-    return MachineNoAnswerError(f"status {response.code}")
+        return MachineRefusedError(f"the platform responded with status {response.code}")
+    return MachineNoAnswerError(f"unexpected status {response.code} of the platform")
 
 
 def _decode(response: HTTPResponse, type_: type) -> Any:
--- a/src/robinthread/_internal/platform/platform_records.py
+++ b/src/robinthread/_internal/platform/platform_records.py
@@ -1,4 +1,4 @@
-"""What the operators and the job hosts keep in the store."""
+"""Records of the operators and of job hosts in the platform's store."""
 
 from typing import Annotated, Final, Literal
 
@@ -16,7 +16,7 @@
 from robinthread._internal.platform.host_start_time import HostStartTime, get_host_started_at_ms
 
 WAVE_PREFIX: Final = "wave/"
-# A host and a port.
+# Host name and port.
 ADDRESS: Final = r"^[^\s:/@]+:[0-9]{1,5}$"
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
@@ -25,14 +25,14 @@
 
 
 class WireCapacity(msgspec.Struct):
-    """Room of a host."""
+    """Capacity of a host or machine, or limit of a workspace."""
 
     cpu: Size = 0
     mem_mb: Size = 0
     gpu: Size = 0
 
     def decode(self) -> Resources:
-        """Return the room as the product's type."""
+        """Return the capacity as ``Resources``."""
         return Resources(self.cpu, self.mem_mb, self.gpu)
 
 
@@ -43,7 +43,7 @@
 
 
 class _WireRoute(msgspec.Struct):
-    # A route is what the product calls a queue, and its service the pool.
+    # The platform calls a queue a route, and its pool the route's service.
     name: str
     host: str
     path_prefix: str
@@ -64,7 +64,7 @@
 
 
 class _WireTenant(msgspec.Struct):
-    # A tenant is what the product calls a workspace.
+    # The platform calls a workspace a tenant.
     name: Name
     api_keys: list[str] = []
     weight: int | float = 0
@@ -84,8 +84,8 @@
 
 
 class _WireHost(msgspec.Struct):
-    # What a host always says is required, also where it is not used here: an entry that says
-    # less, or otherwise, is none of a host.
+    # Fields that every host writes are required, even if they are not used here: a record without
+    # them, or with other values, is not the record of a host.
     service: Name
     address: Annotated[str, msgspec.Meta(pattern=ADDRESS)]
     zone: Name
@@ -109,7 +109,7 @@
 
 
 def parse_config(value: bytes) -> FleetConfig:
-    """Decode a configuration; raise ``msgspec.MsgspecError``."""
+    """Decode a configuration; raise ``msgspec.MsgspecError`` if it is malformed."""
     wire = msgspec.json.decode(value, type=_WireConfig)
     return make_fleet_config(
         wire.version,
@@ -121,7 +121,7 @@
 
 
 def parse_host(host_id: str, value: bytes) -> UpstreamHost:
-    """Decode what a host records of itself; raise ``msgspec.MsgspecError``."""
+    """Decode a host's record of itself; raise ``msgspec.MsgspecError`` if it is malformed."""
     wire = msgspec.json.decode(value, type=_WireHost)
     return UpstreamHost(
         id=host_id,
@@ -139,24 +139,24 @@
 
 
 def parse_wave(value: bytes) -> UpkeepWave:
-    """Decode a maintenance wave; raise ``msgspec.MsgspecError``."""
+    """Decode a maintenance wave; raise ``msgspec.MsgspecError`` if it is malformed."""
     wire = msgspec.json.decode(value, type=_WireWave)
     return UpkeepWave(wire.wave, tuple(wire.machines), wire.duration_s, wire.maximum)
 
 
 def make_wave_status(wave: int, is_done: bool) -> KeyedRecord:
-    """Make the record that tells the operators how a wave stands."""
+    """Make the status record of a wave for the operators."""
     value = msgspec.json.encode({"state": "succeeded" if is_done else "running"})
     return KeyedRecord(f"{WAVE_PREFIX}{wave}", value)
 
 
 def parse_rack(labels: list[str]) -> str:
-    """Return the rack: labels are the kind, then the rack."""
+    """Return the rack from the labels, which are the kind and then the rack; "" if missing."""
     return labels[1] if len(labels) > 1 else ""
 
 
 def _parse_queue(route: _WireRoute, has_workspaces: bool) -> QueuePolicy:
-    """Read a queue: where there are workspaces it is public only if it says so."""
+    """Convert a route; if there are workspaces, it is public only if it is marked so."""
     advice = route.advice
     return QueuePolicy(
         name=route.name,
--- a/src/robinthread/_internal/platform/settings.py
+++ b/src/robinthread/_internal/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays out for a process."""
+"""Parser of the settings file that the platform provides for a process."""
 
 import os
 import tomllib
@@ -9,7 +9,7 @@
 
 SETTINGS_VARIABLE: Final = "ROBINTHREAD_NODE_FILE"
 
-# Defaults where a deployment leaves a bound out: the published example's figures.
+# Defaults for bounds that a deployment does not set, from the published example.
 DEFAULT_BOUNDS: Final[dict[str, float]] = {
     "max_hold_ms": 10_000,
     "stop_ms": 400,
@@ -34,7 +34,7 @@
 
 
 def get_settings_path() -> str:
-    """Return the path of the process's settings file; raise ``FaultError`` if unset."""
+    """Return the path of the process's settings file; raise ``FaultError`` if it is not set."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         problem = (
@@ -45,7 +45,7 @@
 
 
 def read_node_settings(path: str) -> NodeSettings:
-    """Read the settings file at ``path``; raise ``FaultError`` where it is not valid."""
+    """Read the settings file at ``path``; raise ``FaultError`` if it is invalid."""
     try:
         with open(path, "rb") as file:
             return parse_node_settings(tomllib.load(file))
@@ -54,7 +54,7 @@
 
 
 def parse_node_settings(table: dict[str, Any]) -> NodeSettings:
-    """Decode the platform's table, listing all that is missing or malformed at once."""
+    """Decode the platform's table; raise one ``FaultError`` that lists all invalid fields."""
     reader = _TableReader(table)
     listen, platform = reader.get_table("listen"), reader.get_table("platform")
     machines, limits = reader.get_table("cloud"), reader.get_table("limits")
@@ -85,7 +85,7 @@
 
 
 class _TableReader:
-    """Reads fields and collects what is wrong with them."""
+    """Reads fields and collects an error for each missing or malformed one."""
 
     def __init__(self, table: dict[str, Any]) -> None:
         self._table = table
@@ -102,14 +102,14 @@
         value = table.get(key, "")
         if isinstance(value, str) and value:
             return value
-        self._errors.append(f"{key}: expected a text, found {value!r}")
+        self._errors.append(f"{key}: expected a non-empty string, found {value!r}")
         return ""
 
     def get_number(self, table: dict[str, Any], key: str, default: float) -> float:
         value = table.get(key, default)
         if isinstance(value, int | float) and not isinstance(value, bool) and value >= 0:
             return value
-        self._errors.append(f"{key}: expected a number from 0, found {value!r}")
+        self._errors.append(f"{key}: expected a number of at least 0, found {value!r}")
         return default
 
     def get_ports(self, table: dict[str, Any], key: str) -> tuple[int, int]:
@@ -121,7 +121,9 @@
             and 0 < value[0] <= value[1]
         ):
             return value[0], value[1]
-        self._errors.append(f"{key}: expected a first and a second port, found {value!r}")
+        self._errors.append(
+            f"{key}: expected the first and the last port of a range, found {value!r}"
+        )
         return 0, 0
 
     def raise_errors(self) -> None:
--- a/src/robinthread/_internal/platform/store.py
+++ b/src/robinthread/_internal/platform/store.py
@@ -40,13 +40,13 @@
     decode,
 )
 
-# A call that has had no answer for so long is given up.  The store answers within
-# some 10 ms; when it is slow it may take 60 times that.
+# Bounds of the adaptive timeout of a call.  The store responds within about 10 ms; when it is
+# slow it may take 60 times as long.
 CALL_TIMEOUT_MIN_S: Final = 0.3
 CALL_TIMEOUT_MAX_S: Final = 1.2
-# Most of one read: over 5 Mbit/s it takes 0.2 s, well within the time-out.
+# Largest size of one read.  It takes 0.2 s over 5 Mbit/s, well within the timeout.
 READ_MAX_KB: Final = 128
-# Where a row of the list of members names one.
+# Index of the member's name in a row of the list of members.
 MEMBER_COLUMN: Final = 2
 T = TypeVar("T")
 REFUSED_STATUSES: Final = frozenset({429, 503, 507})
@@ -66,14 +66,14 @@
 
 
 class _WireItem(msgspec.Struct):
-    # "tls_key" is the record's key; it has nothing to do with TLS here.
+    # "tls_key" is the record's key and unrelated to TLS.
     tls_key: str
     offset: int
     value: str = ""
 
 
 class _WireNewest(msgspec.Struct):
-    # Each is read by itself: one that cannot be read spoils no other.
+    # Decoded one by one, so that a malformed record does not affect the others.
     items: list[msgspec.Raw]
     end: int
     has_more: bool = False
@@ -105,10 +105,10 @@
         expected_end: int | None = None,
         stamp: WriterStamp | None = None,
     ) -> AppendResult:
-        """Append all records or none; see ``Store``."""
+        """Append all records or none, see ``Store``."""
         query: dict[str, Any] = {"topic": partition.topic, "part": partition.number}
         if expected_end is not None:
-            # On this call "store_revision" is the offset at which the partition must end.
+            # In this call "store_revision" is the offset at which the partition must end.
             query["store_revision"] = expected_end
         if stamp is not None:
             query |= {"producer": stamp.name, "epoch": stamp.epoch, "sequence": stamp.sequence}
@@ -124,7 +124,7 @@
         wait_s: float,
         timeout_s: float | None = None,
     ) -> ReadPage:
-        """Read from an offset, waiting up to ``wait_s`` for a record; see ``Store``."""
+        """Read from an offset, waiting up to ``wait_s`` for a record, see ``Store``."""
         query = {
             "topic": partition.topic,
             "part": partition.number,
@@ -145,23 +145,23 @@
     async def read_newest(
         self, partition: Partition, after_key: str, timeout_s: float
     ) -> NewestPage:
-        """Read a page of the newest record of each key; see ``Store``."""
+        """Read a page of the newest record of each key, see ``Store``."""
         query = {"topic": partition.topic, "part": partition.number}
         if after_key:
-            # On this call "depends_on" is the key after which the page begins.
+            # In this call "depends_on" is the key after which the page begins.
             query["depends_on"] = after_key
         response = await self._call(f"/log-newest?{urlencode(query)}", timeout_s=timeout_s)
         page = _decode_response(response, _WireNewest)
         records = tuple(filter(None, map(_decode_item, page.items)))
         if page.has_more and not records:
-            raise StoreNoAnswerError("a page without a record that can be read")
+            raise StoreNoAnswerError("a page that is not the last has no readable record")
         next_key = records[-1].key if page.has_more else ""
         return NewestPage(records, page.end, next_key, len(page.items) - len(records))
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], ttl_ms: int, generation: int
     ) -> Membership:
-        """Join a group, or stay in it."""
+        """Join a group, or renew the membership."""
         body = {
             "group": group,
             "member": member,
@@ -178,10 +178,10 @@
         await self._call("/log-leave", body)
 
     async def list_members(self, group: str) -> frozenset[str]:
-        """List the members of a group that have been dealt a partition."""
+        """List the members of a group that have a partition assigned."""
         response = await self._call(f"/log-owners?group={quote(group)}")
         found = _decode_response(response, _WireOwners)
-        # A row is topic, partition, member, committed offset.
+        # Columns of a row: topic, partition, member, committed offset.
         rows = found.parts or found.owners
         members = (row[MEMBER_COLUMN] for row in rows if len(row) > MEMBER_COLUMN)
         return frozenset(str(name) for name in members if name)
@@ -210,7 +210,7 @@
                 headers=JSON_HEADERS if body is not None else None,
             )
         except CallUnsentError as error:
-            # Connecting may take longer than was allowed.
+            # The connection may only have taken longer than the timeout.
             self._timeout.note_lost()
             raise StoreRefusedError(f"the store cannot be reached: {error}") from error
         except CallLostError as error:
@@ -224,7 +224,7 @@
 
 
 def _decode_response(response: HTTPResponse, type_: type[T]) -> T:
-    """Decode the body of an answer of the store; raise ``StoreNoAnswerError``."""
+    """Decode the body of a response; raise ``StoreNoAnswerError`` if it is malformed."""
     try:
         return decode(response.body, type_)
     except CallLostError as error:
@@ -233,20 +233,24 @@
 
 def _make_error(response: HTTPResponse) -> StoreError:
     if response.code in REFUSED_STATUSES:
-        return StoreRefusedError(f"status {response.code}")
+        return StoreRefusedError(f"the store responded with status {response.code}")
     try:
         problem = msgspec.json.decode(response.body or b"{}", type=_WireProblem)
     except msgspec.MsgspecError:
-        return StoreNoAnswerError(f"status {response.code} with a malformed body")
+        return StoreNoAnswerError(
+            f"the store responded with status {response.code} and a malformed body"
+        )
     if response.code == 412:
         return StoreConditionError(problem.end)
     if response.code == 410:
         return HistoryGoneError(problem.first)
     if response.code == 409 and problem.reason == "fenced":
-        return StoreFencedError("a newer writer has been seen")
+        return StoreFencedError("the store has seen a newer writer of the same name")
     if response.code == 409 and problem.reason == "seq":
         return StoreSequenceError(problem.sequence or problem.wanted or 0)
-    return StoreNoAnswerError(f"status {response.code}: {response.body[:200]!r}")
+    return StoreNoAnswerError(
+        f"unexpected status {response.code} of the store: {response.body[:200]!r}"
+    )
 
 
 def _encode_record(record: KeyedRecord) -> bytes:
@@ -256,7 +260,7 @@
 
 
 def _iter_records(page: bytes, from_offset: int) -> Iterator[KeyedRecord | None]:
-    """Iterate over a page's records; those whose keys cannot be read are None."""
+    """Iterate over a page's records; yield None for those whose keys cannot be decoded."""
     position, offset = 16, from_offset
     while position < len(page):
         (length,) = struct.unpack_from(">I", page, position)
--- a/src/robinthread/_internal/platform/task_names.py
+++ b/src/robinthread/_internal/platform/task_names.py
@@ -4,11 +4,11 @@
 
 
 def format_task(key: TaskKey) -> str:
-    """Write the name of a task."""
+    """Return the name of a task."""
     return f"{key.job_id}.{key.occurrence}.{key.step}.{key.index}"
 
 
 def parse_task(name: str) -> TaskKey:
-    """Read the name of a task; raise ``ValueError``."""
+    """Parse the name of a task; raise ``ValueError`` if it is malformed."""
     job_id, occurrence, step, index = name.rsplit(".", 3)
     return TaskKey(job_id, int(occurrence), int(step), int(index))
