--- a/tests/unit/test_append_latency.py
+++ b/tests/unit/test_append_latency.py
@@ -1,4 +1,4 @@
-"""What a writer of the inbox tells of the store's pace."""
+"""The inbox writer detects a slow store."""
 
 import asyncio
 
--- a/tests/unit/test_foreign_records.py
+++ b/tests/unit/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records of the store that another writer left: each reader takes a value or a typed error."""
+"""Malformed records of other writers: each decoder returns a value or raises a typed error."""
 
 import asyncio
 import base64
@@ -58,9 +58,16 @@
 }
 REQUIRED = ("service", "address", "zone", "version", "slots", "state", "sequence")
 OTHER_TYPES: tuple[Any, ...] = (None, 7.5, [], {}, True, -1, "")
-NOT_BIRTHS: tuple[Any, ...] = (*OTHER_TYPES, "1777007541075", 1777007541075.0, 1e3, 2**63, 10**30)
+NOT_START_TIMES: tuple[Any, ...] = (
+    *OTHER_TYPES,
+    "1777007541075",
+    1777007541075.0,
+    1e3,
+    2**63,
+    10**30,
+)
 NESTED = b"[" * 20_000
-NOT_VALUES = (b"", b"\xff\xfe\x00", b"null", b"[]", b"7", b'"text"', NESTED, b"\x00" * 70_000)
+MALFORMED_VALUES = (b"", b"\xff\xfe\x00", b"null", b"[]", b"7", b'"text"', NESTED, b"\x00" * 70_000)
 PARSERS: dict[str, Callable[[str, bytes], object]] = {
     "host": parse_host,
     "configuration": lambda key, value: parse_config(value),
@@ -107,16 +114,16 @@
 
 
 class HostEntriesTest(TestCase):
-    def test_entry_that_says_all_is_a_host_whatever_it_says_beside(self) -> None:
+    def test_record_with_all_required_fields_is_a_host_despite_unknown_fields(self) -> None:
         self.assertTrue(_is_host(HOST))
         self.assertTrue(_is_host(HOST | {"state": "draining", "remaining_ms": 800, "x": [1, {}]}))
 
-    def test_entry_names_no_host_where_a_field_is_missing(self) -> None:
+    def test_record_with_a_missing_field_is_no_host(self) -> None:
         missing = {name: {k: v for k, v in HOST.items() if k != name} for name in REQUIRED}
         self.assertEqual([], [name for name, entry in missing.items() if _is_host(entry)])
 
-    def test_entry_names_no_host_where_a_field_is_of_another_type_or_unknown(self) -> None:
-        taken = [
+    def test_record_with_a_field_of_wrong_type_or_value_is_no_host(self) -> None:
+        accepted = [
             (name, value)
             for name in (*REQUIRED, "capacity")
             for value in OTHER_TYPES
@@ -124,21 +131,21 @@
             if not (name == "capacity" and value == {})
             if _is_host(HOST | {name: value})
         ]
-        self.assertEqual([], taken)
+        self.assertEqual([], accepted)
         for state in ("starting", "READY", "gone"):
             self.assertFalse(_is_host(HOST | {"state": state}))
         for address in ("nowhere", ":80", "a:b", "10.0.0.9:8080/x", "u@h:80", "h:123456"):
             self.assertFalse(_is_host(HOST | {"address": address}))
 
-    def test_birth_is_a_whole_number_or_absent(self) -> None:
+    def test_start_time_is_an_integer_or_absent(self) -> None:
         self.assertIsNone(parse_host("i-1", json.dumps(HOST).encode()).host_started_at_ms)
-        for birth in (0, 1_777_007_541_075, 2**63 - 1):
-            entry = json.dumps(HOST | {"born": birth}).encode()
-            self.assertEqual(birth, parse_host("i-1", entry).host_started_at_ms)
-        taken = [birth for birth in NOT_BIRTHS if _is_host(HOST | {"born": birth})]
-        self.assertEqual([], taken)
+        for start_ms in (0, 1_777_007_541_075, 2**63 - 1):
+            entry = json.dumps(HOST | {"born": start_ms}).encode()
+            self.assertEqual(start_ms, parse_host("i-1", entry).host_started_at_ms)
+        accepted = [start for start in NOT_START_TIMES if _is_host(HOST | {"born": start})]
+        self.assertEqual([], accepted)
 
-    def test_entry_of_another_writer_ends_the_host_that_stood_there_and_no_other(self) -> None:
+    def test_malformed_record_removes_only_the_host_under_its_key(self) -> None:
         async def work() -> None:
             lines: list[bytes] = []
             directory = HostDirectory(parse_host, _make_events(lines))
@@ -155,20 +162,20 @@
 
 
 class RecordsTest(TestCase):
-    def test_what_is_no_record_is_a_typed_error(self) -> None:
-        taken = []
+    def test_malformed_record_raises_a_typed_error(self) -> None:
+        accepted = []
         for name, parse in PARSERS.items():
-            for value in NOT_VALUES:
+            for value in MALFORMED_VALUES:
                 try:
                     parse("j/1", value)
                 except msgspec.MsgspecError:
                     continue
-                taken.append((name, value[:8]))
-        self.assertEqual([], taken)
+                accepted.append((name, value[:8]))
+        self.assertEqual([], accepted)
 
-    def test_job_that_no_owner_could_work_off_is_none(self) -> None:
+    def test_invalid_job_spec_has_a_fault(self) -> None:
         step = StepSpec(2)
-        faulty = (
+        invalid = (
             (),
             (StepSpec(0),),
             (StepSpec(-1),),
@@ -178,13 +185,13 @@
             (step, StepSpec(1, after_steps=(7,))),
             (step, StepSpec(1, after_steps=(-1,))),
         )
-        for steps in faulty:
+        for steps in invalid:
             self.assertTrue(JobSpec("1", "q", "p", "", steps).find_fault())
         self.assertEqual(
             "", JobSpec("1", "q", "p", "", (step, StepSpec(1, after_steps=(0,)))).find_fault()
         )
 
-    def test_index_of_jobs_takes_the_others(self) -> None:
+    def test_job_index_applies_the_valid_records(self) -> None:
         lines: list[bytes] = []
         index = JobIndex(_make_events(lines), ShareMeter(lambda workspace: 0.0))
         spec = make_job(7)
@@ -197,7 +204,7 @@
         self.assertEqual([spec.job_id], list(index.jobs))
         self.assertTrue(lines)
 
-    def test_progress_that_names_what_it_does_not_list_is_none(self) -> None:
+    def test_progress_with_references_that_it_does_not_list_is_malformed(self) -> None:
         good = JobProgress("1", "q", JobStatus.RUNNING.value, ("h",), ())
         self.assertEqual(good, decode_progress(msgspec.msgpack.encode(good)))
         row = (0, 0, 0, False, 1, 0, ((1, 1),))
@@ -206,7 +213,7 @@
                 msgspec.ValidationError, decode_progress, msgspec.msgpack.encode(wrong)
             )
 
-    def test_record_whose_key_cannot_be_read_is_left_out(self) -> None:
+    def test_record_with_an_undecodable_key_is_skipped(self) -> None:
         self.assertEqual(KeyedRecord("ab", b"c", 3), _decode_record(b"\x02abc", 3))
         self.assertEqual(KeyedRecord("ab", None, 3), _decode_record(b"\x02ab", 3))
         for record in (b"", b"\x05ab", b"\x02\xff\xfec"):
@@ -224,7 +231,9 @@
     @settings(max_examples=400, derandomize=True, deadline=None, database=None)
     @given(key=st.text(max_size=12) | st.sampled_from(["j/1/2", "c/1"]), value=VALUES)
     @example(key="j/1/2", value=NESTED)
-    def test_each_gives_a_value_or_a_typed_error(self, key: str, value: bytes) -> None:
+    def test_each_decoder_returns_a_value_or_raises_a_typed_error(
+        self, key: str, value: bytes
+    ) -> None:
         for parse in PARSERS.values():
             try:
                 parse(key, value)
@@ -233,18 +242,18 @@
 
     @settings(max_examples=400, derandomize=True, deadline=None, database=None)
     @given(value=VALUES)
-    def test_records_of_the_store_are_read_or_left_out(self, value: bytes) -> None:
+    def test_stored_records_are_decoded_or_skipped(self, value: bytes) -> None:
         _decode_record(value, 0)
         _decode_item(msgspec.Raw(value))
 
     @settings(max_examples=200, derandomize=True, deadline=None, database=None)
     @given(name=st.sampled_from(list(HOST)), value=JSON)
-    def test_host_whose_entry_was_changed_is_one_or_none(self, name: str, value: Any) -> None:
+    def test_changed_host_record_is_decoded_or_rejected(self, name: str, value: Any) -> None:
         _is_host(HOST | {name: value})
 
     @settings(max_examples=200, derandomize=True, deadline=None, database=None)
     @given(key=st.sampled_from(["config", "wave/1", "wave/", "x"]), value=VALUES)
-    def test_configuration_holder_stands_all(self, key: str, value: bytes) -> None:
+    def test_configuration_holder_survives_any_record(self, key: str, value: bytes) -> None:
         holder = ConfigHolder(PLATFORM_RECORDS, _make_events([]))
 
         async def work() -> None:
@@ -254,8 +263,8 @@
 
 
 class NodesTest(TestCase):
-    def test_nodes_serve_on_beside_records_of_another_writer(self) -> None:
-        """Each partition that a node reads holds some, before and while it serves."""
+    def test_nodes_keep_serving_despite_malformed_records(self) -> None:
+        """Every partition that a node reads has malformed records, also while it serves."""
 
         async def work() -> None:
             platform = await start_platform(reserve=3)
@@ -279,7 +288,7 @@
             )
             await hand_in(platform, get_others(platform)[0], make_job(1))
             await wait_for_status(platform, make_job(1).job_id, JobStatus.SUCCEEDED)
-            # A new steward, and perhaps a new owner, read what stands there.
+            # A new steward, and possibly a new owner, read these records.
             platform.kill_node(steward)
             await asyncio.sleep(5)
             await hand_in(platform, get_others(platform)[0], make_job(2))
@@ -289,7 +298,7 @@
 
         run_virtual(work())
 
-    def test_owner_table_stands_all(self) -> None:
+    def test_owner_table_survives_any_record(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             table = OwnerTable(platform.store.connect("x"), _make_events([]))
--- a/tests/unit/test_keyed_follower.py
+++ b/tests/unit/test_keyed_follower.py
@@ -1,4 +1,8 @@
-"""Reading a partition to the end while it grows as fast as it is read."""
+"""Reads to the end finish while the partition grows, and large records arrive over slow links.
+
+A read that continued until no record is left would never return from a partition that grows as
+fast as it is read.
+"""
 
 import asyncio
 
@@ -11,117 +15,117 @@
 from tests.lib.virtual import run_virtual
 
 PARTITION = Partition("keyed.hosts")
-# A store that is 60 times slower than usual, and entries that change 60 times a second.
-SLOW_ANSWER_S = 0.24
+# A store that is 60 times slower than usual, and a record that changes 60 times a second.
+SLOW_RESPONSE_S = 0.24
 GROWTH_PERIOD_S = 1 / 60
 GROWS_FOR_S = 60.0
-# One read of the newest records and one of what came meanwhile, and some to spare.
-TO_END_MAX_S = 4 * SLOW_ANSWER_S
-# 5 Mbit/s, and a configuration of 1,900 queues.
+# A read of the snapshot and one of the records added meanwhile, plus a margin.
+TO_END_MAX_S = 4 * SLOW_RESPONSE_S
+# 5 Mbit/s, and the size of a configuration with 1,900 queues.
 LINK_BYTES_PER_S = 625_000
 LARGE = b"x" * 362_000
-# A configuration is to be in force by then.
+# A configuration must be in force within this time.
 LARGE_READ_MAX_S = 3.0
 
 
 async def grow(standin: StoreStandin) -> None:
-    """Change one entry again and again, for longer than any reading may take."""
+    """Change one record repeatedly, for longer than any read may take."""
     for number in range(int(GROWS_FOR_S / GROWTH_PERIOD_S)):
         standin.put(PARTITION, "host", b"%d" % number)
         await asyncio.sleep(GROWTH_PERIOD_S)
 
 
-class _Reading:
-    """A follower of a partition that grows, and the records that it was given."""
+class _FollowerRun:
+    """A follower of a growing partition, and the records that it has applied."""
 
     def __init__(self) -> None:
         self.standin = StoreStandin()
-        self.standin.faults.latency_s = SLOW_ANSWER_S
+        self.standin.faults.latency_s = SLOW_RESPONSE_S
         self.standin.put(PARTITION, "first", b"")
-        self.taken: list[KeyedRecord] = []
+        self.applied: list[KeyedRecord] = []
         self.follower = KeyedFollower(
             self.standin.connect("node"),
             PARTITION,
-            lambda records, is_snapshot: self.taken.extend(records),
+            lambda records, is_snapshot: self.applied.extend(records),
             EventLog("node", write=lambda line: None),
         )
 
     async def read_to_end(self) -> float:
-        """Read to the end; return how many seconds that took."""
+        """Read to the end; return the duration in seconds."""
         loop = asyncio.get_running_loop()
-        began_at_s = loop.time()
+        started_at_s = loop.time()
         await self.follower.read_to_end()
-        return loop.time() - began_at_s
+        return loop.time() - started_at_s
 
 
 class ReadToEndTest(TestCase):
     def test_first_read_ends_while_the_partition_grows(self) -> None:
         async def work() -> None:
-            reading = _Reading()
-            growing = asyncio.create_task(grow(reading.standin))
-            self.assertLess(await reading.read_to_end(), TO_END_MAX_S)
+            run = _FollowerRun()
+            growing = asyncio.create_task(grow(run.standin))
+            self.assertLess(await run.read_to_end(), TO_END_MAX_S)
             growing.cancel()
 
         run_virtual(work())
 
     def test_later_read_ends_while_the_partition_grows(self) -> None:
         async def work() -> None:
-            reading = _Reading()
-            await reading.read_to_end()
-            growing = asyncio.create_task(grow(reading.standin))
+            run = _FollowerRun()
+            await run.read_to_end()
+            growing = asyncio.create_task(grow(run.standin))
             await asyncio.sleep(1)
-            self.assertLess(await reading.read_to_end(), TO_END_MAX_S)
+            self.assertLess(await run.read_to_end(), TO_END_MAX_S)
             growing.cancel()
 
         run_virtual(work())
 
-    def test_all_that_was_there_at_the_call_is_read(self) -> None:
+    def test_all_records_that_exist_at_the_call_are_read(self) -> None:
         async def work() -> None:
-            reading = _Reading()
-            await reading.read_to_end()
-            growing = asyncio.create_task(grow(reading.standin))
+            run = _FollowerRun()
+            await run.read_to_end()
+            growing = asyncio.create_task(grow(run.standin))
             for _round in range(5):
                 await asyncio.sleep(1)
-                reading.standin.put(PARTITION, "wanted", b"%d" % _round)
-                offset = reading.standin.get_log(PARTITION).end - 1
-                await reading.read_to_end()
-                self.assertIn(offset, [record.offset for record in reading.taken])
+                run.standin.put(PARTITION, "wanted", b"%d" % _round)
+                offset = run.standin.get_log(PARTITION).end - 1
+                await run.read_to_end()
+                self.assertIn(offset, [record.offset for record in run.applied])
             growing.cancel()
 
         run_virtual(work())
 
-    def test_all_is_read_where_the_follower_is_paused_meanwhile(self) -> None:
+    def test_all_records_are_read_if_the_follower_is_paused_meanwhile(self) -> None:
         async def work() -> None:
-            reading = _Reading()
-            await reading.read_to_end()
-            reading.standin.put(PARTITION, "wanted", b"")
-            task = asyncio.create_task(reading.read_to_end())
-            await asyncio.sleep(SLOW_ANSWER_S / 2)
-            reading.follower.pause()
+            run = _FollowerRun()
+            await run.read_to_end()
+            run.standin.put(PARTITION, "wanted", b"")
+            task = asyncio.create_task(run.read_to_end())
+            await asyncio.sleep(SLOW_RESPONSE_S / 2)
+            run.follower.pause()
             await task
-            self.assertIn("wanted", [record.key for record in reading.taken])
+            self.assertIn("wanted", [record.key for record in run.applied])
 
         run_virtual(work())
 
 
 class LargeRecordTest(TestCase):
-    def test_record_that_takes_longer_than_quick_calls_is_read_over_a_slow_link(self) -> None:
+    def test_large_record_is_read_over_a_slow_link_after_fast_calls(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             standin.put(PARTITION, "first", b"")
             standin.link_bytes_per_s["node"] = LINK_BYTES_PER_S
-            taken: list[str] = []
+            applied: list[str] = []
             follower = KeyedFollower(
                 standin.connect("node"),
                 PARTITION,
-                lambda records, is_snapshot: taken.extend(record.key for record in records),
+                lambda records, is_snapshot: applied.extend(record.key for record in records),
                 EventLog("node", write=lambda line: None),
             )
             following = asyncio.create_task(follower.run())
             await asyncio.sleep(1)
             standin.put(PARTITION, "large", LARGE)
             await asyncio.sleep(LARGE_READ_MAX_S)
-            self.assertEqual(["first", "large"], taken)
+            self.assertEqual(["first", "large"], applied)
             following.cancel()
 
         run_virtual(work())
--- a/tests/unit/test_newest_page.py
+++ b/tests/unit/test_newest_page.py
@@ -1,4 +1,4 @@
-"""Pages of newest records that the store's stand-in answers with."""
+"""Pages of newest records from the store's stand-in."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class NewestPageTest(TestCase):
-    def test_page_tells_the_end_of_the_moment_at_which_it_is_read(self) -> None:
+    def test_end_of_a_page_is_from_the_time_at_which_it_is_read(self) -> None:
         async def work() -> None:
             store = StoreStandin()
             store.put(HOSTS, "a", b"1")
--- a/tests/unit/test_newest_reader.py
+++ b/tests/unit/test_newest_reader.py
@@ -1,4 +1,4 @@
-"""Reading the newest records over pages that fail and links that are slow."""
+"""The newest records are read completely despite failed pages and slow links."""
 
 import contextlib
 
@@ -20,25 +20,25 @@
 TRIES_MAX = 20
 
 
-class _Flaky:
-    """A store whose pages of some numbers fail at their first try."""
+class _FlakyStore:
+    """A store whose reads fail at the given call numbers."""
 
     def __init__(self, client: StoreClient, failing: set[int]) -> None:
         self._client = client
         self._failing = failing
-        self.asked: list[str] = []
+        self.requested_keys: list[str] = []
 
     async def read_newest(
         self, partition: Partition, after_key: str, timeout_s: float
     ) -> NewestPage:
-        self.asked.append(after_key)
-        if len(self.asked) in self._failing:
+        self.requested_keys.append(after_key)
+        if len(self.requested_keys) in self._failing:
             raise StoreNoAnswerError("lost")
         return await self._client.read_newest(partition, after_key, timeout_s)
 
 
 def make_standin() -> StoreStandin:
-    """Make a store with more keys than fit into two pages."""
+    """Return a store with more keys than fit into two pages."""
     standin = StoreStandin()
     for number in range(KEYS):
         standin.put(PARTITION, f"{number:05}", VALUE)
@@ -46,27 +46,27 @@
 
 
 async def read_all(reader: NewestReader) -> NewestRecords:
-    """Read, trying again where a page fails."""
+    """Read all records, retrying after each failed page."""
     for _try in range(TRIES_MAX):
         try:
             return await reader.read()
         except StoreNoAnswerError:
             continue
-    raise AssertionError("the reader does not come to an end")
+    raise AssertionError(f"the reader has not finished after {TRIES_MAX} tries")
 
 
 class NewestReaderTest(TestCase):
-    def test_page_that_fails_is_read_again_and_none_before_it(self) -> None:
+    def test_only_the_failed_page_is_read_again(self) -> None:
         async def work() -> None:
-            store = _Flaky(make_standin().connect("n"), failing={3})
+            store = _FlakyStore(make_standin().connect("n"), failing={3})
             newest = await read_all(NewestReader(store, PARTITION))  # type: ignore[arg-type]
             self.assertEqual(KEYS, len({record.key for record in newest.records}))
             self.assertEqual(KEYS, newest.next_offset)
-            self.assertEqual(["", "00499", "00999", "00999"], store.asked)
+            self.assertEqual(["", "00499", "00999", "00999"], store.requested_keys)
 
         run_virtual(work())
 
-    def test_reading_ends_where_a_page_takes_longer_than_a_call(self) -> None:
+    def test_read_finishes_if_a_page_takes_longer_than_the_first_timeout(self) -> None:
         async def work() -> None:
             standin = make_standin()
             takes_s = 1.5 * PAGE_TIMEOUT_MIN_S
@@ -76,8 +76,8 @@
 
         run_virtual(work())
 
-    def test_refusal_leaves_the_time_that_a_page_may_take(self) -> None:
-        """Else a connection that goes silent then costs 4.8 s."""
+    def test_refusal_does_not_change_the_page_timeout(self) -> None:
+        """Otherwise a connection lost without a reset after refusals would cost 4.8 s."""
 
         async def work() -> None:
             timeouts_s: list[float] = []
@@ -87,7 +87,7 @@
                     self, partition: Partition, after_key: str, timeout_s: float
                 ) -> NewestPage:
                     timeouts_s.append(timeout_s)
-                    raise StoreRefusedError("turned away")
+                    raise StoreRefusedError("refused")
 
             reader = NewestReader(_Refusing(), PARTITION)  # type: ignore[arg-type]
             for _try in range(4):
@@ -97,22 +97,22 @@
 
         run_virtual(work())
 
-    def test_time_that_a_page_takes_is_left_to_those_after_it(self) -> None:
-        """Where each page takes longer than a first try may, one try is lost, not one a page."""
+    def test_longer_timeout_is_kept_for_the_following_pages(self) -> None:
+        """If each page takes longer than the first timeout, one try fails, not one per page."""
 
         async def work() -> None:
             standin = make_standin()
             standin.link_bytes_per_s["n"] = 500 * len(VALUE) / (1.5 * PAGE_TIMEOUT_MIN_S)
-            store = _Flaky(standin.connect("n"), failing=set())
+            store = _FlakyStore(standin.connect("n"), failing=set())
             await read_all(NewestReader(store, PARTITION))  # type: ignore[arg-type]
-            self.assertEqual(["", "", "00499", "00999"], store.asked)
+            self.assertEqual(["", "", "00499", "00999"], store.requested_keys)
 
         run_virtual(work())
 
-    def test_records_that_come_between_pages_lie_after_the_end_it_tells(self) -> None:
+    def test_records_added_between_pages_lie_after_the_returned_end(self) -> None:
         async def work() -> None:
             standin = make_standin()
-            store = _Flaky(standin.connect("n"), failing={2})
+            store = _FlakyStore(standin.connect("n"), failing={2})
             reader = NewestReader(store, PARTITION)  # type: ignore[arg-type]
             await self._expect_failure(reader)
             standin.put(PARTITION, "00001", b"newer")
@@ -126,4 +126,4 @@
             await reader.read()
         except StoreNoAnswerError:
             return
-        raise AssertionError("the page did not fail")
+        raise AssertionError("expected the page to fail")
--- a/tests/unit/test_ownership.py
+++ b/tests/unit/test_ownership.py
@@ -1,4 +1,4 @@
-"""Which earlier owners may still be running."""
+"""Owners that were replaced without a release are remembered and passed on in records."""
 
 import asyncio
 
@@ -23,8 +23,8 @@
 A, B, C = (Member(name, "life", name) for name in "abc")
 
 
-class _FormerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record of an owner without those before it."""
+class _OlderOwnerRecord(msgspec.Struct, frozen=True, array_like=True):
+    """An owner record as older processes write it, without earlier owners."""
 
     owner: Member
     is_released: bool = False
@@ -32,21 +32,21 @@
 
 
 async def make_table(standin: StoreStandin) -> OwnerTable:
-    """Make a table that has read the newest records only."""
+    """Return a table that has read only the newest record of each pool."""
     table = OwnerTable(standin.connect("n"), EventLog("n", lambda line: None))
     await table.follower.read_to_end()
     return table
 
 
 def read_earlier(standin: StoreStandin) -> list[Member]:
-    """Return the earlier owners that the newest record names."""
+    """Return the earlier owners in the newest record."""
     value = standin.get_newest(OWNERS_PARTITION)["press"]
     record = msgspec.msgpack.decode(value, type=OwnerRecord)
     return [earlier.owner for earlier in record.earlier]
 
 
 class OwnerTableTest(TestCase):
-    def test_owner_that_was_replaced_counts_beyond_the_next_one(self) -> None:
+    def test_replaced_owner_is_remembered_after_the_next_change(self) -> None:
         async def work() -> None:
             table = OwnerTable(StoreStandin().connect("n"), EventLog("n", lambda line: None))
 
@@ -66,40 +66,40 @@
 
         run_virtual(work())
 
-    def test_all_that_were_replaced_of_late_are_kept_in_mind(self) -> None:
+    def test_all_recently_replaced_owners_are_remembered(self) -> None:
         async def work() -> None:
             table = OwnerTable(StoreStandin().connect("n"), EventLog("n", lambda line: None))
             for offset, member in enumerate((A, B, C)):
                 value = msgspec.msgpack.encode(OwnerRecord(member))
                 table._apply([KeyedRecord("press", value, offset)], False)
                 await asyncio.sleep(1)
-            self.assertEqual([A, B], [lost.owner for lost in table.unreleased["press"]])
+            self.assertEqual([A, B], [entry.owner for entry in table.unreleased["press"]])
             await asyncio.sleep(UNRELEASED_RETENTION_S)
             value = msgspec.msgpack.encode(OwnerRecord(A))
             table._apply([KeyedRecord("press", value, 3)], False)
-            self.assertEqual([C], [lost.owner for lost in table.unreleased["press"]])
+            self.assertEqual([C], [entry.owner for entry in table.unreleased["press"]])
 
         run_virtual(work())
 
 
 class EarlierOwnersTest(TestCase):
-    def test_newest_record_tells_of_all_that_may_be_running(self) -> None:
+    def test_newest_record_lists_all_owners_that_may_be_running(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             await (await make_table(standin)).acquire("press", A)
             await (await make_table(standin)).acquire("press", B)
             await asyncio.sleep(1)
             late = await make_table(standin)
-            (lost,) = late.unreleased["press"]
-            self.assertEqual((A, 1), (lost.owner, lost.token))
-            self.assertGreater(lost.replaced_at_s, 1.0)
+            (entry,) = late.unreleased["press"]
+            self.assertEqual((A, 1), (entry.owner, entry.token))
+            self.assertGreater(entry.replaced_at_s, 1.0)
             await late.acquire("press", C)
-            self.assertEqual([A, B], [lost.owner for lost in late.unreleased["press"]])
+            self.assertEqual([A, B], [entry.owner for entry in late.unreleased["press"]])
             self.assertEqual([A, B], read_earlier(standin))
 
         run_virtual(work())
 
-    def test_owner_that_gives_back_tells_of_those_before_it(self) -> None:
+    def test_release_record_lists_the_earlier_owners(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             await (await make_table(standin)).acquire("press", A)
@@ -112,7 +112,7 @@
 
         run_virtual(work())
 
-    def test_owners_that_gave_back_or_stopped_are_not_told_of(self) -> None:
+    def test_owners_that_released_or_stopped_are_not_listed(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
@@ -127,7 +127,7 @@
 
         run_virtual(work())
 
-    def test_former_lives_are_not_told_of(self) -> None:
+    def test_previous_incarnations_are_not_listed(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
@@ -141,7 +141,7 @@
 
         run_virtual(work())
 
-    def test_a_record_names_a_few_for_a_while(self) -> None:
+    def test_number_and_retention_of_earlier_owners_are_bounded(self) -> None:
         async def work() -> None:
             standin = StoreStandin()
             table = await make_table(standin)
@@ -155,8 +155,10 @@
 
         run_virtual(work())
 
-    def test_records_without_earlier_owners_are_read_and_read_those_with(self) -> None:
-        former = msgspec.msgpack.encode(_FormerRecord(A, True))
-        self.assertEqual(OwnerRecord(A, True), msgspec.msgpack.decode(former, type=OwnerRecord))
+    def test_older_and_newer_record_formats_are_compatible_both_ways(self) -> None:
+        older = msgspec.msgpack.encode(_OlderOwnerRecord(A, True))
+        self.assertEqual(OwnerRecord(A, True), msgspec.msgpack.decode(older, type=OwnerRecord))
         record = msgspec.msgpack.encode(OwnerRecord(B, earlier=(EarlierOwner(A, 1),)))
-        self.assertEqual(_FormerRecord(B), msgspec.msgpack.decode(record, type=_FormerRecord))
+        self.assertEqual(
+            _OlderOwnerRecord(B), msgspec.msgpack.decode(record, type=_OlderOwnerRecord)
+        )
--- a/tests/unit/test_platform_names.py
+++ b/tests/unit/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in one folder."""
+"""The platform's names are used only in the platform package."""
 
 import re
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 
 class PlatformNamesTest(TestCase):
-    def test_wire_names_stand_in_the_platform_folder_only(self) -> None:
+    def test_wire_names_are_used_only_in_the_platform_package(self) -> None:
         found = [
             f"{path}:{number}: {line.strip()}"
             for path in SOURCES.rglob("*.py")
@@ -28,6 +28,6 @@
         ]
         self.assertEqual([], found)
 
-    def test_the_folder_does_speak_them(self) -> None:
+    def test_platform_package_uses_wire_names(self) -> None:
         text = "".join(path.read_text(encoding="utf-8") for path in PLATFORM.glob("*.py"))
         self.assertTrue(len(set(NAMES.findall(text))) > 20)
--- a/tests/unit/test_share_meter.py
+++ b/tests/unit/test_share_meter.py
@@ -1,4 +1,4 @@
-"""Counting what workspaces hand in against their shares."""
+"""Jobs of workspaces are counted against their shares."""
 
 from testtools import TestCase
 
@@ -8,7 +8,7 @@
 
 
 def count_beyond(meter: ShareMeter, workspace: str, jobs_per_s: float, for_s: float) -> int:
-    """Count the jobs that are beyond the share, of some that come evenly."""
+    """Submit jobs at an even rate; return how many are beyond the share."""
     count = round(jobs_per_s * for_s)
     return sum(meter.is_beyond(workspace, round(1000 * n / jobs_per_s)) for n in range(count))
 
@@ -21,19 +21,19 @@
     def test_usual_load_is_within_the_share(self) -> None:
         self.assertEqual(0, count_beyond(self.meter, "maps", 3.9, 20))
 
-    def test_loud_workspace_keeps_its_share_and_no_more(self) -> None:
-        # 240 came, 4 a second and one second's more were within the share.
+    def test_workspace_over_its_rate_gets_its_share_and_no_more(self) -> None:
+        # Of 240 jobs, 4 per second plus a burst of one second are within the share.
         self.assertAlmostEqual(240 - 44, count_beyond(self.meter, "maps", 24.0, 10), delta=1)
         self.assertEqual(0, count_beyond(self.meter, "shop", 8.0, 10))
 
-    def test_share_of_less_than_a_job_a_second_lets_single_jobs_through(self) -> None:
+    def test_share_below_one_job_per_second_admits_single_jobs(self) -> None:
         self.assertEqual(0, count_beyond(self.meter, "rare", 0.4, 20))
 
-    def test_work_without_a_workspace_or_a_share_is_never_beyond_it(self) -> None:
+    def test_job_without_a_workspace_or_a_share_is_never_beyond_it(self) -> None:
         for workspace in ("", "other"):
             self.assertEqual(0, count_beyond(self.meter, workspace, 100.0, 5))
 
-    def test_clock_that_steps_back_gives_nothing_away(self) -> None:
+    def test_clock_that_steps_back_adds_no_tokens(self) -> None:
         for _ in range(4):
             self.assertFalse(self.meter.is_beyond("maps", 10_000))
         self.assertTrue(self.meter.is_beyond("maps", 2_000))
