--- a/tests/functional/test_keys_at_the_door.py
+++ b/tests/functional/test_keys_at_the_door.py
@@ -1,4 +1,4 @@
-"""Calls with and without a workspace's key, from the configuration to the gate."""
+"""Calls with and without a workspace's key, from the configuration to the job service."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def make_config(version: int, keys: dict[str, list[str]], **queue: Any) -> dict[str, Any]:
-    """Make a configuration with a queue that asks for keys unless told otherwise."""
+    """Make a configuration with a queue that requires keys unless ``queue`` overrides it."""
     return {
         "version": version,
         "routes": [
@@ -41,11 +41,11 @@
 
 
 async def get_statuses(site: CallersSite, key: str | None) -> list[int]:
-    """Return the status of each kind of call."""
+    """Return the HTTP status of each kind of call."""
     return [(await site.call(method, path, key)).code for method, path in CALLS]
 
 
-class KeysAtTheDoorTest(TestCase):
+class WorkspaceKeysTest(TestCase):
     def run_on(self, work: Any) -> None:
         async def play() -> None:
             async with serve_callers() as site:
@@ -53,7 +53,7 @@
 
         asyncio.run(play())
 
-    def test_call_of_any_kind_without_a_known_key_is_turned_away(self) -> None:
+    def test_calls_without_a_known_key_are_rejected(self) -> None:
         async def work(site: CallersSite) -> None:
             site.configure(**make_config(1, {"maps": ["right-key"]}))
             for key in (None, "", "wrong", "right-ke", "right-key2", "right-key,right-key"):
@@ -64,7 +64,7 @@
 
         self.run_on(work)
 
-    def test_key_of_a_workspace_opens_all_kinds_of_calls_in_its_name(self) -> None:
+    def test_key_authorizes_all_kinds_of_calls_for_its_workspace(self) -> None:
         async def work(site: CallersSite) -> None:
             site.configure(**make_config(1, {"maps": ["a", "b"], "shop": ["c"]}))
             for key in ("a", "b"):
@@ -77,13 +77,13 @@
 
         self.run_on(work)
 
-    def test_withdrawn_key_is_refused_and_its_workspace_goes_on_with_others(self) -> None:
+    def test_revoked_key_is_rejected_and_other_keys_of_its_workspace_work(self) -> None:
         async def work(site: CallersSite) -> None:
             site.configure(**make_config(1, {"maps": ["a", "b"]}))
             site.configure(**make_config(3, {"maps": ["b"]}))
             self.assertEqual([401] * 4, await get_statuses(site, "a"))
             self.assertEqual([200] * 4, await get_statuses(site, "b"))
-            # A version that arrives late brings no key back.
+            # An older version that arrives late must not restore a revoked key.
             site.configure(**make_config(2, {"maps": ["a", "b"]}))
             self.assertEqual([401] * 4, await get_statuses(site, "a"))
             site.configure(**make_config(4, {"maps": []}))
@@ -95,7 +95,7 @@
 
         self.run_on(work)
 
-    def test_queue_that_becomes_public_asks_for_no_key_and_back(self) -> None:
+    def test_queue_requires_keys_only_while_it_is_not_public(self) -> None:
         async def work(site: CallersSite) -> None:
             self.assertEqual([503] * 4, await get_statuses(site, "a"))
             site.configure(**make_config(1, {"maps": ["a"]}, public=True))
@@ -109,7 +109,7 @@
 
         self.run_on(work)
 
-    def test_queues_without_workspaces_ask_for_no_key(self) -> None:
+    def test_queues_require_no_key_if_there_are_no_workspaces(self) -> None:
         async def work(site: CallersSite) -> None:
             config = make_config(1, {})
             for route in config["routes"]:
@@ -120,7 +120,7 @@
 
         self.run_on(work)
 
-    def test_key_stands_in_no_line_and_no_answer(self) -> None:
+    def test_keys_appear_in_no_log_line_and_no_response(self) -> None:
         async def work(site: CallersSite) -> None:
             secrets = ["first-secret", "second-secret", "unknown-secret"]
             site.configure(**make_config(1, {"maps": secrets[:1]}))
--- a/tests/functional/test_repeated_calls.py
+++ b/tests/functional/test_repeated_calls.py
@@ -1,4 +1,8 @@
-"""Requests that the HTTP library sends a second time by itself."""
+"""Requests that the HTTP library sends a second time on its own.
+
+When a keep-alive connection is reset, the first request may have been carried out, so a refusal of
+the repeated one must not be reported as "not carried out".
+"""
 
 import asyncio
 import contextlib
@@ -29,9 +33,10 @@
 
 
 class RepeatService(LoopbackService):
-    """Carries requests out; what ``script`` tells is done to the next ones instead.
+    """Carries out requests, except for the next ones that ``script`` lists.
 
-    "reset": carry it out, then end the connection without an answer.  "503": refuse it.
+    "reset" carries out the request and closes the connection without a response; "503" refuses
+    it.
     """
 
     def __init__(self) -> None:
@@ -71,8 +76,8 @@
 
 
 class RepeatedCallsTest(TestCase):
-    def test_append_that_was_carried_out_and_then_refused_is_not_taken_as_refused(self) -> None:
-        """A kept connection is reset after the store has taken an append, the repeat is refused."""
+    def test_append_with_a_refused_repeat_is_not_reported_as_refused(self) -> None:
+        """The connection is reset after the store has appended; the repeat is refused."""
 
         async def work() -> None:
             async with RepeatService() as service:
@@ -89,8 +94,8 @@
 
         asyncio.run(work())
 
-    def test_record_accepted_after_such_a_refusal_is_kept(self) -> None:
-        """The next batch goes out under a number of its own, or would get the first answer."""
+    def test_record_written_after_a_refused_repeat_is_stored(self) -> None:
+        """The next batch needs a stamp of its own, else it gets the response to the first one."""
 
         async def work() -> None:
             async with RepeatService() as service:
@@ -108,7 +113,7 @@
 
         asyncio.run(work())
 
-    def test_start_that_may_have_been_carried_out_is_not_taken_as_rejected(self) -> None:
+    def test_start_with_a_refused_repeat_is_not_reported_as_rejected(self) -> None:
         async def work() -> None:
             async with RepeatService() as service:
                 hosts = PlatformHosts(make_client(4), NodeMetrics())
--- a/tests/functional/test_slow_appends.py
+++ b/tests/functional/test_slow_appends.py
@@ -1,4 +1,8 @@
-"""Jobs handed in at many nodes while the store takes its appends one by one, and slowly."""
+"""Jobs submitted at many nodes while the store is slow and appends are serialized.
+
+If every node appends for itself, the queue of appends grows longer than callers wait; one node has
+to append for all.
+"""
 
 import asyncio
 import itertools
@@ -26,10 +30,10 @@
 NODES = 32
 JOBS_PER_S = 40
 FOR_S = 5.0
-# A store that is some 35 times slower than usual.
+# A store that is about 35 times slower than usual.
 TURN_S = 0.07
 LATENCY_S = 0.14
-# A caller comes back where it was turned away or told nothing, until its time is over.
+# A caller that was refused or got no response retries after this pause until ``TIME_S``.
 PAUSE_S = 0.25
 SHARE_CUT_MIN = 0.45
 TIME_S = 3.0
@@ -48,8 +52,8 @@
     return platform
 
 
-async def _hand_in(platform: PlatformStandin, number: int) -> tuple[bool, float]:
-    """Hand one job in, at a new node each time; return whether it was taken, and after how long."""
+async def _submit(platform: PlatformStandin, number: int) -> tuple[bool, float]:
+    """Submit a job at another node on each try; return whether it was accepted, and when."""
     loop = asyncio.get_running_loop()
     began_at_s = loop.time()
     for attempt in itertools.count():
@@ -69,43 +73,43 @@
     return next(name for name, node in nodes if node.assembled.node._steward is not None)
 
 
-async def _press(gathers: bool, cuts_steward: bool = False) -> tuple[float, float]:
-    """Return the share of jobs taken in time, and the median time that took."""
+async def _apply_load(gathers: bool, cuts_steward: bool = False) -> tuple[float, float]:
+    """Return the share of jobs accepted in time, and the median time to acceptance."""
     platform = await _start(gathers)
     if cuts_steward:
         steward = _get_steward(platform)
-        # Nobody hears it any more, nor is refused by it.
+        # No node can reach it any more or get a refusal from it.
         platform.cut_node(steward)
         asyncio.get_running_loop().call_later(FOR_S, platform.heal_node, steward)
     platform.store.append_turn_s = TURN_S
     platform.store.faults.latency_s = LATENCY_S
     calls = []
     for number in range(round(FOR_S * JOBS_PER_S)):
-        calls.append(asyncio.ensure_future(_hand_in(platform, number)))
+        calls.append(asyncio.ensure_future(_submit(platform, number)))
         await asyncio.sleep(1 / JOBS_PER_S)
     found = await asyncio.gather(*calls)
     platform.store.append_turn_s = 0.0
     platform.store.faults.latency_s = 0.004
     await asyncio.sleep(20)
     assert not find_breaks(platform)
-    for number, (is_taken, _took_s) in enumerate(found):
-        if is_taken and number % 10 == 0:
+    for number, (is_accepted, _took_s) in enumerate(found):
+        if is_accepted and number % 10 == 0:
             status = await get_status(platform, "node3", make_job(number).job_id)
             assert status is JobStatus.SUCCEEDED, (number, status)
-    times_s = sorted(took_s for is_taken, took_s in found if is_taken)
+    times_s = sorted(took_s for is_accepted, took_s in found if is_accepted)
     return len(times_s) / len(found), times_s[len(times_s) // 2]
 
 
 class SlowAppendsTest(TestCase):
-    def test_one_node_appends_for_all(self) -> None:
-        share, median_s = run_virtual(_press(gathers=True))
+    def test_one_node_appends_for_all_nodes(self) -> None:
+        share, median_s = run_virtual(_apply_load(gathers=True))
         self.assertGreater(share, 0.97)
         self.assertLess(median_s, 0.5)
 
-    def test_others_append_where_that_node_is_cut_off(self) -> None:
-        share, _median_s = run_virtual(_press(gathers=True, cuts_steward=True))
+    def test_other_nodes_append_if_that_node_is_cut_off(self) -> None:
+        share, _median_s = run_virtual(_apply_load(gathers=True, cuts_steward=True))
         self.assertGreater(share, SHARE_CUT_MIN)
 
-    def test_switched_off_the_queue_of_appends_outlasts_the_callers(self) -> None:
-        share, _median_s = run_virtual(_press(gathers=False))
+    def test_without_gathering_the_queue_of_appends_outlasts_the_callers(self) -> None:
+        share, _median_s = run_virtual(_apply_load(gathers=False))
         self.assertLess(share, 0.6)
--- a/tests/functional/test_slow_links.py
+++ b/tests/functional/test_slow_links.py
@@ -1,4 +1,4 @@
-"""A store that is reached over a link on which connecting takes long."""
+"""The timeout of store calls grows while connections over a slow link can't be established."""
 
 import asyncio
 import socket
@@ -15,13 +15,13 @@
 
 
 class SlowConnectTest(TestCase):
-    def test_time_to_connect_grows_while_no_connection_comes_about(self) -> None:
+    def test_timeout_grows_while_no_connection_is_established(self) -> None:
         async def work() -> None:
             listener = socket.socket()
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
             host, port = listener.getsockname()
-            # Its queue is full: further connections get no answer, as on a link that is choked.
+            # The backlog is full: further connection attempts get no reply, as on a congested link.
             fillers = [socket.socket() for _ in range(4)]
             for filler in fillers:
                 filler.setblocking(False)
