--- a/src/robinthread/_internal/durable/append_latency.py
+++ b/src/robinthread/_internal/durable/append_latency.py
@@ -30,7 +30,7 @@
         self._started_at_s = None
 
     def record_duration(self, duration_s: float) -> None:
-        """Record the duration in seconds of an append made by another node."""
+        """Record the duration in seconds of an append, which another node may have made."""
         if duration_s >= SLOW_APPEND_S:
             self.mark_slow()
 
--- a/src/robinthread/_internal/durable/errors.py
+++ b/src/robinthread/_internal/durable/errors.py
@@ -29,7 +29,7 @@
     """The append was rejected because an earlier append of the same writer is missing."""
 
     def __init__(self, wanted: int) -> None:
-        super().__init__(f"sequence gap: the store expects sequence number {wanted}")
+        super().__init__(f"the store expects sequence number {wanted}")
         self.wanted = wanted
 
 
--- a/src/robinthread/_internal/durable/journal.py
+++ b/src/robinthread/_internal/durable/journal.py
@@ -62,7 +62,7 @@
             except StoreSequenceError as error:
                 if error.wanted <= self._sequence:
                     raise StoreFencedError(
-                        f"the store expects sequence {error.wanted}, not {self._sequence}"
+                        f"the store is at sequence {error.wanted}, this writer at {self._sequence}"
                     ) from error
             except StoreError as error:
                 if not is_failing:
--- a/src/robinthread/_internal/durable/ownership.py
+++ b/src/robinthread/_internal/durable/ownership.py
@@ -105,9 +105,10 @@
     async def acquire(
         self, pool: str, member: Member, reassigned: Mapping[str, Member] | None = None
     ) -> bool:
-        """Acquire a pool unless any ownership has changed; return whether it succeeded.
+        """Acquire a pool unless any ownership record has changed; return whether it was appended.
 
-        ``reassigned`` maps other pools to members that get them in the same append.
+        The table shows the outcome once the record is applied.  ``reassigned`` maps other pools
+        to members that get them in the same append.
         """
         earlier = self._list_earlier(pool, member, self._list_replaced(pool, member))
         records = {
