--- a/src/robinthread/_internal/models/resources.py
+++ b/src/robinthread/_internal/models/resources.py
@@ -69,7 +69,7 @@
             (self.memory_mb, limit.memory_mb),
             (self.gpu_count, limit.gpu_count),
         )
-        return max((needed / maximum for needed, maximum in pairs if maximum), default=0.0)
+        return max((used / maximum for used, maximum in pairs if maximum), default=0.0)
 
     def astuple(self) -> tuple[int, int, int]:
         """Return thousandths of a core, MB and accelerators."""
--- a/src/robinthread/_internal/platform/advice.py
+++ b/src/robinthread/_internal/platform/advice.py
@@ -40,7 +40,7 @@
             )
             if response.code != 200:
                 raise AdviceError(f"the advice service responded with status {response.code}")
-            answer = decode(response.body, _WireAdvice)
+            advice = decode(response.body, _WireAdvice)
         except (CallUnsentError, CallLostError) as error:
             raise AdviceError(str(error)) from error
-        return HostAdvice(dict(answer.good), answer.valid_ms)
+        return HostAdvice(dict(advice.good), advice.valid_ms)
