--- a/src/robinthread/_internal/models/machine.py
+++ b/src/robinthread/_internal/models/machine.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A machine; ``host_id`` is the id of the host that it currently runs, "" for none."""
+    """A machine; ``host_id`` is the id of the host that currently runs on it, "" for none."""
 
     name: str
     pool: str
--- a/src/robinthread/_internal/platform/machines.py
+++ b/src/robinthread/_internal/platform/machines.py
@@ -26,7 +26,6 @@
     decode,
 )
 
-# Timeout of a call.
 CALL_TIMEOUT_S: Final = 1.0
 HOLDER_HEADER: Final = "X-Lease-Holder"
 TOKEN_HEADER: Final = "X-Fencing-Token"
@@ -41,7 +40,7 @@
     zone: str = ""
     labels: list[str] = []
     capacity: WireCapacity = msgspec.field(default_factory=WireCapacity)
-    # Id of the host that the machine currently runs.
+    # Id of the host that currently runs on the machine.
     id: str | None = None
 
 
