--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -1,4 +1,8 @@
-"""An owner that lives on, cut off, when those that know of it have gone."""
+"""A replaced owner keeps running while cut off, and the nodes that replaced it have ended.
+
+A later owner that does not know of it would start the runs on its host a second time.  The
+ownership record therefore lists earlier owners that have not released the pool.
+"""
 
 import asyncio
 
@@ -24,9 +28,9 @@
 from tests.lib.virtual import run_virtual
 
 WATCH_S = 15.0
-# In this time a host that answers has heard of an owner that has opened its pool,
+# Within this time a host that responds has received a request of an owner that opened its pool.
 HEARD_S = 0.2
-# and tasks whose host's lease is over are begun on another one.
+# Within this time tasks start on another host after the lease of theirs has expired.
 AGAIN_S = 0.8
 NAMES = [f"node{number}" for number in range(9)]
 
@@ -37,7 +41,7 @@
 
 
 def cut_with_a_host(platform: PlatformStandin) -> str:
-    """Cut the owner off with one host that it alone reaches; return its name."""
+    """Cut the owner off together with one host that only it reaches; return the owner's name."""
     host = get_first_host(platform)
     old = next(name for name in platform.nodes if owns(platform, name))
     others = [name for name in NAMES if name != old]
@@ -50,7 +54,7 @@
 
 
 async def start_with_second_owner() -> tuple[PlatformStandin, str]:
-    """Cut the first owner off and start a node once another owns the pool; return that one."""
+    """Cut the first owner off, start a node once another owns the pool; return the new owner."""
     platform = await start_lasting(nodes=2)
     old = cut_with_a_host(platform)
     (second,) = [name for name in platform.nodes if name != old]
@@ -60,8 +64,8 @@
 
 
 class ForgottenOwnerTest(TestCase):
-    def test_next_owner_that_begins_anew_waits_for_the_one_that_is_cut_off(self) -> None:
-        """The next owner's new life reads only the newest record, in which it finds itself."""
+    def test_next_owner_that_restarts_waits_for_the_owner_that_is_cut_off(self) -> None:
+        """The next owner's new incarnation reads only the newest record, which is its own."""
 
         async def work() -> None:
             platform = await start_lasting()
@@ -78,7 +82,7 @@
         run_virtual(work())
 
     def test_node_that_joined_late_waits_for_the_owner_that_is_cut_off(self) -> None:
-        """The third owner hears that the second one has ended; it has not seen the first."""
+        """The third owner learns that the second one has ended; it never saw the first one."""
 
         async def work() -> None:
             platform, second = await start_with_second_owner()
@@ -93,7 +97,7 @@
         run_virtual(work())
 
     def test_owner_after_a_planned_stop_waits_for_the_one_that_is_cut_off(self) -> None:
-        """The second owner gives the pool back; the third one has not seen the first."""
+        """The second owner releases the pool; the third one never saw the first one."""
 
         async def work() -> None:
             platform, second = await start_with_second_owner()
@@ -105,10 +109,10 @@
 
         run_virtual(work())
 
-    def test_host_that_heard_of_the_next_owner_is_waited_for_no_longer_than_its_lease(
+    def test_host_that_knows_the_next_owner_delays_runs_no_longer_than_its_lease(
         self,
     ) -> None:
-        """Nobody tells whether the owner that was killed has stopped; the host refuses it."""
+        """It is unknown whether the killed owner has stopped, but the host rejects its orders."""
 
         async def work() -> None:
             platform = await start_lasting()
--- a/tests/functional/test_loud_workspace.py
+++ b/tests/functional/test_loud_workspace.py
@@ -1,4 +1,4 @@
-"""A workspace that sends many times its usual, beside others, when all is full."""
+"""A workspace that exceeds its share by far does not delay others when capacity is exhausted."""
 
 import asyncio
 import statistics
@@ -14,18 +14,18 @@
 
 LOUD, QUIET = "loud", "quiet"
 HOSTS = 3
-# Jobs of eight core-seconds: the two shares ask for two thirds of the 48 cores.
+# Jobs take eight core-seconds each, so the two shares need two thirds of the 48 cores.
 SHARE_PER_S = 2.0
 LOUD_PER_S = 15.0
 FOR_S = 14.0
-# By then the pool has all hosts that there are.
+# After this time the pool has all existing hosts.
 FULL_AFTER_S = 4.0
-# A job's own second, the way to its hosts, and as much again.
+# The job's own second, the time until its tasks start, and the sum of both as a margin.
 IN_TIME_S = 2.0
 
 
 async def play(ranks_beyond_share: bool) -> dict[str, list[float]]:
-    """Have one workspace send six times its share; return how long jobs took, by workspace."""
+    """Run a workspace at 7.5 times its share; return the durations of jobs by workspace."""
     platform = PlatformStandin(plan_task)
     configure(
         platform,
@@ -52,12 +52,12 @@
 
 
 class LoudWorkspaceTest(TestCase):
-    def test_others_are_served_in_time_and_so_is_its_own_share(self) -> None:
+    def test_other_workspaces_and_its_own_share_are_served_in_time(self) -> None:
         took_s = run_virtual(play(ranks_beyond_share=True))
         self.assertLess(statistics.quantiles(took_s[QUIET], n=10)[8], IN_TIME_S)
         in_time = sum(each < IN_TIME_S for each in took_s[LOUD])
         self.assertGreaterEqual(in_time, 0.9 * SHARE_PER_S * (FOR_S - FULL_AFTER_S))
 
-    def test_without_ranks_the_others_are_late(self) -> None:
+    def test_without_ranking_other_workspaces_are_late(self) -> None:
         took_s = run_virtual(play(ranks_beyond_share=False))
         self.assertGreater(statistics.median(took_s[QUIET]), IN_TIME_S)
