--- a/tests/lib/caller_calls.py
+++ b/tests/lib/caller_calls.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP to a node's callers' listener, with what stands behind it in view."""
+"""HTTP calls to a node's listener for callers, with a recording job service behind it."""
 
 import json
 from collections.abc import AsyncIterator
@@ -27,36 +27,36 @@
 
 @dataclass
 class RecordingJobService:
-    """A gate that takes everything, and keeps what reached it."""
+    """A job service that accepts all requests and records them."""
 
     accepted: list[JobSpec] = field(default_factory=list)
     asked_by: list[str | None] = field(default_factory=list)
 
     async def accept(self, spec: JobSpec, deadline_s: float) -> JobRequestOutcome:
-        """Take a job."""
+        """Record and accept a job."""
         self.accepted.append(spec)
         return JobRequestOutcome.DONE
 
     async def get_status(self, queue: QueuePolicy, job_id: str, workspace: str | None) -> JobState:
-        """Tell that a job runs."""
+        """Record the workspace and report the job as running."""
         self.asked_by.append(workspace)
         return JobState(JobRequestOutcome.DONE, JobStatus.RUNNING)
 
     async def cancel(
         self, queue: QueuePolicy, job_id: str, deadline_s: float, workspace: str | None
     ) -> JobRequestOutcome:
-        """Cancel a job."""
+        """Record the workspace and report the job as cancelled."""
         self.asked_by.append(workspace)
         return JobRequestOutcome.DONE
 
     async def count_pending(self, queue: QueuePolicy) -> int:
-        """Count what waits."""
+        """Return a fixed number of pending jobs."""
         return 3
 
 
 @dataclass
 class CallersSite:
-    """A listener, what reached the gate behind it, and the lines that it wrote."""
+    """A listener for callers, the recorded requests and the log lines."""
 
     port: int
     job_service: RecordingJobService
@@ -65,13 +65,13 @@
     events: EventLog
 
     def configure(self, **config: Any) -> None:
-        """Have a configuration in force, as the operators write it."""
+        """Put a configuration in force, in the format of the operators."""
         self.holder._take_config(parse_config(json.dumps(config).encode()))
 
     async def call(
         self, method: str, path: str, key: str | None = None, authorization: str | None = None
     ) -> HTTPResponse:
-        """Make one call, with a key where one is given."""
+        """Make one call, with the key or ``Authorization`` header if one is given."""
         headers = {"Host": "press.example"}
         if key is not None:
             authorization = f"Bearer {key}"
@@ -86,7 +86,7 @@
 
 @asynccontextmanager
 async def serve_callers() -> AsyncIterator[CallersSite]:
-    """Serve callers on an ephemeral port, with no configuration yet."""
+    """Serve callers on an ephemeral port, initially without a configuration."""
     lines: list[bytes] = []
     events = EventLog("n", lines.append)
     holder = ConfigHolder(RECORDS, events)
--- a/tests/lib/store_server.py
+++ b/tests/lib/store_server.py
@@ -1,4 +1,4 @@
-"""The store's stand-in over HTTP, as a node's process calls it."""
+"""HTTP server for the store's stand-in, with the interface that a node's process calls."""
 
 import asyncio
 import base64
@@ -22,12 +22,12 @@
 from robinthread._internal.standins.store_standin import StoreClient, StoreStandin
 
 CALLER: Final = "node"
-# Longer than any caller waits.
+# Longer than the timeout of any caller.
 NO_ANSWER_S: Final = 60.0
 
 
 class StoreHandler(RequestHandler):
-    """Carries one call out on the stand-in; where that gives no answer, neither does this."""
+    """Carries out a call on the stand-in; does not respond if the stand-in does not."""
 
     def initialize(self, client: StoreClient) -> None:  # type: ignore[override]
         self._client = client
@@ -111,7 +111,7 @@
 
 
 def serve_store(store: StoreStandin) -> tuple[HTTPServer, str]:
-    """Serve a stand-in on a free port; return the server and its address."""
+    """Serve a stand-in on an ephemeral port; return the server and its address."""
     arguments = {"client": store.connect(CALLER)}
     application = Application(
         [(r"/log-(\w+)", StoreHandler, arguments)], log_function=lambda handler: None
