--- a/src/robinthread/_internal/models/job_spec.py
+++ b/src/robinthread/_internal/models/job_spec.py
@@ -88,18 +88,16 @@
     def find_fault(self) -> str:
         """Return why the job can't be run by any owner, or "" if the spec is valid."""
         if not self.steps:
-            return "a job must have at least one step"
+            return "a job has a step at least"
         return next(filter(None, chain(map(_find_step_fault, self.steps), _find_faults(self))), "")
 
 
 def _find_step_fault(step: StepSpec) -> str:
     if step.task_count < 1:
-        return f"a step must have at least one task, not {step.task_count}"
+        return "a step has a task at least"
     sizes = (step.cpu_millicores, step.memory_mb, step.gpu_count, step.estimate_ms)
     bounds = (step.per_host_max, step.not_running_max, step.latency_target_ms)
-    return (
-        "a step's sizes, limits and times must not be negative" if min(*sizes, *bounds) < 0 else ""
-    )
+    return "a negative size" if min(*sizes, *bounds) < 0 else ""
 
 
 def _find_faults(job: JobSpec) -> tuple[str, ...]:
@@ -110,11 +108,7 @@
     )
     task_count = sum(step.task_count for step in job.steps)
     return (
-        "" if is_ordered else "a step may only depend on earlier steps of the job",
-        ""
-        if task_count <= TASKS_MAX
-        else f"the job has {task_count} tasks, the limit is {TASKS_MAX}",
-        ""
-        if min(job.occurrence_count, job.interval_ms) >= 0
-        else "the number of occurrences and the interval must not be negative",
+        "" if is_ordered else "a step comes after earlier ones only",
+        "" if task_count <= TASKS_MAX else f"a job has at most {TASKS_MAX} tasks",
+        "" if min(job.occurrence_count, job.interval_ms) >= 0 else "a negative time",
     )
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -270,12 +270,10 @@
 
 def _parse_job(call: _ResolvedCall, body: bytes) -> JobSpec:
     if not JOB_ID.fullmatch(call.rest):
-        raise ValueError("the job id in the path must be 16 lowercase hexadecimal digits")
+        raise ValueError("a job's id has 16 hexadecimal digits")
     wire = msgspec.json.decode(body, type=_WireJob)
     if len(wire.spec) > SPEC_MAX_CHARACTERS:
-        raise ValueError(
-            f"the spec has {len(wire.spec)} characters, the limit is {SPEC_MAX_CHARACTERS}"
-        )
+        raise ValueError(f"a spec has at most {SPEC_MAX_CHARACTERS} characters")
     spec = JobSpec(
         job_id=call.rest,
         queue=call.queue.name,
