--- a/src/robinthread/_internal/durable/group_writer.py
+++ b/src/robinthread/_internal/durable/group_writer.py
@@ -1,4 +1,4 @@
-"""Appending many callers' records together."""
+"""Batched appends of records from many callers."""
 
 import asyncio
 from collections import deque
@@ -13,18 +13,18 @@
 )
 from robinthread._internal.durable.store import KeyedRecord, Partition, Store, WriterStamp
 
-# How long the answer of a batch is sought before its outcome is given up as unknown.
-# Callers come again at another node, which may reach the store where this one does not,
-# and they have 3 s in all.
-GIVE_UP_AFTER_S: Final = 0.8
-# Pause before a batch without an answer is sent again.
+# How long a batch is retried for a response before its outcome is reported as unknown.
+# Callers have 3 s in all, within which they retry at another node.  That node may reach the
+# store when this one does not.
+BATCH_TIMEOUT_S: Final = 0.8
+# Pause before a batch without a response is sent again.
 RETRY_PAUSE_S: Final = 0.02
-# Bytes that a record takes beside its key and value.
+# Size of a record in addition to its key and value.
 RECORD_OVERHEAD_BYTES: Final = 8
 
 
 @dataclass
-class _Entry:
+class _PendingRecord:
     record: KeyedRecord
     deadline_s: float
     done: asyncio.Future[int] = field(
@@ -33,13 +33,11 @@
 
 
 class GroupWriter:
-    """Appends to one partition, one batch at a time, each with all that waits.
+    """Appends to one partition, one batch of all pending records at a time.
 
-    ``latency`` tells how the store takes its appends.
-
-    A batch without an answer is sent again under the same stamp, and kept once.
-    One that is given up may have been kept, but will not be later: the next
-    batch has a higher epoch.
+    A batch without a response is sent again under the same stamp, so the store keeps it at
+    most once.  A batch that timed out may have been stored, but can't be stored later, because
+    the next batch has a higher epoch.  ``latency`` monitors the appends.
     """
 
     def __init__(self, store: Store, partition: Partition, name: str, batch_max_bytes: int) -> None:
@@ -49,48 +47,48 @@
         self._batch_max_bytes = batch_max_bytes
         self._epoch = 0
         self._sequence = 0
-        self._waiting: deque[_Entry] = deque()
+        self._pending: deque[_PendingRecord] = deque()
         self._wakeup = asyncio.Event()
         self.latency = AppendLatency()
 
     async def write(self, record: KeyedRecord, deadline_s: float) -> int:
         """Append a record and return its offset.
 
-        ``deadline_s`` is a time of the event loop's clock.  Raises
-        ``StoreRefusedError`` where the record surely was not and never will be
-        appended, ``StoreNoAnswerError`` where that is not known.
+        ``deadline_s`` is a time of the event loop's clock.  Raises ``StoreRefusedError`` if
+        the record has not been and never will be appended, and ``StoreNoAnswerError`` if the
+        outcome is unknown.
         """
-        entry = _Entry(record, deadline_s)
-        self._waiting.append(entry)
+        entry = _PendingRecord(record, deadline_s)
+        self._pending.append(entry)
         self._wakeup.set()
         return await entry.done
 
     async def run(self) -> None:
-        """Append until cancelled."""
+        """Append pending records until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            while self._waiting:
+            while self._pending:
                 self.latency.begin()
-                await self._append(self._take_batch())
+                await self._append(self._pop_batch())
                 self.latency.end()
 
-    def _take_batch(self) -> list[_Entry]:
-        batch: list[_Entry] = []
+    def _pop_batch(self) -> list[_PendingRecord]:
+        batch: list[_PendingRecord] = []
         size_bytes = 0
-        while self._waiting:
-            record = self._waiting[0].record
+        while self._pending:
+            record = self._pending[0].record
             size_bytes += len(record.key) + len(record.value or b"") + RECORD_OVERHEAD_BYTES
             if batch and size_bytes > self._batch_max_bytes:
                 break
-            batch.append(self._waiting.popleft())
+            batch.append(self._pending.popleft())
         return batch
 
-    async def _append(self, batch: list[_Entry]) -> None:
-        """Send a batch until it is answered or given up."""
+    async def _append(self, batch: list[_PendingRecord]) -> None:
+        """Send a batch until the store responds or the batch times out."""
         records = [entry.record for entry in batch]
         loop = asyncio.get_running_loop()
-        deadline_s = min(loop.time() + GIVE_UP_AFTER_S, max(entry.deadline_s for entry in batch))
+        deadline_s = min(loop.time() + BATCH_TIMEOUT_S, max(entry.deadline_s for entry in batch))
         stamp = WriterStamp(self._name, self._epoch, self._sequence)
         error: StoreError | None = None
         while True:
@@ -99,11 +97,11 @@
             except StoreRefusedError as refused:
                 self.latency.mark_slow()
                 if error is None:
-                    _fail(batch, refused)
+                    _fail_batch(batch, refused)
                     return
-            except StoreError as unanswered:
-                error = unanswered
-                self._refuse_waiting()
+            except StoreError as unconfirmed:
+                error = unconfirmed
+                self._reject_pending()
             else:
                 self._sequence += 1
                 for position, entry in enumerate(batch):
@@ -114,21 +112,23 @@
             await asyncio.sleep(RETRY_PAUSE_S)
         self._epoch += 1
         self._sequence = 0
-        _fail(batch, StoreNoAnswerError(str(error)))
+        _fail_batch(batch, StoreNoAnswerError(str(error)))
 
-    def _refuse_waiting(self) -> None:
-        """Refuse what has not been sent: it must not wait behind a silent store."""
-        waiting = list(self._waiting)
-        self._waiting.clear()
-        _fail(waiting, StoreRefusedError("the store does not answer"))
+    def _reject_pending(self) -> None:
+        """Reject records that were not sent, so that they don't wait for an unresponsive store."""
+        pending = list(self._pending)
+        self._pending.clear()
+        _fail_batch(
+            pending, StoreRefusedError("the store does not respond; the record was not sent")
+        )
 
 
-def _resolve(entry: _Entry, offset: int) -> None:
+def _resolve(entry: _PendingRecord, offset: int) -> None:
     if not entry.done.done():
         entry.done.set_result(offset)
 
 
-def _fail(batch: list[_Entry], error: StoreError) -> None:
+def _fail_batch(batch: list[_PendingRecord], error: StoreError) -> None:
     for entry in batch:
         if not entry.done.done():
             entry.done.set_exception(error)
--- a/src/robinthread/_internal/durable/job_index.py
+++ b/src/robinthread/_internal/durable/job_index.py
@@ -1,4 +1,4 @@
-"""All jobs in the inbox, folded in the log's order."""
+"""Index of the jobs in the inbox, built by applying its records in log order."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,9 +18,10 @@
 
 
 class IndexedJob:
-    """A job as first handed in, the keys of its records, and whether it is cancelled.
+    """A job as first submitted, the keys of its records, and whether it is cancelled.
 
-    One that ``is_beyond_share`` was handed in beyond its workspace's share.
+    ``is_beyond_share`` is set if its workspace exceeded its share of jobs per second when the
+    job was accepted.
     """
 
     __slots__ = ("is_beyond_share", "is_cancelled", "keys", "offset", "spec")
@@ -37,43 +38,43 @@
 
 
 class JobIndex:
-    """The fold of the inbox: the first record of an id decides its job and pool.
+    """Index of jobs by id; the first record of an id determines the job and its pool.
 
-    Listeners are called with each job that is new or newly cancelled.
+    Listeners are called with each new and each newly cancelled job.
     """
 
     def __init__(self, events: EventLog, meter: ShareMeter) -> None:
         self.jobs: dict[str, IndexedJob] = {}
         self._meter = meter
-        self._cancelled_ahead: dict[str, list[JobCancelled]] = {}
+        self._early_cancellations: dict[str, list[JobCancelled]] = {}
         self._listeners: list[Listener] = []
         self._events = events
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` for all jobs known and to come."""
+        """Call ``listener`` for all known jobs now and for each new or cancelled job later."""
         self._listeners.append(listener)
         for job in list(self.jobs.values()):
             listener(job)
 
     def unsubscribe(self, listener: Listener) -> None:
-        """Call ``listener`` no more."""
+        """Stop calling ``listener``."""
         self._listeners.remove(listener)
 
     def apply(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
-        """Fold records in; a snapshot is all that is left.
+        """Apply records in log order; a snapshot holds all records that still exist.
 
-        A job that is missing from a snapshot ended long ago and was dropped with its
-        progress: an owner that still found it here would run it again.
+        A job that is missing from a snapshot is removed.  It ended long ago and was dropped
+        together with its progress, so an owner that still found it here would run it again.
         """
         if is_snapshot:
-            self._keep_only(frozenset(record.key for record in records))
+            self._retain_keys(frozenset(record.key for record in records))
         for record in records:
             try:
-                self._apply_one(record)
+                self._apply_record(record)
             except msgspec.MsgspecError as error:
                 self._events.write("record_malformed", key=record.key, error=str(error))
 
-    def _apply_one(self, record: KeyedRecord) -> None:
+    def _apply_record(self, record: KeyedRecord) -> None:
         match parse_inbox_record(record):
             case JobSubmitted(key, spec):
                 self._add(key, spec, record.offset)
@@ -90,19 +91,22 @@
         is_beyond = self._meter.is_beyond(spec.workspace, spec.accepted_at_ms)
         job = self.jobs[spec.job_id] = IndexedJob(spec, offset, is_beyond)
         job.keys.add(key)
-        ahead = self._cancelled_ahead.pop(spec.job_id, ())
-        job.is_cancelled = any(may_access(one.workspace, spec.workspace) for one in ahead)
-        self._tell(job)
+        early_cancellations = self._early_cancellations.pop(spec.job_id, ())
+        job.is_cancelled = any(
+            may_access(cancellation.workspace, spec.workspace)
+            for cancellation in early_cancellations
+        )
+        self._notify(job)
 
     def _cancel(self, cancelled: JobCancelled) -> None:
         job = self.jobs.get(cancelled.job_id)
         if job is None:
-            self._cancelled_ahead.setdefault(cancelled.job_id, []).append(cancelled)
+            self._early_cancellations.setdefault(cancelled.job_id, []).append(cancelled)
             return
         job.keys.add(cancelled.key)
         if not job.is_cancelled and may_access(cancelled.workspace, job.spec.workspace):
             job.is_cancelled = True
-            self._tell(job)
+            self._notify(job)
 
     def _drop(self, key: str, job_id: str) -> None:
         job = self.jobs.get(job_id)
@@ -111,13 +115,13 @@
             if not job.keys:
                 del self.jobs[job_id]
 
-    def _keep_only(self, keys: frozenset[str]) -> None:
-        self._cancelled_ahead.clear()
+    def _retain_keys(self, keys: frozenset[str]) -> None:
+        self._early_cancellations.clear()
         for job_id, job in list(self.jobs.items()):
             job.keys &= keys
             if not job.keys:
                 del self.jobs[job_id]
 
-    def _tell(self, job: IndexedJob) -> None:
+    def _notify(self, job: IndexedJob) -> None:
         for listener in list(self._listeners):
             listener(job)
--- a/src/robinthread/_internal/durable/keyed_follower.py
+++ b/src/robinthread/_internal/durable/keyed_follower.py
@@ -1,4 +1,4 @@
-"""Following one partition of a keyed topic."""
+"""Follower of one partition of a keyed topic."""
 
 import asyncio
 import math
@@ -14,18 +14,19 @@
 from robinthread._internal.durable.store import KeyedRecord, Partition, ReadPage, Store
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Longest wait of one read.  A read whose connection was lost in silence hangs for
-# this long and the call's own timeout, which together must stay below the time
-# after which a node that was cut off counts as reachable again (3 s).
+# Longest wait of one long-polling read.  A read on a connection that was lost without a reset
+# hangs for this time plus the call's own timeout.  The sum must stay below 3 s, the time after
+# which a node that was cut off counts as reachable again.
 FOLLOW_WAIT_S: Final = 1.5
-# Longest wait for records up to an end that the store has told: an answer may be of a
-# copy that is behind.
-READ_ON_WAIT_S: Final = 0.1
-# Time-outs of reads after one that was lost, twice as long each time.  What calls of late
-# took says nothing of a large record: a configuration of 362 KB takes 0.6 s over 5 Mbit/s.
-# Even the longest is below the 3 s after which a node that was cut off counts as reachable.
-LOST_TIMEOUT_MIN_S: Final = 1.2
-LOST_TIMEOUT_MAX_S: Final = 2.4
+# Longest wait for records up to an end offset that the store has reported.  A response may come
+# from a replica that lags behind.
+CATCH_UP_WAIT_S: Final = 0.1
+# Timeouts of reads after one without a response; they double with each further one.  The
+# latency of recent calls does not predict that of a large record: a configuration of 362 KB
+# takes 0.6 s over 5 Mbit/s.  The maximum is below the 3 s after which a node that was cut off
+# counts as reachable again.
+RETRY_TIMEOUT_MIN_S: Final = 1.2
+RETRY_TIMEOUT_MAX_S: Final = 2.4
 # Pause after a failed read.
 RETRY_PAUSE_S: Final = 0.2
 
@@ -33,14 +34,15 @@
 
 
 class KeyedFollower:
-    """Reads the newest record of each key, then every change in order.
-
-    ``apply`` gets records in the order of their offsets; its second argument
-    tells whether they are all that is left, replacing what was known before.
-    ``confirmed_at_s`` is when the last read that succeeded was sent: nothing
-    older than that has been missed.  ``period_s`` is the least time between two
-    reads, for partitions that change all the time.  One that begins paused reads nothing
-    until it is resumed or asked to read to the end.
+    """Reads the newest record of each key, then every later record in order.
+
+    ``apply`` receives records in the order of their offsets; its second argument is True for a
+    snapshot of all remaining records, which replaces all earlier ones.  ``period_s`` is the
+    minimum time between two reads, for partitions that change continuously.  A follower that
+    starts paused reads nothing until ``resume`` or ``read_to_end`` is called.
+
+    ``confirmed_at_s`` is when the last successful read was sent, in seconds of the event
+    loop's clock: all records from before that time have been applied.
     """
 
     def __init__(
@@ -58,76 +60,76 @@
         self._apply = apply
         self._events = events
         self._reader = NewestReader(store, partition)
-        self._loading = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
         self._is_failing = False
         self._period_s = period_s
-        self._hurry_period_s = 0.0
-        self._hurry_until_s = 0.0
-        self._is_wanted = asyncio.Event()
+        self._fast_period_s = 0.0
+        self._fast_until_s = 0.0
+        self._resumed = asyncio.Event()
         if not is_paused:
-            self._is_wanted.set()
+            self._resumed.set()
         self._read_timeout_s: float | None = None
         self.next_offset: int | None = None
         self.confirmed_at_s = -math.inf
         self.first_read = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled, whenever that is wanted."""
+        """Follow until cancelled, except while paused."""
         while True:
-            await self._is_wanted.wait()
+            await self._resumed.wait()
             try:
-                # After a failure one read without waiting tells at once how things are.
-                is_quick = self._period_s > 0 or self._is_failing
-                await self._follow_once(0 if is_quick else FOLLOW_WAIT_S)
+                # After a failure, a read without a wait shows at once whether the store is back.
+                skips_wait = self._period_s > 0 or self._is_failing
+                await self._follow_once(0 if skips_wait else FOLLOW_WAIT_S)
             except StoreError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 await asyncio.sleep(RETRY_PAUSE_S)
             else:
-                self._note_success()
+                self._record_success()
                 await asyncio.sleep(self._get_pause_s())
 
     def poll_faster(self, period_s: float, for_s: float) -> None:
-        """Read every ``period_s`` at least, for a while."""
-        self._hurry_period_s = period_s
-        self._hurry_until_s = asyncio.get_running_loop().time() + for_s
+        """Read at least every ``period_s`` during the next ``for_s``."""
+        self._fast_period_s = period_s
+        self._fast_until_s = asyncio.get_running_loop().time() + for_s
 
     def _get_pause_s(self) -> float:
-        is_hurried = asyncio.get_running_loop().time() < self._hurry_until_s
-        return min(self._hurry_period_s, self._period_s) if is_hurried else self._period_s
+        is_fast = asyncio.get_running_loop().time() < self._fast_until_s
+        return min(self._fast_period_s, self._period_s) if is_fast else self._period_s
 
     def pause(self) -> None:
-        """Stop following; what is known from now on is out of date."""
-        self._is_wanted.clear()
+        """Stop following; the records applied so far become stale."""
+        self._resumed.clear()
         self.next_offset = None
         self._reader = NewestReader(self._store, self._partition)
 
     def resume(self) -> None:
-        """Follow again, from the newest record of each key."""
-        self._is_wanted.set()
+        """Follow again, starting with a snapshot of the newest record of each key."""
+        self._resumed.set()
 
     async def read_to_end(self) -> None:
-        """Read all that was there at the call; raise ``StoreError``.
+        """Apply all records that exist at the time of the call; raise ``StoreError``.
 
-        The first read tells the end.  What comes later is left to the next read: with 60
-        records a second and answers of 0.24 s, reading until nothing is left never ends.
+        The first read returns the end offset.  Later records are left to the next read: with
+        60 records a second and responses of 0.24 s, reading until none is left never ends.
         """
         end = None
         while end is None:
             end = await self._follow_once(0)
-        # A pause forgets how far the reading had come, and what was under way.
+        # A pause resets the next offset and discards a snapshot that is being read.
         while self.next_offset is None or self.next_offset < end:
-            await self._follow_once(READ_ON_WAIT_S)
+            await self._follow_once(CATCH_UP_WAIT_S)
 
     async def _follow_once(self, wait_s: float) -> int | None:
-        """Make one read; return the partition's end at that time, if it told one."""
-        asked_at_s = asyncio.get_running_loop().time()
+        """Read once; return the partition's end offset, or None if a snapshot was read."""
+        sent_at_s = asyncio.get_running_loop().time()
         end = await self._read_once(wait_s)
-        self.confirmed_at_s = max(self.confirmed_at_s, asked_at_s)
+        self.confirmed_at_s = max(self.confirmed_at_s, sent_at_s)
         return end
 
     async def _read_once(self, wait_s: float) -> int | None:
         if self.next_offset is None:
-            async with self._loading:
+            async with self._load_lock:
                 if self.next_offset is None:
                     await self._load()
                     return None
@@ -136,8 +138,8 @@
                 self._partition, self.next_offset, wait_s, self._read_timeout_s
             )
         except StoreNoAnswerError:
-            longer_s = 2 * (self._read_timeout_s or LOST_TIMEOUT_MIN_S / 2)
-            self._read_timeout_s = min(longer_s, LOST_TIMEOUT_MAX_S)
+            timeout_s = 2 * (self._read_timeout_s or RETRY_TIMEOUT_MIN_S / 2)
+            self._read_timeout_s = min(timeout_s, RETRY_TIMEOUT_MAX_S)
             raise
         except HistoryGoneError as error:
             self._events.write(
@@ -146,51 +148,52 @@
                 next_offset=self.next_offset,
                 first_offset=error.first,
             )
-            async with self._loading:
+            async with self._load_lock:
                 self.next_offset = None
                 await self._load()
             return None
         self._read_timeout_s = None
-        self._take(page)
+        self._apply_page(page)
         return page.end
 
-    def _take(self, page: ReadPage) -> None:
+    def _apply_page(self, page: ReadPage) -> None:
         if self.next_offset is None:
             return
-        self._note_unreadable(page.unreadable_count)
+        self._log_unreadable(page.unreadable_count)
         new = [record for record in page.records if record.offset >= self.next_offset]
         if new:
             self._apply(new, False)
         self.next_offset = max(self.next_offset, page.next_offset)
 
     async def _load(self) -> None:
-        """Read the newest record of each key.
+        """Read and apply a snapshot of the newest record of each key.
 
-        Its end may be older than the call: it goes on where an earlier try failed.
+        Its end offset may be from before the call, because the reader resumes where an earlier
+        attempt failed.
         """
         newest = await self._reader.read()
         self._reader = NewestReader(self._store, self._partition)
         if self.next_offset is not None and self.next_offset > newest.next_offset:
-            # Another read has come further meanwhile.
+            # A concurrent read has already advanced further.
             return
-        self._note_unreadable(newest.unreadable_count)
+        self._log_unreadable(newest.unreadable_count)
         records = sorted(newest.records, key=lambda record: record.offset)
         self._apply(records, True)
         self.next_offset = newest.next_offset
         self.first_read.set()
 
-    def _note_unreadable(self, count: int) -> None:
+    def _log_unreadable(self, count: int) -> None:
         if count:
             self._events.write("records_unreadable", topic=self._partition.topic, count=count)
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if not self._is_failing:
             self._is_failing = True
             self._events.write(
                 "store_lost", topic=self._partition.topic, error=f"{type(error).__name__}: {error}"
             )
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._is_failing:
             self._is_failing = False
             self._events.write(
