--- a/src/robinthread/_internal/fleet/silent_halls.py
+++ b/src/robinthread/_internal/fleet/silent_halls.py
@@ -1,4 +1,4 @@
-"""Which data halls seem to be cut off."""
+"""Detection of data halls that seem to be cut off."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -7,8 +7,8 @@
 from robinthread._internal.fleet.pool_report import PoolReport
 from robinthread._internal.models.machine import Machine
 
-# So many hosts of a hall must be out of reach, and more than answer.
-SILENT_MIN: Final = 2
+# A hall is silent if at least this many of its hosts, and more than are usable, are unreachable.
+SILENT_HOSTS_MIN: Final = 2
 
 
 def find_silent_halls(
@@ -16,7 +16,7 @@
 ) -> frozenset[str]:
     """Return the halls most of whose hosts cannot be used by the owners of their pools.
 
-    A host that is still awaited tells nothing of its hall.
+    Hosts whose first response is still expected do not count.
     """
     silent: Counter[str] = Counter()
     usable: Counter[str] = Counter()
@@ -27,5 +27,5 @@
             if machine is not None and is_current and not host.is_awaited:
                 (usable if host.is_usable else silent)[machine.hall] += 1
     return frozenset(
-        hall for hall, count in silent.items() if count >= SILENT_MIN and count > usable[hall]
+        hall for hall, count in silent.items() if count >= SILENT_HOSTS_MIN and count > usable[hall]
     )
--- a/src/robinthread/_internal/jobs/evacuation.py
+++ b/src/robinthread/_internal/jobs/evacuation.py
@@ -1,4 +1,4 @@
-"""Which runs to move off hosts that are to be emptied."""
+"""Moving runs off hosts that drain or that the steward is vacating."""
 
 from typing import Final
 
@@ -9,19 +9,20 @@
 from robinthread._internal.jobs.run import Run, RunPhase
 from robinthread._internal.jobs.task import Task
 
+# A lasting task works once it reports this progress.
 AT_WORK_PERCENT: Final = 100
-# A task that keeps checkpoints is stopped so long before its host may leave: time for
-# the order, the stop itself and the look that brings its checkpoint.
-LEAVE_EARLY_S: Final = 0.8
+# A task that keeps checkpoints is stopped this long before its host may leave.  The time covers
+# the stop order, the stop itself and the poll that fetches the checkpoint.
+CHECKPOINT_STOP_LEAD_S: Final = 0.8
 
 
 def evacuate(pool: PoolJobs, now_s: float) -> list[Run]:
-    """Stop the runs that are to leave their hosts now; return them.
+    """Stop the runs that should leave their hosts now; return them.
 
-    A lasting task leaves when its step can spare it.  A task that ends by itself
-    is left to do so, unless its host is about to leave and its work can be kept.
-    Either goes only where another host has room for it.  What has to leave a draining host
-    comes first: tasks on sound hosts then see that it is away.
+    A lasting task is stopped when its step can spare it.  A task that ends by itself is left to
+    finish, unless its host is about to leave and the task keeps checkpoints.  Either is stopped
+    only if another host has the capacity for it.  Draining hosts are processed first, so that
+    tasks on other hosts already count those tasks as not running.
     """
     stopped = []
     usable = get_usable_hosts(pool, now_s)
@@ -34,7 +35,7 @@
             if (
                 run.phase is RunPhase.PRESENT
                 and not task.step.is_gang
-                and _is_to_leave(pool, host, job, task, run, now_s)
+                and _should_leave(pool, host, job, task, run, now_s)
                 and choose_host(pool, task, usable, now_s) is not None
             ):
                 pool.stop(run)
@@ -42,21 +43,21 @@
     return stopped
 
 
-def may_leave(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
-    """Tell whether a lasting task's step can spare it now."""
+def can_spare(pool: PoolJobs, job: Job, task: Task, now_s: float) -> bool:
+    """Tell whether a lasting task may stop without exceeding its step's limit of stopped tasks."""
     step = task.step
     if not step.has_not_running_limit:
         return True
     members = job.get_tasks(task.key.occurrence, task.key.step)
-    away = sum(not is_at_work(pool, other, now_s) for other in members if other is not task)
-    return away < step.not_running_max
+    not_working = sum(not is_working(pool, other, now_s) for other in members if other is not task)
+    return not_working < step.not_running_max
 
 
-def is_at_work(pool: PoolJobs, task: Task, now_s: float) -> bool:
-    """Tell whether a lasting task does its work, on a host that says so itself.
+def is_working(pool: PoolJobs, task: Task, now_s: float) -> bool:
+    """Tell whether a lasting task is known to work, by a report of a host that responds.
 
-    What runs on a silent host may have ended, and what an earlier owner told to stop,
-    just before the host heard of this one, may be about to.
+    A run on a silent host may have ended.  A run on a host that an earlier owner may have sent
+    stop orders, just before the host learned of this owner, may be about to end.
     """
     return any(
         run.phase is RunPhase.PRESENT
@@ -67,23 +68,26 @@
     )
 
 
-def _is_to_leave(pool: PoolJobs, host: Host, job: Job, task: Task, run: Run, now_s: float) -> bool:
+def _should_leave(pool: PoolJobs, host: Host, job: Job, task: Task, run: Run, now_s: float) -> bool:
+    """Tell whether a run on a draining or vacating host should be stopped now."""
     if task.step.is_lasting:
         if host.record.is_draining:
-            return not _is_other_ending(pool, job, task) or _is_about_to_go(host, now_s)
-        return may_leave(pool, job, task, now_s) and pool.may_restart(task)
+            return not _is_other_stopping(pool, job, task) or _leaves_soon(host, now_s)
+        return can_spare(pool, job, task, now_s) and pool.may_restart(task)
     if not task.step.keeps_checkpoints or host.leaves_at_s is None:
         return False
     left_s = host.leaves_at_s - now_s
-    takes_s = pool.run_times.estimate_s(job.spec.queue, task.step)
-    return left_s < LEAVE_EARLY_S and left_s < takes_s * (1 - run.progress_percent / 100)
+    duration_s = pool.run_times.estimate_s(job.spec.queue, task.step)
+    return left_s < CHECKPOINT_STOP_LEAD_S and left_s < duration_s * (
+        1 - run.progress_percent / 100
+    )
 
 
-def _is_other_ending(pool: PoolJobs, job: Job, task: Task) -> bool:
-    """Tell whether another task of a lasting step is being stopped on a sound host.
+def _is_other_stopping(pool: PoolJobs, job: Job, task: Task) -> bool:
+    """Tell whether another task of a lasting step is being stopped on a host that does not drain.
 
-    Of two that are stopped at once either may end first, and the one on the sound host must
-    not end while the other one is away.
+    Of two tasks that are stopped at the same time either may end first, and the one on the host
+    that does not drain must not end while the other one is not running.
     """
     if not task.step.has_not_running_limit:
         return False
@@ -96,8 +100,8 @@
     )
 
 
-def _is_about_to_go(host: Host, now_s: float) -> bool:
-    return host.leaves_at_s is not None and host.leaves_at_s - now_s < LEAVE_EARLY_S
+def _leaves_soon(host: Host, now_s: float) -> bool:
+    return host.leaves_at_s is not None and host.leaves_at_s - now_s < CHECKPOINT_STOP_LEAD_S
 
 
 def _is_leaving(host: Host, now_s: float) -> bool:
--- a/src/robinthread/_internal/node/config_holder.py
+++ b/src/robinthread/_internal/node/config_holder.py
@@ -1,4 +1,4 @@
-"""The newest configuration that this process has seen."""
+"""The latest fleet configuration and maintenance waves that this process has read."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,12 +13,13 @@
 
 
 class ConfigHolder:
-    """The configuration and the waves that the operators ask for.
+    """Holds the configuration and the maintenance waves that the operators published.
 
-    A version never goes back, whatever order records arrive in.  ``wave_seen_at_s`` is
-    when each wave was first seen here, by the event loop's clock: every node follows the
-    waves, so that a new steward knows how much of their time has gone.  ``limit_lowered_in`` is the
-    version in which a workspace's limit last fell here: more may run than it allows.
+    The version never decreases, whatever the order in which records arrive.  ``wave_seen_at_s``
+    is when this node first read each wave, by the event loop's clock.  Every node follows the
+    waves, so that a new steward knows how much of their duration has passed.
+    ``limit_lowered_in`` is, by workspace, the configuration version that last lowered its limit
+    while this process ran: more of its tasks may be running than the new limit allows.
     """
 
     def __init__(self, records: PlatformRecords, events: EventLog) -> None:
@@ -31,12 +32,12 @@
         self.changed = asyncio.Event()
 
     def get_share(self, workspace: str) -> float:
-        """Return a workspace's share in jobs a second, 0 where it has none."""
+        """Return the share of a workspace in jobs per second, 0 if it has none."""
         found = self.config.workspaces.get(workspace) if self.config is not None else None
         return 0.0 if found is None else found.share_jobs_per_s
 
     def apply(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
-        """Take in what the operators wrote; a key that expired changes nothing."""
+        """Apply records of the operators.  A record that expired changes nothing."""
         for record in records:
             if record.value is not None:
                 self._apply_one(record.key, record.value)
@@ -45,13 +46,13 @@
     def _apply_one(self, key: str, value: bytes) -> None:
         try:
             if key == self._records.config_key:
-                self._take_config(self._records.parse_config(value))
+                self._apply_config(self._records.parse_config(value))
             elif key.startswith(self._records.wave_prefix):
-                self._take_wave(self._records.parse_wave(value))
+                self._apply_wave(self._records.parse_wave(value))
         except msgspec.MsgspecError as error:
             self._events.write("record_malformed", key=key, error=str(error))
 
-    def _take_wave(self, wave: UpkeepWave) -> None:
+    def _apply_wave(self, wave: UpkeepWave) -> None:
         if self.waves.get(wave.number) != wave:
             self._events.write(
                 "wave_asked_for",
@@ -64,11 +65,11 @@
         self.waves[wave.number] = wave
         self.wave_seen_at_s.setdefault(wave.number, asyncio.get_running_loop().time())
 
-    def _take_config(self, config: FleetConfig) -> None:
+    def _apply_config(self, config: FleetConfig) -> None:
         if self.config is None or config.version > self.config.version:
             if self.config is not None:
-                self._tell_keys(self.config, config)
-                self._note_limits(self.config, config)
+                self._log_key_changes(self.config, config)
+                self._record_limit_changes(self.config, config)
             self.config = config
             self._events.write(
                 "config_in_force",
@@ -78,15 +79,17 @@
                 workspace_count=len(config.workspaces),
             )
 
-    def _note_limits(self, before: FleetConfig, config: FleetConfig) -> None:
+    def _record_limit_changes(self, before: FleetConfig, config: FleetConfig) -> None:
         for name, workspace in config.workspaces.items():
-            earlier = before.workspaces.get(name)
-            old = earlier.limit.astuple() if earlier is not None else (0, 0, 0)
+            workspace_before = before.workspaces.get(name)
+            old = workspace_before.limit.astuple() if workspace_before is not None else (0, 0, 0)
             new = workspace.limit.astuple()
             if old == new:
                 continue
             pairs = zip(old, new, strict=True)
-            has_fallen = any(most and (not had or most < had) for had, most in pairs)
+            has_fallen = any(
+                new_max and (not old_max or new_max < old_max) for old_max, new_max in pairs
+            )
             if has_fallen:
                 self.limit_lowered_in[name] = config.version
             self._events.write(
@@ -98,8 +101,8 @@
                 has_fallen=has_fallen,
             )
 
-    def _tell_keys(self, before: FleetConfig, config: FleetConfig) -> None:
-        """Tell which workspaces lost or gained keys, never the keys."""
+    def _log_key_changes(self, before: FleetConfig, config: FleetConfig) -> None:
+        """Log which workspaces have gained or lost API keys, without the keys."""
         for name in sorted(before.workspaces.keys() | config.workspaces.keys()):
             had, has = (
                 one.workspaces[name].key_digests if name in one.workspaces else frozenset()
--- a/src/robinthread/_internal/node/group_member.py
+++ b/src/robinthread/_internal/node/group_member.py
@@ -1,4 +1,4 @@
-"""Being a member of the store's group, and knowing who else is one."""
+"""Membership of this node in the store's group, and the list of the other members."""
 
 import asyncio
 import math
@@ -15,45 +15,43 @@
 from robinthread._internal.telemetry.event_log import EventLog
 
 GROUP: Final = "robinthread"
-# Only members that hold a partition are listed.  A topic has as few as twelve, and each is
-# dealt by itself among the members that joined with it: where all join with the same ones,
-# some never hold any (6 of 37 with eight topics).  So each node joins with one topic, at
-# first one of these,
+# The store lists only members that hold a partition.  A topic has as few as twelve partitions, and
+# the store assigns those of each topic separately among the members that joined with it.  If all
+# nodes joined with the same topics, some would never hold a partition (6 of 37 nodes with eight
+# topics).  So each node joins with a single topic, at first with one of the first FIRST_TOPICS.
 FIRST_TOPICS: Final = 8
-# and where it is not listed with the one that follows so many later; the store has room for
-# 100 topics in all.
+# A node that is not listed moves on by FIRST_TOPICS topics.  The store allows 100 topics in all.
 TOPICS_MAX: Final = 64
-# How often a member says that it lives.
+# Interval at which a member renews its membership by joining again.
 JOIN_PERIOD_S: Final = 0.3
-# A member is gone that has said nothing for so long, and a node that no list has named for
-# as long joins with another topic: a partition passes on when its holder has joined twice.
-PATIENCE_MIN_S: Final = 1.0
-# Where the store takes long, joins arrive that much more rarely: so many of them may be
-# due before a member is gone.  With 1 s at answers of 0.6 s, living members were taken as
-# gone 11 times in 30 s.
-PATIENCE_JOINS: Final = 3
-# A member that is gone is noticed after so long at the latest: half of the time for which
-# an owner goes on without the store.
-PATIENCE_MAX_S: Final = 3.0
-# How often a member tries whom the store does not serve.
+# A member expires when it has not joined for this long.  A node that has not been listed for as
+# long joins with another topic: a partition is reassigned once its holder has joined twice.
+MEMBER_TIMEOUT_MIN_S: Final = 1.0
+# With a slow store, joins arrive less often, so a member expires only after it has missed this many
+# joins.  With a timeout of 1 s and store latencies of 0.6 s, live members expired 11 times in 30 s.
+MEMBER_TIMEOUT_JOINS: Final = 3
+# Upper bound of the timeout of a member: half of the time for which an owner continues without
+# the store.
+MEMBER_TIMEOUT_MAX_S: Final = 3.0
+# Interval between joins while the store does not serve this node.
 REJOIN_PERIOD_S: Final = 0.1
-# What the longest time between two joins counts for at the next one: a tenth is left after
-# ten joins, some 3 s at the usual pace.
-GAP_KEPT_SHARE: Final = 0.8
-# After so many failures in a row, over so long, the store does not serve this node: one
-# answer may be lost, and a node that is turned away fails many times in a moment.
+# Factor by which the longest interval between joins decays with each join: a tenth remains after
+# ten joins, which is about 3 s at the regular interval.
+GAP_DECAY: Final = 0.8
+# The store counts as not serving this node after FAILURES_MIN failures in a row that span at least
+# FAILING_MIN_S: a single response may be lost, and a rejected node fails many times in a moment.
 FAILURES_MIN: Final = 2
 FAILING_MIN_S: Final = 0.2
-# How long the members must have been seen without a gap before one counts as missing.
+# How long the member lists must have had no gap before an unlisted member counts as missing.
 SETTLE_S: Final = 0.6
 
 
 class GroupMember:
-    """Keeps this node a member; ``members`` are those that the store listed last.
+    """Keeps this node a member of the group; ``members`` is the last list from the store.
 
-    ``listed_at_s`` is when that was, by the event loop's clock.  ``is_listed`` tells whether
-    this node was among them: others do not see it otherwise.  ``join_latency`` is that of joins,
-    which it makes all the time.
+    ``listed_at_s`` is when the store returned that list, by the event loop's clock.
+    ``is_listed`` is true if that list contains this node; other nodes do not see it otherwise.
+    ``join_latency`` is the latency of its joins, which it repeats continuously.
     """
 
     def __init__(
@@ -73,14 +71,14 @@
         self._topic = zlib.crc32(me.node.encode()) % FIRST_TOPICS
         self._topic_joined_at_s = math.inf
         self._was_listed: bool | None = None
-        self._began_joining_at_s = -math.inf
+        self._join_started_at_s = -math.inf
         self._join_gap_s = 0.0
-        self._wants_list = asyncio.Event()
+        self._list_requested = asyncio.Event()
         self._steady_since_s = math.inf
         self._joined_at_s = -math.inf
         self._failure_count = 0
         self._failing_since_s = math.inf
-        self._turn = asyncio.Lock()
+        self._join_lock = asyncio.Lock()
         self.join_latency = AppendLatency()
         self.generation = 0
         self.members: frozenset[Member] = frozenset()
@@ -89,68 +87,68 @@
         self.is_leaving = False
 
     async def run(self) -> None:
-        """Stay a member until cancelled or left.
+        """Renew the membership until cancelled or ``leave`` is called.
 
-        Members are listed beside that: a join that waits for a list comes late.
+        The members are listed in a task of their own, because a slow list would delay the joins.
         """
-        listing = asyncio.create_task(self._follow_list())
+        listing = asyncio.create_task(self._run_listing())
         try:
             while not self.is_leaving:
-                began_at_s = asyncio.get_running_loop().time()
+                started_at_s = asyncio.get_running_loop().time()
                 try:
-                    async with self._turn:
-                        await self._join(began_at_s)
+                    async with self._join_lock:
+                        await self._join(started_at_s)
                 except StoreError as error:
-                    self._note_failure(error)
-                await asyncio.sleep(self._get_pause_s(began_at_s))
+                    self._record_failure(error)
+                await asyncio.sleep(self._get_pause_s(started_at_s))
         finally:
             listing.cancel()
 
     async def leave(self) -> None:
-        """Stop being a member; a join under way must not follow."""
+        """Leave the group, once a join in progress has finished, and do not join again."""
         self.is_leaving = True
-        async with self._turn:
+        async with self._join_lock:
             await self._store.leave(GROUP, self._name)
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether the store does not serve this node."""
+        """Tell whether joins have failed often and long enough to treat this node as not served."""
         failing_s = asyncio.get_running_loop().time() - self._failing_since_s
         return self._failure_count >= FAILURES_MIN and failing_s >= FAILING_MIN_S
 
     @property
     def is_within_ttl(self) -> bool:
-        """Tell whether the store has heard this node within its time to live."""
+        """Tell whether this node has joined within its time to live and is not leaving."""
         return not self.is_leaving and self.get_store_silence_s() < self._get_ttl_ms() / 1000
 
     @property
     def is_served(self) -> bool:
-        """Tell whether the store answered this node's last join."""
+        """Tell whether the last join of this node succeeded."""
         return not self._failure_count and self._steady_since_s != math.inf
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the members have been heard for a while without a gap."""
+        """Tell whether this node has followed the members for SETTLE_S without a gap."""
         return asyncio.get_running_loop().time() - self._steady_since_s >= SETTLE_S
 
     def get_store_silence_s(self) -> float:
-        """Return for how long the store has not answered this node."""
+        """Return the seconds since the store last responded to a join of this node."""
         return asyncio.get_running_loop().time() - self._joined_at_s
 
-    def _get_pause_s(self, began_at_s: float) -> float:
+    def _get_pause_s(self, started_at_s: float) -> float:
         if self._failure_count:
             return REJOIN_PERIOD_S
-        return max(0.0, began_at_s + JOIN_PERIOD_S - asyncio.get_running_loop().time())
+        return max(0.0, started_at_s + JOIN_PERIOD_S - asyncio.get_running_loop().time())
 
-    def _get_patience_s(self) -> float:
-        """Return for how long a member may say nothing, at the pace of the last joins."""
-        due_s = PATIENCE_JOINS * self._join_gap_s
-        return min(max(PATIENCE_MIN_S, due_s), PATIENCE_MAX_S)
+    def _get_member_timeout_s(self) -> float:
+        """Return the seconds without a join after which a member expires at the current pace."""
+        due_s = MEMBER_TIMEOUT_JOINS * self._join_gap_s
+        return min(max(MEMBER_TIMEOUT_MIN_S, due_s), MEMBER_TIMEOUT_MAX_S)
 
     def _get_ttl_ms(self) -> int:
-        return max(self._ttl_min_ms, int(self._get_patience_s() * 1000))
+        return max(self._ttl_min_ms, int(self._get_member_timeout_s() * 1000))
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if self._steady_since_s != math.inf:
             self._events.write("membership_lost", error=f"{type(error).__name__}: {error}")
         self._steady_since_s = math.inf
@@ -161,10 +159,10 @@
         now_s = asyncio.get_running_loop().time()
         self._failing_since_s = min(self._failing_since_s, now_s)
 
-    async def _join(self, began_at_s: float) -> None:
+    async def _join(self, started_at_s: float) -> None:
         if self.is_leaving:
             return
-        self._note_pace(began_at_s)
+        self._record_join_gap(started_at_s)
         self.join_latency.begin()
         membership = await self._store.join(
             GROUP, self._name, [get_topic(self._topic)], self._get_ttl_ms(), self.generation
@@ -179,40 +177,40 @@
         is_changed = membership.generation != self.generation
         self.generation = membership.generation
         if is_changed or not self.is_listed or self._owner_liveness.is_list_due(self.listed_at_s):
-            self._wants_list.set()
+            self._list_requested.set()
 
-    def _note_pace(self, began_at_s: float) -> None:
-        """Note the time between two joins; the longest one counts less with each further join."""
-        gap_s = began_at_s - self._began_joining_at_s
+    def _record_join_gap(self, started_at_s: float) -> None:
+        """Record the interval between two joins; the longest one decays with each join."""
+        gap_s = started_at_s - self._join_started_at_s
         if gap_s != math.inf:
-            self._join_gap_s = max(gap_s, GAP_KEPT_SHARE * self._join_gap_s)
-        self._began_joining_at_s = began_at_s
+            self._join_gap_s = max(gap_s, GAP_DECAY * self._join_gap_s)
+        self._join_started_at_s = started_at_s
 
-    async def _follow_list(self) -> None:
-        """List the members whenever that is wanted, until cancelled."""
+    async def _run_listing(self) -> None:
+        """List the members on request until cancelled."""
         while True:
-            await self._wants_list.wait()
-            self._wants_list.clear()
+            await self._list_requested.wait()
+            self._list_requested.clear()
             try:
                 await self._list_members()
             except StoreError as error:
-                self._note_unread(error)
+                self._record_list_failure(error)
                 await asyncio.sleep(REJOIN_PERIOD_S)
 
-    def _note_unread(self, error: StoreError) -> None:
-        """Note that the members could not be listed: what was seen of them has a gap."""
+    def _record_list_failure(self, error: StoreError) -> None:
+        """Record that listing the members failed, which is a gap in the observed members."""
         self._events.write("members_unread", error=f"{type(error).__name__}: {error}")
         self._owner_liveness.clear()
         if self._steady_since_s != math.inf:
             self._steady_since_s = asyncio.get_running_loop().time()
-        self._wants_list.set()
+        self._list_requested.set()
 
     async def _list_members(self) -> None:
-        asked_at_s = asyncio.get_running_loop().time()
+        requested_at_s = asyncio.get_running_loop().time()
         names = await self._store.list_members(GROUP)
         self.members = frozenset(filter(None, map(self._parse_member, names)))
         self.listed_at_s = asyncio.get_running_loop().time()
-        # A list that was asked for before the last failure says nothing of now.
+        # A list that was requested before the last failure may be out of date.
         self.is_listed = self._me in self.members and not self._failure_count
         if self.is_listed != self._was_listed:
             self._was_listed = self.is_listed
@@ -222,7 +220,10 @@
                 listed_count=len(self.members),
                 topic=self._topic,
             )
-        if not self.is_listed and asked_at_s - self._topic_joined_at_s >= self._get_patience_s():
+        if (
+            not self.is_listed
+            and requested_at_s - self._topic_joined_at_s >= self._get_member_timeout_s()
+        ):
             self._change_topic()
 
     def _parse_member(self, name: str) -> Member | None:
@@ -233,11 +234,11 @@
             return None
 
     def _change_topic(self) -> None:
-        """Join with another topic from now on: this one's partitions are all taken."""
+        """Use another topic for the next joins: all partitions of this one are assigned."""
         self._topic_joined_at_s = math.inf
         self._topic = (self._topic + FIRST_TOPICS) % TOPICS_MAX
 
 
 def get_topic(number: int) -> str:
-    """Return the name of a topic whose holders are members."""
+    """Return the name of the topic with this number."""
     return f"robinthread.members.{number}"
--- a/src/robinthread/_internal/node/machine_orders.py
+++ b/src/robinthread/_internal/node/machine_orders.py
@@ -1,4 +1,4 @@
-"""Giving orders for machines until they are answered."""
+"""Sends orders for machines and repeats them until the platform responds."""
 
 import asyncio
 import math
@@ -30,30 +30,30 @@
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pause before an order without answer is given again.
+# Pause before an order that got no response is repeated.
 RETRY_PAUSE_S: Final = 0.3
-# How long a machine that was busy, or did not fit, gets no order.
+# How long a machine that was busy or not suitable gets no order.
 BUSY_PAUSE_S: Final = 1.0
 
 Order = MoveOrder | UpkeepOrder
-NoteFenced = Callable[[str], None]
+ReportFenced = Callable[[str], None]
 
 
 class MachineOrders:
-    """Orders under way, those just done, and machines that get none for a while.
+    """Tracks orders in progress, orders just completed and machines that get no order for a while.
 
-    An order that was done counts as under way until a list of machines that was
-    asked for later shows what it did.  ``moved`` tells when a machine was last
-    moved, and to which pool, and ``previously_ordered`` what the last steward recorded.
+    A completed order counts as in progress until a machine list that was requested later shows
+    its effect.  ``moved`` is, by machine, when and to which pool it was last moved.
+    ``previously_ordered`` are the machines that the previous steward recorded.
 
-    What the last steward ordered is left alone for ``wait_s``, which is 0 where that one gives
-    no more orders.  The next one may have to wait all the same, and has to know what may be
-    coming up: what was ordered within ``turn_s`` or ``settle_s``, in which a machine comes up,
-    or is still tried, is recorded in any case.  Once nothing has been ordered for so long,
-    the record is emptied.
+    Machines that the previous steward ordered get no order for ``wait_s``, which is 0 if it
+    can give no more orders.  The next steward may have to wait in any case, and has to know
+    which machines may be coming up.  So the record always contains the machines that were
+    ordered within ``turn_s`` or within ``settle_s``, in which a machine comes up or is still tried.
+    Once that time has passed without an order, an empty record is written.
 
-    An order that went unanswered stays under way while it may be carried out late, whatever its
-    repetition is told.
+    An order without a response stays in progress as long as it may be executed late, whatever
+    the outcome of its repetition.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         turn_s: float,
         settle_s: float,
         wait_s: float,
-        note_fenced: NoteFenced,
+        report_fenced: ReportFenced,
     ) -> None:
         self._machines = machines
         self._journal = journal
@@ -78,7 +78,7 @@
         self._turn_s = turn_s
         self._settle_s = settle_s
         self._wait_s = wait_s
-        self._note_fenced = note_fenced
+        self._report_fenced = report_fenced
         self.under_way: dict[str, Order] = {}
         self.moved: dict[str, tuple[float, str]] = {}
         self.previously_ordered: frozenset[str] = frozenset()
@@ -92,7 +92,7 @@
         self._is_stopped = False
 
     def load(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Leave the machines alone for a while that the last steward ordered."""
+        """Block the machines that the previous steward recorded for ``wait_s``."""
         now_s = get_loop_s()
         for record in records:
             try:
@@ -112,22 +112,23 @@
         self.unsettled.load(open_upkeep, has_previous_steward_ended=self._wait_s == 0)
 
     def list_blocked(self) -> frozenset[str]:
-        """Return the machines that are to get no order now."""
+        """Return the machines that must get no order now."""
         now_s = get_loop_s()
         paused = {name for name, until_s in self._paused_until_s.items() if now_s < until_s}
         return frozenset(self.under_way) | paused
 
     def list_leaving(self, known: Mapping[str, Machine]) -> frozenset[str]:
-        """Return the machines that may not stay where they are in the list.
+        """Return the machines that may be about to leave the pool in which they are listed.
 
-        One that the last steward moved stays where it is up in its pool, for a late order of
-        that steward would find it there; so does one that is up and whose upkeep has begun.
+        A machine that the previous steward moved does not count once it is up in its new pool, as
+        a late order of that steward would leave it there.  Neither does a machine that is up and
+        whose upkeep has begun.
         """
         return frozenset(self.under_way) | {
-            name for name in self.list_blocked() if not self._has_come(known.get(name))
+            name for name in self.list_blocked() if not self._has_arrived(known.get(name))
         }
 
-    def _has_come(self, machine: Machine | None) -> bool:
+    def _has_arrived(self, machine: Machine | None) -> bool:
         if machine is None or machine.state is not MachineState.UP:
             return False
         target = self._targets.get(machine.name, OrderTarget())
@@ -135,21 +136,21 @@
             return self._waves.has_begun(target.wave, machine.name)
         return machine.pool == target.pool
 
-    def record_listing(self, asked_at_s: float) -> None:
-        """Note that all orders done before a list was asked for show in it."""
-        for name in [name for name, done_s in self._done_at_s.items() if done_s < asked_at_s]:
+    def record_listing(self, requested_at_s: float) -> None:
+        """Drop orders that were completed before the machine list was requested."""
+        for name in [name for name, done_s in self._done_at_s.items() if done_s < requested_at_s]:
             del self._done_at_s[name]
             self.under_way.pop(name, None)
 
     async def give(self, orders: tuple[Order, ...]) -> None:
-        """Record the machines that are about to be ordered, then give the orders."""
-        await self._record(orders)
+        """Write a record of the machines to be ordered, then start the orders."""
+        await self._write_record(orders)
         for order in orders:
             self.under_way[order.machine] = order
-            self._spawn(self._carry_out(order))
+            self._spawn(self._execute(order))
 
     def drop_settled(self) -> None:
-        """Have the record emptied if all that it names was ordered long ago."""
+        """Empty the record if no order is open and the last one is ``settle_s`` ago."""
         last_s = max(self._ordered_at_s.values(), default=-math.inf)
         is_open = self.under_way or self.unsettled.get_waves()
         is_settled = not is_open and get_loop_s() - last_s >= self._settle_s
@@ -158,7 +159,7 @@
             self._spawn(self._empty_record())
 
     def cancel(self) -> list[asyncio.Task[Any]]:
-        """Have all orders under way end, and return their tasks."""
+        """Cancel all orders in progress, and return their tasks."""
         self._is_stopped = True
         tasks = list(self._tasks)
         for task in tasks:
@@ -170,7 +171,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _record(self, orders: tuple[Order, ...]) -> None:
+    async def _write_record(self, orders: tuple[Order, ...]) -> None:
         if not orders:
             return
         now_s = get_loop_s()
@@ -180,50 +181,50 @@
             if now_s - ordered_s < max(self._turn_s, self._settle_s)
         }
         self._targets |= {order.machine: _get_target(order) for order in orders}
-        given = (order.machine for order in orders)
+        ordered = (order.machine for order in orders)
         unsettled = self.unsettled.get_waves()
-        names = {*given, *self.under_way, *self._ordered_at_s, *unsettled}
+        names = {*ordered, *self.under_way, *self._ordered_at_s, *unsettled}
         recent = {name: self._targets[name] for name in names}
         if not recent.items() <= self._recorded.items():
             await self._journal.write([make_orders_record(recent)])
             self._recorded = recent
 
     async def _empty_record(self) -> None:
-        """Write an empty record; the journal writes that of the next orders after it."""
+        """Write an empty record; records of later orders follow it in the journal."""
         try:
             await self._journal.write([make_orders_record({})])
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._report_fenced("StoreFencedError")
 
-    async def _carry_out(self, order: Order) -> None:
-        """Give an order until it is answered; one without answer may yet be done."""
-        may_be_done_until_s = -math.inf
+    async def _execute(self, order: Order) -> None:
+        """Send an order until it gets a response; one without may still be executed."""
+        may_be_executed_until_s = -math.inf
         try:
             while not self._is_stopped:
                 try:
                     await self._send(order)
                 except MachineNoAnswerError as error:
-                    may_be_done_until_s = get_loop_s() + ORDER_DELAY_MAX_S
-                    self._note(order, "no answer", str(error))
+                    may_be_executed_until_s = get_loop_s() + ORDER_DELAY_MAX_S
+                    self._log_outcome(order, "no answer", str(error))
                     await asyncio.sleep(RETRY_PAUSE_S)
                     continue
                 except MachineFencedError:
-                    self._note_fenced("MachineFencedError")
+                    self._report_fenced("MachineFencedError")
                 except MachineError as error:
-                    self._note(order, _get_outcome(error), str(error))
-                    # This outcome does not tell what an earlier try without answer may yet do.
-                    if get_loop_s() < may_be_done_until_s:
+                    self._log_outcome(order, _get_outcome(error), str(error))
+                    # An earlier attempt without a response may still be executed.
+                    if get_loop_s() < may_be_executed_until_s:
                         await asyncio.sleep(BUSY_PAUSE_S)
                         continue
                     self._paused_until_s[order.machine] = get_loop_s() + BUSY_PAUSE_S
                 else:
-                    self._note(order, "done")
-                    await self._note_done(order)
+                    self._log_outcome(order, "done")
+                    await self._record_done(order)
                 return
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._report_fenced("StoreFencedError")
         finally:
-            # A slow store may have held this one up until the machine had its next order.
+            # While a slow store delayed this order, the machine may have got its next one.
             is_own = self.under_way.get(order.machine) is order
             if is_own and order.machine not in self._done_at_s:
                 del self.under_way[order.machine]
@@ -235,7 +236,7 @@
         else:
             await self._machines.begin_upkeep(order.machine, order.wave, self._holder, self._token)
 
-    async def _note_done(self, order: Order) -> None:
+    async def _record_done(self, order: Order) -> None:
         self._done_at_s[order.machine] = get_loop_s()
         if isinstance(order, MoveOrder):
             self.moved[order.machine] = (get_loop_s(), order.pool)
@@ -243,7 +244,7 @@
             self.unsettled.settle(order.machine)
             await self._waves.record_start(order.wave, order.machine)
 
-    def _note(self, order: Order, outcome: str, error: str = "") -> None:
+    def _log_outcome(self, order: Order, outcome: str, error: str = "") -> None:
         detail = {"error": error} if error else {}
         if isinstance(order, UpkeepOrder):
             self._events.write(
--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -1,4 +1,4 @@
-"""Lines that tell, time and again, how a node and its pools stand."""
+"""Periodic log lines with the status of a node and of the pools that it owns."""
 
 import asyncio
 from collections import Counter
@@ -13,18 +13,18 @@
 from robinthread._internal.node.readiness import Readiness
 from robinthread._internal.telemetry.event_log import EventLog
 
-# How often there is a look at what has changed.
-LOOK_PERIOD_S: Final = 0.25
-# How often a pool is told that is not open yet.  Openings took 0.2 to 0.3 s with a store
-# that answers.
+# Interval between checks for lines that are due.
+CHECK_PERIOD_S: Final = 0.25
+# Interval between log lines on a pool that is not open yet.  With a store that responds, opening
+# a pool took 0.2 to 0.3 s.
 SLOW_PERIOD_S: Final = 1.0
-# How often each pool is told.  Its line has some 400 bytes, so that a minute of a pool takes
-# a fifth of what collectors keep of a process at least (54 KB).
+# Interval between the status lines of a pool.  A line has about 400 bytes, so a minute of one pool
+# takes a fifth of the 54 KB that log collectors retain at least of a process.
 STATUS_PERIOD_S: Final = 2.0
 
 
 class StatusReporter:
-    """Tells how the pools stand that are owned here, open or not."""
+    """Logs the status of the pools that this node owns, whether open or not."""
 
     def __init__(
         self, owned: OwnedPools, lag: LoopLag, readiness: Readiness, events: EventLog
@@ -33,47 +33,47 @@
         self._lag = lag
         self._readiness = readiness
         self._events = events
-        self._told_at_s = 0.0
+        self._logged_at_s = 0.0
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Log until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_PERIOD_S)
+            await asyncio.sleep(CHECK_PERIOD_S)
             self.check()
 
     def check(self) -> None:
-        """Write what is due now."""
+        """Log what is due now."""
         self._events.tell_gathered()
         self._readiness.check()
-        is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
+        is_due = get_loop_s() - self._logged_at_s >= STATUS_PERIOD_S
         if is_due:
-            self._told_at_s = get_loop_s()
+            self._logged_at_s = get_loop_s()
         for owner in self._owned.owners.values():
             if not owner.is_open and owner.opening.is_report_due(SLOW_PERIOD_S):
-                self._tell_slow(owner)
+                self._log_slow_opening(owner)
             if is_due:
-                self._tell_standing(owner)
+                self._log_status(owner)
 
     def read_states(self) -> dict[str, float]:
-        """Return 1 for each pool that is open and 0 for each that was only taken."""
+        """Return, by pool, 1 if it is open and 0 if it is still opening."""
         return {pool: float(owner.is_open) for pool, owner in self._owned.owners.items()}
 
     def count_lasting_not_running(self) -> dict[str, float]:
-        """Count, by pool, the lasting tasks that run nowhere."""
+        """Return, by pool, the number of lasting tasks that are not running."""
         return {
             pool: sum(task.step.is_lasting for task in owner.jobs.waiting.values())
             for pool, owner in self._owned.owners.items()
         }
 
     def read_workspace_parts(self) -> dict[str, float]:
-        """Return, by pool and workspace, which part of its limit a workspace takes there."""
+        """Return, by ``pool/workspace``, the used fraction of the workspace's limit."""
         return {
             f"{pool}/{workspace}": part
             for pool, owner in self._owned.owners.items()
             for workspace, part in owner.jobs.workspaces.get_used_fractions().items()
         }
 
-    def _tell_slow(self, owner: PoolOwner) -> None:
+    def _log_slow_opening(self, owner: PoolOwner) -> None:
         self._events.write(
             "pool_opening_slow",
             pool=owner.pool,
@@ -82,7 +82,7 @@
             **owner.opening.make_timing_fields(),
         )
 
-    def _tell_standing(self, owner: PoolOwner) -> None:
+    def _log_status(self, owner: PoolOwner) -> None:
         waiting = owner.jobs.waiting.values()
         self._events.write(
             "owner_standing",
@@ -94,27 +94,27 @@
             job_count=len(owner.jobs.jobs),
             waiting=len(waiting),
             waiting_lasting=sum(task.step.is_lasting for task in waiting),
-            **_tell_workspaces(owner.jobs.workspaces),
+            **_make_workspace_fields(owner.jobs.workspaces),
             **_count_hosts(list(owner.jobs.hosts.values()), get_loop_s()),
             store_unconfirmed_for_s=round(owner.get_unconfirmed_s(), 3),
         )
 
 
-def _tell_workspaces(room: WorkspaceLimiter) -> dict[str, Any]:
-    """Tell of the workspaces that are near their share here, and of those held back by it."""
-    parts = room.get_used_fractions()
-    told = {
-        name: [round(parts.get(name, 0.0), 3), round(room.get_share(name), 3)]
-        for name in room.list_reported()
+def _make_workspace_fields(limiter: WorkspaceLimiter) -> dict[str, Any]:
+    """Return log fields on workspaces near their share and on those held back by it."""
+    fractions = limiter.get_used_fractions()
+    reported = {
+        name: [round(fractions.get(name, 0.0), 3), round(limiter.get_share(name), 3)]
+        for name in limiter.list_reported()
     }
-    return {"workspaces": told, "held_back": sorted(room.held_back)} if told else {}
+    return {"workspaces": reported, "held_back": sorted(limiter.held_back)} if reported else {}
 
 
 def _count_hosts(hosts: list[Host], now_s: float) -> dict[str, Any]:
-    """Count hosts by how they are heard, and find the lease with runs that ends first."""
+    """Count hosts by contact state, and find the earliest end of a lease with runs."""
     counts = Counter(host.contact.value if host.is_listed else "unlisted" for host in hosts)
     left_s = min((host.lease.over_at_s - now_s for host in hosts if host.runs), default=None)
     return {
-        **{f"{how}_hosts": count for how, count in counts.items()},
+        **{f"{state}_hosts": count for state, count in counts.items()},
         "lease_left_s": None if left_s is None else round(left_s, 3),
     }
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -1,4 +1,4 @@
-"""Giving all orders for the fleet's machines."""
+"""The steward, which gives all orders for the machines of the fleet."""
 
 import asyncio
 from typing import Any, Final
@@ -30,24 +30,25 @@
 from robinthread._internal.node.wave_tracker import WaveTracker
 from robinthread._internal.telemetry.gathered_lines import NAMES_MAX
 
-# How often the pools are asked how they stand, and the fleet is planned.
+# Interval at which the pools' status reports are requested and the fleet is planned.
 STEP_S: Final = 0.1
-# How often the machines are listed; each list is paid for.  The steward's own orders
-# tell most of what changes.
+# Interval at which the machines are listed; each list has a cost, and the steward knows most
+# changes from its own orders.
 LIST_PERIOD_S: Final = 0.3
-# Pause before a failed read of the store is made again.
+# Pause before a failed read of the store is retried.
 RETRY_PAUSE_S: Final = 0.3
-# When a machine is looked out for, before and after its move should be over.
+# A pool's owner is to expect a host from HOST_EARLY_S before to HOST_LATE_S after the time at which
+# the move of its machine should be over.
 HOST_EARLY_S: Final = 0.15
 HOST_LATE_S: Final = 0.6
 
 
 class Steward:
-    """The one node that orders machines, under one token.
+    """Gives the orders for machines, under one fencing token.
 
-    It orders a machine only where its pool's owner has emptied it, or where it
-    is in the reserve.  Machines that an earlier steward may just have ordered
-    are left alone until ``wait_s`` has passed.
+    It orders a machine only if the owner of its pool has drained it, or if it is in the
+    reserve.  Machines that an earlier steward may have ordered recently get no order until
+    ``wait_s`` has passed.
     """
 
     def __init__(
@@ -78,13 +79,13 @@
             context.store, ORDERS_PARTITION, writer, token, context.events
         )
         self._planner = FleetPlanner(context.policy.fleet)
-        self._shares = ShareAllocator(
+        self._share_allocator = ShareAllocator(
             token, context.policy.workspaces.kept_share, get_loop_s(), context.events
         )
         self._listed_at_s = -LIST_PERIOD_S
         self._sizes: dict[str, PoolSize] = {}
         self._vacate: dict[str, frozenset[str]] = {}
-        self._lines = UpkeepReporter(context.events)
+        self._upkeep_reporter = UpkeepReporter(context.events)
         self.fenced = asyncio.Event()
         self._waves = WaveTracker(
             self._wave_journal,
@@ -103,37 +104,37 @@
             context.settings.bounds.steward_turn_ms / 1000,
             _get_settle_s(context.settings.bounds),
             wait_s,
-            self._note_fenced,
+            self._mark_fenced,
         )
-        self._views = FleetViewBuilder(context, self._orders, self._waves)
+        self._view_builder = FleetViewBuilder(context, self._orders, self._waves)
 
     async def run(self) -> None:
-        """Give orders until cancelled or fenced."""
+        """Plan and give orders until cancelled or fenced."""
         try:
             await self._wave_journal.open()
             await self._status_journal.open()
             await self._orders_journal.open()
             self._waves.load(await self._read_newest(WAVES_PARTITION))
             self._orders.load(await self._read_newest(ORDERS_PARTITION))
-            self._note_began()
+            self._log_start()
             while not self.fenced.is_set():
                 await self._step()
                 await asyncio.sleep(STEP_S)
         except StoreFencedError:
-            self._note_fenced("StoreFencedError")
+            self._mark_fenced("StoreFencedError")
 
     async def stop(self) -> None:
-        """Give no more orders."""
+        """Cancel all orders and wait until they have ended."""
         self._events.write("steward_ended", token=self.token)
         await asyncio.gather(*self.cancel(), return_exceptions=True)
 
     def cancel(self) -> list[asyncio.Task[Any]]:
-        """Have all orders under way end, and return their tasks."""
+        """Cancel all orders in progress, and return their tasks."""
         return self._orders.cancel()
 
-    def _note_began(self) -> None:
-        """Tell what this steward knows of the one before it."""
-        waves = self._views.list_waves()
+    def _log_start(self) -> None:
+        """Log the start, with the state that was loaded from the previous steward."""
+        waves = self._view_builder.list_waves()
         self._events.write(
             "steward_began",
             token=self.token,
@@ -153,13 +154,15 @@
 
     async def _step(self) -> None:
         is_listed = await self._list_machines()
-        reports = await self._ask_pools()
+        reports = await self._query_pools()
         if not is_listed:
             return
-        if self._views.machines:
-            await self._waves.publish_status(self._views.list_waves(), self._views.machines)
-        view = self._views.build(reports)
-        self._lines.report_down(view.waves, self._views.machines)
+        if self._view_builder.machines:
+            await self._waves.publish_status(
+                self._view_builder.list_waves(), self._view_builder.machines
+            )
+        view = self._view_builder.build(reports)
+        self._upkeep_reporter.report_down(view.waves, self._view_builder.machines)
         plan = self._planner.plan(view, get_loop_s())
         for pool, machines in plan.vacate.items():
             if machines != self._vacate.get(pool, frozenset()):
@@ -170,13 +173,13 @@
                     machines=sorted(machines)[:NAMES_MAX],
                 )
         self._vacate = plan.vacate
-        self._note_sizes(view, plan)
-        self._lines.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
+        self._log_sizes(view, plan)
+        self._upkeep_reporter.report_orders(view, plan.orders, get_loop_s() - self._listed_at_s)
         await self._orders.give(plan.orders)
         self._orders.drop_settled()
 
-    def _note_sizes(self, view: FleetView, plan: FleetPlan) -> None:
-        """Tell of each pool whose size has changed."""
+    def _log_sizes(self, view: FleetView, plan: FleetPlan) -> None:
+        """Log each pool whose target size has changed."""
         for pool in view.pools:
             size = plan.sizes[pool.name]
             if self._sizes.get(pool.name) != size:
@@ -198,48 +201,48 @@
                 )
 
     async def _list_machines(self) -> bool:
-        """List the machines if that is due; return whether the list is good."""
-        asked_at_s = get_loop_s()
-        if asked_at_s - self._listed_at_s < LIST_PERIOD_S:
+        """List the machines if that is due; return whether a valid list is available."""
+        requested_at_s = get_loop_s()
+        if requested_at_s - self._listed_at_s < LIST_PERIOD_S:
             return True
         try:
             listed = await self._machines.list_machines()
         except MachineError as error:
             self._events.write("machines_unread", error=f"{type(error).__name__}: {error}")
             return False
-        self._listed_at_s = asked_at_s
-        self._views.record_listing(listed, asked_at_s)
+        self._listed_at_s = requested_at_s
+        self._view_builder.record_listing(listed, requested_at_s)
         return True
 
-    async def _ask_pools(self) -> dict[str, PoolReport]:
+    async def _query_pools(self) -> dict[str, PoolReport]:
         holder = self._context.config_holder
         config = holder.config
         if config is None:
             return {}
         pools = config.list_working_pools()
-        answers = await asyncio.gather(*(self._ask_pool(pool, config) for pool in pools))
+        responses = await asyncio.gather(*(self._query_pool(pool, config) for pool in pools))
         reports = {
-            pool: report for pool, report in zip(pools, answers, strict=True) if report.is_owner
+            pool: report for pool, report in zip(pools, responses, strict=True) if report.is_owner
         }
-        self._shares.record_reports(config, reports)
-        self._shares.decide(config, holder.limit_lowered_in, get_loop_s())
+        self._share_allocator.record_reports(config, reports)
+        self._share_allocator.decide(config, holder.limit_lowered_in, get_loop_s())
         return reports
 
-    async def _ask_pool(self, pool: str, config: FleetConfig) -> PoolReport:
+    async def _query_pool(self, pool: str, config: FleetConfig) -> PoolReport:
         owner = self._table.get(pool)
-        question = FleetReportRequest(
+        request = FleetReportRequest(
             pool,
             tuple(sorted(self._vacate.get(pool, ()))),
             self._expects_hosts(pool),
-            self._views.list_ended_hosts(pool),
-            self._shares.make_order(pool, config),
+            self._view_builder.list_ended_hosts(pool),
+            self._share_allocator.make_order(pool, config),
         )
         if owner is None:
             return PoolReport(is_owner=False)
         if owner.owner == self._me:
-            return self._owned.handle_fleet_report(question)
+            return self._owned.handle_fleet_report(request)
         try:
-            return await self._peers.send_request(owner.owner.address, question, PoolReport)
+            return await self._peers.send_request(owner.owner.address, request, PoolReport)
         except PeerUnreachableError:
             return PoolReport(is_owner=False)
 
@@ -253,16 +256,17 @@
             if moved_to == pool
         )
 
-    def _note_fenced(self, by: str) -> None:
+    def _mark_fenced(self, by: str) -> None:
         if not self.fenced.is_set():
             self._events.write("steward_fenced", token=self.token, by=by)
         self.fenced.set()
 
 
 def _get_settle_s(bounds: NodeBounds) -> float:
-    """Return for how long after an order the next steward may have to know of it.
+    """Return the seconds after an order for which the next steward may have to know of it.
 
-    Two stewards take turns no faster, and until then the machine may be on its way.
+    That covers the minimum time between the orders of two stewards, and the time in which the
+    machine may be moving or in upkeep and its host has not reported yet.
     """
-    away_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
-    return max(bounds.steward_turn_ms / 1000, away_s + FIRST_REPORT_MAX_S)
+    unavailable_s = max(bounds.machine_move_s, bounds.machine_upkeep_s)
+    return max(bounds.steward_turn_ms / 1000, unavailable_s + FIRST_REPORT_MAX_S)
--- a/src/robinthread/_internal/node/wave_tracker.py
+++ b/src/robinthread/_internal/node/wave_tracker.py
@@ -1,4 +1,4 @@
-"""How far each maintenance wave has come."""
+"""Tracks the progress of each maintenance wave."""
 
 from collections.abc import Iterable, Mapping
 
@@ -12,14 +12,14 @@
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.node.environment import PlatformRecords
 from robinthread._internal.node.pool_runtime import get_loop_s
-from robinthread._internal.node.upkeep_tracker import FindLife, UpkeepTracker
+from robinthread._internal.node.upkeep_tracker import FindIncarnation, UpkeepTracker
 from robinthread._internal.telemetry.event_log import EventLog
 
 
 class WaveTracker:
-    """Which machines of each wave have begun their upkeep and are not back; what is shown of it.
+    """Tracks which machines have begun their upkeep for a wave and which are back.
 
-    An upkeep takes a machine ``upkeep_s``.
+    Publishes the status of each wave.  The upkeep of a machine takes ``upkeep_s`` seconds.
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         self._records = records
         self._events = events
         self._begun: dict[int, set[str]] = {}
-        self._returns = UpkeepTracker(upkeep_s)
-        self._shown: dict[int, bool] = {}
+        self._upkeep_tracker = UpkeepTracker(upkeep_s)
+        self._published: dict[int, bool] = {}
 
     def load(self, records: Iterable[KeyedRecord]) -> None:
-        """Take in what earlier stewards recorded."""
+        """Load the progress that earlier stewards recorded."""
         for record in records:
             try:
                 progress = parse_wave_record(record)
@@ -49,20 +49,24 @@
             self._begun[progress.wave] = set(progress.begun)
 
     async def record_start(self, wave: int, machine: str) -> None:
-        """Record that a machine's upkeep has begun."""
-        self._returns.record_start(machine)
+        """Record, also in the journal, that a machine's upkeep for a wave has begun."""
+        self._upkeep_tracker.record_start(machine)
         begun = self._begun.setdefault(wave, set())
         begun.add(machine)
         await self._journal.write([make_wave_record(wave, begun)])
 
     def record_earlier_orders(self, machines: Iterable[str]) -> None:
-        """Note which machines an earlier steward may have just ordered, by its record."""
+        """Record the machines that an earlier steward may have just ordered."""
         for machine in self._list_begun(machines):
-            self._returns.record_start(machine, is_doubtful=True)
+            self._upkeep_tracker.record_start(machine, is_unconfirmed=True)
 
-    def record_observation(self, machines: Mapping[str, Machine], find_life: FindLife) -> None:
-        """Take in the machines as listed last; ``find_life`` tells whose host is heard of."""
-        self._returns.record_observation(machines, find_life, self._list_begun(machines))
+    def record_observation(
+        self, machines: Mapping[str, Machine], find_incarnation: FindIncarnation
+    ) -> None:
+        """Apply the last machine list; ``find_incarnation`` finds the machines' hosts."""
+        self._upkeep_tracker.record_observation(
+            machines, find_incarnation, self._list_begun(machines)
+        )
 
     def _list_begun(self, machines: Iterable[str]) -> frozenset[str]:
         return frozenset(machines) & frozenset().union(*self._begun.values())
@@ -72,26 +76,26 @@
         return machine in self._begun.get(wave, ())
 
     def count_begun(self, wave: int) -> int:
-        """Return how many machines have begun their upkeep for a wave."""
+        """Return the number of machines that have begun their upkeep for a wave."""
         return len(self._begun.get(wave, ()))
 
     def get_pending(self, wave: UpkeepWave, machines: dict[str, Machine]) -> frozenset[str]:
-        """Return the machines that stay and whose upkeep has not begun."""
+        """Return the listed machines of a wave whose upkeep has not begun."""
         begun = self._begun.get(wave.number, set())
         return frozenset(name for name in wave.machines if name not in begun and name in machines)
 
     def make_view(
         self,
         wave: UpkeepWave,
-        seen_at_s: float,
+        first_seen_at_s: float,
         machines: dict[str, Machine],
         under_way: Mapping[str, object],
         unsettled: Mapping[str, int],
     ) -> WaveView:
-        """Return a wave, first seen at ``seen_at_s``, as the planner sees it.
+        """Return the planner's view of a wave that was first seen at ``first_seen_at_s``.
 
-        The upkeep of ``unsettled`` machines, each for a wave, may begin without any order of
-        this steward, also while it has one moved.
+        The upkeep of the ``unsettled`` machines, each with its wave, may begin without an order of
+        this steward, even while this steward is moving the machine.
         """
         members = frozenset(wave.machines) & machines.keys()
         pending = self.get_pending(wave, machines)
@@ -99,7 +103,7 @@
         open_orders = {
             name for name in members & unsettled.keys() if not self.has_begun(unsettled[name], name)
         }
-        own = frozenset(
+        unsettled_here = frozenset(
             name for name in open_orders - under_way.keys() if unsettled[name] == wave.number
         )
         return WaveView(
@@ -107,21 +111,23 @@
             machines=members,
             pending=pending,
             at_once_max=wave.at_once_max,
-            down=self._returns.list_down(members) | ordered | (open_orders - own),
-            left_s=seen_at_s + wave.duration_s - get_loop_s(),
-            unsettled=own,
-            unconfirmed=(self._returns.list_doubtful(members) | open_orders) - ordered - own,
+            down=self._upkeep_tracker.list_down(members) | ordered | (open_orders - unsettled_here),
+            left_s=first_seen_at_s + wave.duration_s - get_loop_s(),
+            unsettled=unsettled_here,
+            unconfirmed=(self._upkeep_tracker.list_unconfirmed(members) | open_orders)
+            - ordered
+            - unsettled_here,
         )
 
     async def publish_status(
         self, waves: Iterable[UpkeepWave], machines: dict[str, Machine]
     ) -> None:
-        """Write the status of each wave where it has changed."""
+        """Publish the status of each wave whose status has changed."""
         for wave in waves:
             is_done = not self.get_pending(wave, machines)
-            if self._shown.get(wave.number) is not is_done:
+            if self._published.get(wave.number) is not is_done:
                 await self._status_journal.write(
                     [self._records.make_wave_status(wave.number, is_done)]
                 )
-                self._shown[wave.number] = is_done
+                self._published[wave.number] = is_done
                 self._events.write("wave_shown", wave=wave.number, is_done=is_done)
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -1,7 +1,7 @@
-"""Days of hosts that start whatever they are told, while their rooms shrink and grow.
+"""Random days of hosts that do not check their capacity, while it shrinks and grows.
 
-Each is drawn wholly from its seed: when which host has how much room, jobs of all kinds that more
-than fill the hosts, and what else goes wrong with nodes, store, hosts and orders.
+Each day is drawn from its seed alone: the capacity of each host over time, jobs of all kinds that
+need more than the hosts have, and failures of nodes, store, hosts and orders.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 JOBS = 70
 JOB_PERIOD_S = 0.25
-# Rooms change and troubles come for as long as jobs do.
+# Capacities change and failures occur as long as jobs arrive.
 LENGTH_S = JOBS * JOB_PERIOD_S
 ENDED_WITHIN_S = 400.0
 CPU_MILLICORES = (2000, 4000, 9000, 16_000)
@@ -58,8 +58,8 @@
 
 
 @dataclass(frozen=True)
-class RoomChange:
-    """A host has another room from ``at_s`` on; ``target`` picks, by its rest, which."""
+class CapacityChange:
+    """A host changes its capacity at ``at_s``; ``target`` selects it, modulo the running hosts."""
 
     at_s: float
     target: int
@@ -67,11 +67,11 @@
 
 
 @dataclass(frozen=True)
-class RoomDay:
-    """A day: its hosts, its jobs, how rooms change, and what goes wrong.
+class CapacityDay:
+    """A day: its hosts, its jobs, the changes of capacity, and the failures.
 
-    ``unread`` are the spans in which nobody can read the hosts' entries, and all else works;
-    ``undone`` those in which orders to hosts are neither carried out nor answered.
+    ``unread`` are the spans in which the hosts' entries cannot be read while the rest of the store
+    works; ``undone`` those in which orders to hosts are neither carried out nor answered.
     """
 
     seed: int
@@ -79,15 +79,15 @@
     heartbeat_s: float
     work_s: float
     specs: tuple[JobSpec, ...]
-    changes: tuple[RoomChange, ...]
+    changes: tuple[CapacityChange, ...]
     troubles: tuple[Trouble, ...]
     unread: tuple[Span, ...]
     undone: tuple[Span, ...]
 
 
 @dataclass(frozen=True)
-class RoomFindings:
-    """What was seen on a day and must not be."""
+class CapacityFindings:
+    """The violations that were found on a day, and the jobs that did not end."""
 
     seed: int
     breaks: tuple[str, ...]
@@ -95,15 +95,15 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Tell whether the day has no findings."""
         return not (self.breaks or self.undone)
 
 
-def draw_room_day(seed: int) -> RoomDay:
+def draw_capacity_day(seed: int) -> CapacityDay:
     """Draw a day from its seed alone."""
     drawn = random.Random(seed)
     specs = tuple(make_job(number + 10, *drawn.choice(SHAPES)) for number in range(JOBS))
-    return RoomDay(
+    return CapacityDay(
         seed,
         drawn.choice((1, 3, 6)),
         drawn.choice(HEARTBEATS_S),
@@ -116,28 +116,28 @@
     )
 
 
-def find_on_room_day(seed: int) -> RoomFindings:
-    """Play the day of a seed on virtual time; that it does not go on is found as well."""
+def find_on_capacity_day(seed: int) -> CapacityFindings:
+    """Simulate the day of a seed on virtual time; a simulation that stops is a finding as well."""
     try:
-        return run_virtual(play_room_day(draw_room_day(seed)))
+        return run_virtual(play_capacity_day(draw_capacity_day(seed)))
     except AssertionError as error:
-        return RoomFindings(seed, (), (str(error),))
+        return CapacityFindings(seed, (), (str(error),))
 
 
-async def play_room_day(day: RoomDay) -> RoomFindings:
-    """Play a day, and tell what was found."""
+async def play_capacity_day(day: CapacityDay) -> CapacityFindings:
+    """Simulate a day and return its findings."""
 
     def plan(task: TaskKey) -> TaskPlan:
         step = next(spec for spec in day.specs if spec.job_id == task.job_id).steps[task.step]
         gang_size = step.task_count if step.is_gang else 0
         return TaskPlan(day.work_s, step.resources, gang_size=gang_size)
 
-    pools = tuple(_let_start_whatever(pool) for pool in POOLS)
+    pools = tuple(_disable_capacity_check(pool) for pool in POOLS)
     platform = await start_platform(plan, hosts=day.hosts, seed=day.seed, pools=pools)
     platform.hosts_check_room = False
     beating = asyncio.create_task(_keep_heartbeats(platform, day.heartbeat_s))
     feeding = asyncio.create_task(feed(platform, day.specs, JOB_PERIOD_S))
-    changing = asyncio.create_task(_change_rooms(platform, day.changes))
+    changing = asyncio.create_task(_change_capacities(platform, day.changes))
     await asyncio.gather(
         *(_play_trouble(platform, each) for each in day.troubles),
         *(_hide_entries(platform, span) for span in day.unread),
@@ -154,14 +154,14 @@
         for job_id, status in statuses.items()
         if status is None or not status.is_final
     ]
-    return RoomFindings(day.seed, tuple(_find_breaks(platform, day)), tuple(undone))
+    return CapacityFindings(day.seed, tuple(_find_breaks(platform, day)), tuple(undone))
 
 
-def _draw_changes(drawn: random.Random) -> Iterator[RoomChange]:
+def _draw_changes(drawn: random.Random) -> Iterator[CapacityChange]:
     period_s, at_s = drawn.choice(CHANGE_PERIODS_S), 0.0
     while at_s < LENGTH_S:
         capacity = Resources(drawn.choice(CPU_MILLICORES), HOST_CAPACITY.memory_mb)
-        yield RoomChange(at_s, drawn.randrange(1000), capacity)
+        yield CapacityChange(at_s, drawn.randrange(1000), capacity)
         at_s += drawn.uniform(0, period_s)
 
 
@@ -177,12 +177,12 @@
         yield at_s, at_s + drawn.uniform(1.0, 10.0)
 
 
-def _let_start_whatever(pool: PoolPolicy) -> PoolPolicy:
+def _disable_capacity_check(pool: PoolPolicy) -> PoolPolicy:
     return replace(pool, hosts_check_room=False)
 
 
-def _find_breaks(platform: PlatformStandin, day: RoomDay) -> list[str]:
-    """Return what the hosts saw and must never see; tasks that may have copies run twice."""
+def _find_breaks(platform: PlatformStandin, day: CapacityDay) -> list[str]:
+    """Return the violations that the hosts saw, except second runs of tasks that allow copies."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
     over = platform.hosts.ledger.overfull
     return [
@@ -192,7 +192,9 @@
     ]
 
 
-async def _change_rooms(platform: PlatformStandin, changes: tuple[RoomChange, ...]) -> None:
+async def _change_capacities(
+    platform: PlatformStandin, changes: tuple[CapacityChange, ...]
+) -> None:
     began_at_s = asyncio.get_running_loop().time()
     for change in changes:
         await asyncio.sleep(began_at_s + change.at_s - asyncio.get_running_loop().time())
