--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -236,7 +236,7 @@
             self.claims.adopt_turns()
         elif before.hosts is self.state.hosts:
             return
-        self.dispatch.adopt_state()
+        self.dispatch.update_dispatchers()
 
     def _note_folded(self, record: FoldedRecord) -> None:
         if record.code is not ResultCode.OK:
@@ -307,4 +307,4 @@
 
     def is_hall_lead(self) -> bool:
         """Tell whether this daemon follows the host list for its data hall."""
-        return self.dispatch.get_turn("", self.settings.hall) == self.settings.name
+        return self.dispatch.get_dispatching_daemon("", self.settings.hall) == self.settings.name
--- a/src/robinthread/_internal/dispatch/dispatch_service.py
+++ b/src/robinthread/_internal/dispatch/dispatch_service.py
@@ -24,7 +24,7 @@
 from robinthread._internal.upstream.errors import UpstreamLostError, UpstreamUnsentError
 from robinthread._internal.utils.rendezvous import pick_by_rendezvous
 
-FAILING_PHASES: Final = (HostPhase.SERVING, HostPhase.PERMITTED, HostPhase.DRAINING)
+FAILABLE_PHASES: Final = (HostPhase.SERVING, HostPhase.PERMITTED, HostPhase.DRAINING)
 
 
 class DispatchService:
@@ -47,36 +47,36 @@
         self._settings = settings
         self._can_hear = can_hear
         self._publish = context.publish
-        self._watches: dict[str, asyncio.Task[None]] = {}
-        self._silent_since_s: dict[str, float] = {}
+        self._host_monitors: dict[str, asyncio.Task[None]] = {}
+        self._no_report_since_s: dict[str, float] = {}
         router = context.router
-        router.on(SlotAsk, self._on_ask)
+        router.on(SlotAsk, self._on_slot_request)
         router.on_notice(SlotAskCancel, self._on_cancel)
         router.on_notice(SlotRelease, self._on_release)
         router.on_late_reply(self._on_late_reply)
 
-    def adopt_state(self) -> None:
+    def update_dispatchers(self) -> None:
         """Start, update and end dispatchers after a change of the fleet state."""
         pools: dict[str, list[Host]] = {}
         for _, host in sorted(self._context.get_state().hosts.items()):
             if host.hall == self._context.hall and host.pool:
                 pools.setdefault(host.pool, []).append(host)
         for pool, hosts in pools.items():
-            if self.get_turn(pool, self._context.hall) == self._name:
+            if self.get_dispatching_daemon(pool, self._context.hall) == self._name:
                 self._run_dispatcher(pool, tuple(hosts))
         for pool in tuple(self.dispatchers):
-            turn = self.get_turn(pool, self._context.hall)
-            if pool not in pools or turn != self._name:
+            daemon_name = self.get_dispatching_daemon(pool, self._context.hall)
+            if pool not in pools or daemon_name != self._name:
                 self.dispatchers.pop(pool).refuse_all(ResultCode.NOT_READY)
 
-    def get_turn(self, pool: str, hall: str) -> str:
+    def get_dispatching_daemon(self, pool: str, hall: str) -> str:
         """Return the daemon whose turn it is to dispatch ``pool`` in ``hall``."""
         members = self._context.get_state().iter_hall_daemons(hall)
         return pick_by_rendezvous(pool, [member.name for member in members])
 
-    async def ask(self, hall: str, ask: SlotAsk, timeout_s: float) -> SlotReply:
+    async def request_slot(self, hall: str, ask: SlotAsk, timeout_s: float) -> SlotReply:
         """Ask the dispatcher in ``hall`` for a slot."""
-        member = self._context.get_state().daemons.get(self.get_turn(ask.pool, hall))
+        member = self._context.get_state().daemons.get(self.get_dispatching_daemon(ask.pool, hall))
         if member is None or not self._can_hear(member):
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
         try:
@@ -93,14 +93,14 @@
 
     def release(self, release: SlotRelease) -> None:
         """Give a slot back to its dispatcher, whoever that is by now."""
-        turn = self.get_turn(release.pool, release.hall)
-        member = self._context.get_state().daemons.get(turn)
+        daemon_name = self.get_dispatching_daemon(release.pool, release.hall)
+        member = self._context.get_state().daemons.get(daemon_name)
         if member is not None:
             self._context.router.tell(member.peer_address, release)
 
     def close(self) -> None:
         """End the watches."""
-        for task in self._watches.values():
+        for task in self._host_monitors.values():
             task.cancel()
 
     def _run_dispatcher(self, pool: str, hosts: tuple[Host, ...]) -> None:
@@ -111,22 +111,24 @@
         dispatcher.update(hosts)
         loop = asyncio.get_running_loop()
         for host in hosts:
-            watch = self._watches.get(host.name)
-            if watch is None or watch.done():
-                self._watches[host.name] = loop.create_task(self._watch_host(pool, host.name))
+            monitor = self._host_monitors.get(host.name)
+            if monitor is None or monitor.done():
+                self._host_monitors[host.name] = loop.create_task(
+                    self._monitor_host(pool, host.name)
+                )
 
-    async def _watch_host(self, pool: str, name: str) -> None:
+    async def _monitor_host(self, pool: str, name: str) -> None:
         """Follow one host: its reports, its failure and its return."""
         await asyncio.sleep(self._settings.takeover_wait_s)
         while True:
             dispatcher = self.dispatchers.get(pool)
             if dispatcher is None or name not in dispatcher.hosts:
                 return
-            await dispatcher.count_slots(name)
-            await self._follow_report(dispatcher, name)
+            await dispatcher.query_slots_in_use(name)
+            await self._poll_report(dispatcher, name)
             await asyncio.sleep(self._settings.report_interval_s)
 
-    async def _follow_report(self, dispatcher: Dispatcher, name: str) -> None:
+    async def _poll_report(self, dispatcher: Dispatcher, name: str) -> None:
         slots = dispatcher.hosts.get(name)
         if slots is None:
             return
@@ -134,27 +136,27 @@
         try:
             report = await self._context.upstream.report(slots.host.address)
         except (UpstreamUnsentError, UpstreamLostError):
-            await self._note_silence(slots.host, now_s)
+            await self._record_missing_report(slots.host, now_s)
             return
-        self._silent_since_s.pop(name, None)
+        self._no_report_since_s.pop(name, None)
         dispatcher.reconcile(name, report.slots_in_use)
         if slots.host.phase is HostPhase.FAILED:
             await self._publish(HostRecovered(name, slots.host.token))
 
-    async def _note_silence(self, host: Host, now_s: float) -> None:
-        if host.phase not in FAILING_PHASES:
-            self._silent_since_s.pop(host.name, None)
+    async def _record_missing_report(self, host: Host, now_s: float) -> None:
+        if host.phase not in FAILABLE_PHASES:
+            self._no_report_since_s.pop(host.name, None)
             return
-        since_s = self._silent_since_s.setdefault(host.name, now_s)
+        since_s = self._no_report_since_s.setdefault(host.name, now_s)
         if now_s - since_s >= self._settings.host_fail_after_s:
             self._context.events.note("host_silent", host.name, host.pool)
             await self._publish(HostFailed(host.name, host.token))
 
-    async def _on_ask(self, sender: Sender, ask: SlotAsk) -> SlotReply:
+    async def _on_slot_request(self, sender: Sender, ask: SlotAsk) -> SlotReply:
         dispatcher = self.dispatchers.get(ask.pool)
         if dispatcher is None or ask.hall != self._context.hall:
             return SlotReply(ResultCode.NOT_READY, retry_after_s=0.1)
-        return await dispatcher.ask(sender, ask)
+        return await dispatcher.request_slot(sender, ask)
 
     def _on_cancel(self, sender: Sender, cancel: SlotAskCancel) -> None:
         dispatcher = self.dispatchers.get(cancel.pool)
--- a/src/robinthread/_internal/dispatch/dispatcher.py
+++ b/src/robinthread/_internal/dispatch/dispatcher.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from robinthread._internal.dispatch.host_choice import HostChoice
 from robinthread._internal.dispatch.host_health import HostHealth
+from robinthread._internal.dispatch.host_selector import HostSelector
 from robinthread._internal.dispatch.host_slots import HostSlots, pick_victim
-from robinthread._internal.dispatch.job_record import OutcomeRecord
+from robinthread._internal.dispatch.outcome_tracker import OutcomeTracker
 from robinthread._internal.dispatch.slot_lease import SlotLease
 from robinthread._internal.dispatch.slot_outcome import SlotOutcome
-from robinthread._internal.dispatch.waiting_queue import TeamSlots, WaitingAsk, WaitingQueue
+from robinthread._internal.dispatch.waiting_queue import TeamSlots, WaitingQueue, WaitingRequest
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host import Host
 from robinthread._internal.models.urgency import Urgency
@@ -59,9 +59,9 @@
         self._context = context
         self._settings = settings
         self._teams = TeamSlots(context.get_state)
-        self._choice = HostChoice(self.hosts, settings)
-        self._outcomes = OutcomeRecord(
-            pool, self.hosts, context, settings, self.pump, self._start_task
+        self._selector = HostSelector(self.hosts, settings)
+        self._outcomes = OutcomeTracker(
+            pool, self.hosts, context, settings, self.grant_waiting, self._start_task
         )
         self.estimate = self._outcomes.estimate
         self._tasks: set[asyncio.Task[None]] = set()
@@ -80,22 +80,22 @@
                 self.hosts[host.name] = HostSlots(host, HostHealth(self._settings))
             else:
                 found.host = host
-        self.pump()
+        self.grant_waiting()
 
-    async def ask(self, sender: Sender, ask: SlotAsk) -> SlotReply:
+    async def request_slot(self, sender: Sender, ask: SlotAsk) -> SlotReply:
         """Lease a slot, now or when one is free, or refuse early."""
         refusal = self._refuse(ask) or self._refuse_to_queue(ask)
         if refusal is not None:
             self._context.counters.add(f"slot_refusals_{refusal.code}")
             return refusal
         loop = asyncio.get_running_loop()
-        waiting = WaitingAsk(
+        waiting = WaitingRequest(
             ask, sender.name, sender.address, sender.frame_id, loop.time(), loop.create_future()
         )
         self.queue.put(waiting)
-        self.pump()
+        self.grant_waiting()
         if not waiting.future.done():
-            self._arm(waiting)
+            self._set_timers(waiting)
         try:
             return await waiting.future
         finally:
@@ -115,38 +115,38 @@
             return
         lease = slots.release(release.lease_id)
         if lease is not None:
-            self._teams.give_back(lease.team)
+            self._teams.remove_slot(lease.team)
             if outcome is SlotOutcome.LOST:
-                slots.keep_in_use()
-        self._outcomes.learn(slots, outcome, release)
+                slots.add_unattributed()
+        self._outcomes.process_release(slots, outcome, release)
         if outcome is SlotOutcome.NOT_STARTED:
             self._recount(slots)
-        self.pump()
+        self.grant_waiting()
 
-    def pump(self) -> None:
+    def grant_waiting(self) -> None:
         """Lease free slots to the asks that go first."""
         while True:
             waiting = self._pick_next()
             if waiting is None:
                 return
-            slots = self._choice.pick(waiting.ask)
+            slots = self._selector.pick(waiting.ask)
             assert slots is not None
             self._grant(waiting, slots)
 
     def steer(self, names: tuple[str, ...], order: tuple[str, ...], done: frozenset[str]) -> None:
-        """Place new work elsewhere than on ``names`` while there is room; see ``HostChoice``."""
-        self._choice.steer(names, order, done)
+        """Place new work elsewhere than on ``names`` while there is room; see ``HostSelector``."""
+        self._selector.steer(names, order, done)
 
     def get_steered_s(self, name: str) -> float:
         """Return for how many seconds work has been steered away from a host."""
-        return self._choice.get_steered_s(name)
+        return self._selector.get_steered_s(name)
 
     def refuse_all(self, code: ResultCode) -> None:
         """Refuse every waiting ask, as when the dispatcher hands over."""
         for waiting in self.queue.iter_all():
             self._finish(waiting, SlotReply(code, retry_after_s=RETRY_AFTER_MIN_S))
 
-    async def count_slots(self, name: str) -> None:
+    async def query_slots_in_use(self, name: str) -> None:
         """Learn from the worker's report what is in use that we did not lease.
 
         A worker that refuses our fence has seen a later dispatcher's: no slot
@@ -167,7 +167,7 @@
         except (UpstreamUnsentError, UpstreamLostError):
             return
         slots.is_counted = True
-        self.pump()
+        self.grant_waiting()
 
     def reconcile(self, name: str, reported: int) -> None:
         """Compare a host's leases with its worker's report."""
@@ -175,14 +175,14 @@
         if slots is None:
             return
         for lease in slots.reconcile(reported, asyncio.get_running_loop().time()):
-            self._teams.give_back(lease.team)
+            self._teams.remove_slot(lease.team)
             self._context.counters.add("leases_reclaimed")
-        self.pump()
+        self.grant_waiting()
 
     def _recount(self, slots: HostSlots) -> None:
         """Lease nothing on a host that refused a task until its report was read."""
         slots.is_counted = False
-        self._start_task(self.count_slots(slots.host.name))
+        self._start_task(self.query_slots_in_use(slots.host.name))
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -191,7 +191,7 @@
 
     def count_idle_slots(self) -> int:
         """Return the free slots of hosts that may get work."""
-        return self._choice.count_idle_slots()
+        return self._selector.count_idle_slots()
 
     def _refuse(self, ask: SlotAsk) -> SlotReply | None:
         now_s = asyncio.get_running_loop().time()
@@ -206,7 +206,7 @@
         left_s = ask.deadline_at_s - self._context.wall_clock()
         if left_s <= 0:
             return SlotReply(ResultCode.DEADLINE_PASSED)
-        if wait_s + self.estimate.get_needed_s() > left_s:
+        if wait_s + self.estimate.get_min_time_left_s() > left_s:
             return SlotReply(
                 ResultCode.DEADLINE_UNREACHABLE, retry_after_s=max(RETRY_AFTER_MIN_S, wait_s)
             )
@@ -216,8 +216,8 @@
         if ask.may_wait or (
             not self.queue.count_ahead(ask.urgency)
             and not self._teams.is_over_quota(ask.team)
-            and (found := self._choice.pick(ask)) is not None
-            and not self._choice.is_steered(found.host.name)
+            and (found := self._selector.pick(ask)) is not None
+            and not self._selector.is_steered(found.host.name)
         ):
             return None
         return SlotReply(ResultCode.NO_SLOT_FREE, retry_after_s=self._estimate_wait_s(ask))
@@ -230,10 +230,10 @@
             return max(0, self.queue.count_class(ask.urgency)) * self.estimate.mean_s / limit
         return max(0, ahead) * self.estimate.mean_s / max(1, limit)
 
-    def _pick_next(self) -> WaitingAsk | None:
+    def _pick_next(self) -> WaitingRequest | None:
         for waiting in tuple(self.queue.iter_heads(self._teams.get_share)):
             left_s = waiting.ask.deadline_at_s - self._context.wall_clock()
-            if left_s < self.estimate.get_needed_s():
+            if left_s < self.estimate.get_min_time_left_s():
                 retry_after_s = max(RETRY_AFTER_MIN_S, self._estimate_wait_s(waiting.ask))
                 self._finish(
                     waiting,
@@ -242,11 +242,11 @@
                 return self._pick_next()
             if self._teams.is_over_quota(waiting.ask.team):
                 continue
-            if self._choice.pick(waiting.ask) is not None:
+            if self._selector.pick(waiting.ask) is not None:
                 return waiting
         return None
 
-    def _grant(self, waiting: WaitingAsk, slots: HostSlots) -> None:
+    def _grant(self, waiting: WaitingRequest, slots: HostSlots) -> None:
         ask = waiting.ask
         now_s = asyncio.get_running_loop().time()
         left_s = ask.deadline_at_s - self._context.wall_clock()
@@ -260,7 +260,7 @@
             now_s + left_s + self._settings.lease_grace_s,
         )
         slots.leases[lease.id] = lease
-        self._teams.take(ask.team)
+        self._teams.add_slot(ask.team)
         self._context.counters.add("slots_leased")
         reply = SlotReply(
             ResultCode.OK,
@@ -271,12 +271,12 @@
         )
         self._finish(waiting, reply)
 
-    def _finish(self, waiting: WaitingAsk, reply: SlotReply) -> None:
+    def _finish(self, waiting: WaitingRequest, reply: SlotReply) -> None:
         self.queue.remove(waiting)
         if not waiting.future.done():
             waiting.future.set_result(reply)
 
-    def _arm(self, waiting: WaitingAsk) -> None:
+    def _set_timers(self, waiting: WaitingRequest) -> None:
         """Set the timers of an ask that must wait."""
         loop = asyncio.get_running_loop()
         left_s = max(0.0, waiting.ask.deadline_at_s - self._context.wall_clock())
@@ -284,7 +284,7 @@
         if waiting.ask.urgency == Urgency.URGENT:
             loop.call_later(self._settings.preempt_after_s, self._preempt_for, waiting)
 
-    def _preempt_for(self, waiting: WaitingAsk) -> None:
+    def _preempt_for(self, waiting: WaitingRequest) -> None:
         if waiting.future.done():
             return
         victim = pick_victim(self.hosts.values())
--- a/src/robinthread/_internal/dispatch/host_health.py
+++ b/src/robinthread/_internal/dispatch/host_health.py
@@ -37,7 +37,7 @@
         """Tell whether the host gets no work now."""
         return now_s < self.suspended_until_s
 
-    def note(self, outcome: SlotOutcome, job: bytes, now_s: float) -> bool:
+    def record_outcome(self, outcome: SlotOutcome, job: bytes, now_s: float) -> bool:
         """Note an outcome; return whether the host was suspended by it."""
         if outcome is SlotOutcome.RAN:
             self._failed_jobs.clear()
@@ -54,7 +54,7 @@
         self._suspensions += 1
         return True
 
-    def forgive(self, job: bytes) -> None:
+    def discard_failed_job(self, job: bytes) -> None:
         """Take a job that fails everywhere off the count."""
         self._failed_jobs.discard(job)
         if len(self._failed_jobs) < self._settings.suspend_after_failures:
--- a/src/robinthread/_internal/dispatch/host_choice.py
+++ b/src/robinthread/_internal/dispatch/host_selector.py
@@ -11,7 +11,7 @@
 LEAVING_PHASES: Final = (HostPhase.PERMITTED, HostPhase.DRAINING, HostPhase.LEAVING)
 
 
-class HostChoice:
+class HostSelector:
     """Choose hosts by their health, by the waves to come and by their load."""
 
     def __init__(self, hosts: dict[str, HostSlots], settings: DispatchSettings) -> None:
@@ -29,9 +29,11 @@
         that it moves once at most.
         """
         now_s = asyncio.get_running_loop().time()
-        away = [name for name, slots in self._hosts.items() if slots.host.phase in LEAVING_PHASES]
+        leaving = [
+            name for name, slots in self._hosts.items() if slots.host.phase in LEAVING_PHASES
+        ]
         self._steered_since_s = {
-            name: self._steered_since_s.get(name, now_s) for name in (*names, *away)
+            name: self._steered_since_s.get(name, now_s) for name in (*names, *leaving)
         }
         self._leaving_rank = {name: -rank for rank, name in enumerate(order)}
         self._done_hosts = done
@@ -57,10 +59,10 @@
     def pick(self, ask: SlotAsk) -> HostSlots | None:
         """Return the best host for an ask, one that it does not avoid if there is one."""
         now_s = asyncio.get_running_loop().time()
-        roomy = [slots for slots in self._hosts.values() if slots.has_capacity()]
-        fit = [slots for slots in roomy if self._is_fit(slots, ask, now_s)]
-        avoided = [slots for slots in fit if slots.host.name not in ask.avoid]
-        return min(avoided or fit, key=self._get_preference, default=None)
+        with_capacity = [slots for slots in self._hosts.values() if slots.has_capacity()]
+        fit = [slots for slots in with_capacity if self._is_fit(slots, ask, now_s)]
+        preferred = [slots for slots in fit if slots.host.name not in ask.avoid]
+        return min(preferred or fit, key=self._get_preference, default=None)
 
     def _get_preference(self, slots: HostSlots) -> tuple[bool, bool, bool, int, float, str]:
         name = slots.host.name
--- a/src/robinthread/_internal/dispatch/host_slots.py
+++ b/src/robinthread/_internal/dispatch/host_slots.py
@@ -22,7 +22,7 @@
         self.leases: dict[str, SlotLease] = {}
         self.unattributed = 0
         self.is_counted = False
-        self._surplus = 0
+        self._previous_surplus = 0
         self._reported_at_s = -1e9
 
     @property
@@ -46,7 +46,7 @@
             self.unattributed -= 1
         return lease
 
-    def keep_in_use(self) -> None:
+    def add_unattributed(self) -> None:
         """Count a slot as taken whose task may still run, until a report says otherwise."""
         self.unattributed += 1
 
@@ -65,8 +65,8 @@
             lease for lease in self.leases.values() if lease.granted_at_s < self._reported_at_s
         ]
         surplus = max(0, self.unattributed + len(settled) - reported)
-        to_free = min(surplus, self._surplus)
-        self._surplus = surplus - to_free
+        to_free = min(surplus, self._previous_surplus)
+        self._previous_surplus = surplus - to_free
         self._reported_at_s = now_s
         from_unattributed = min(self.unattributed, to_free)
         self.unattributed -= from_unattributed
--- a/src/robinthread/_internal/dispatch/job_record.py
+++ b/src/robinthread/_internal/dispatch/outcome_tracker.py
@@ -21,29 +21,29 @@
 JOBS_MAX: Final = 4096
 
 
-class JobRecord:
+class JobFailureTracker:
     """Tell a job that can never run from a host that fails everything."""
 
     def __init__(self, settings: DispatchSettings) -> None:
         self._settings = settings
-        self._failed_on: OrderedDict[bytes, set[str]] = OrderedDict()
+        self._hosts_failed_on: OrderedDict[bytes, set[str]] = OrderedDict()
         self._set_aside_until_s: OrderedDict[bytes, float] = OrderedDict()
 
     def is_set_aside(self, job: bytes, now_s: float) -> bool:
         """Tell whether the job is refused now."""
         return now_s < self._set_aside_until_s.get(job, -1e9)
 
-    def note(self, outcome: SlotOutcome, job: bytes, host: str, now_s: float) -> bool:
+    def record_outcome(self, outcome: SlotOutcome, job: bytes, host: str, now_s: float) -> bool:
         """Note an outcome; return whether the job was set aside by it."""
         if outcome is SlotOutcome.RAN:
-            self._failed_on.pop(job, None)
+            self._hosts_failed_on.pop(job, None)
             return False
         if outcome is not SlotOutcome.RAN_FAILED:
             return False
-        hosts = self._failed_on.setdefault(job, set())
+        hosts = self._hosts_failed_on.setdefault(job, set())
         hosts.add(host)
-        if len(self._failed_on) > JOBS_MAX:
-            self._failed_on.popitem(last=False)
+        if len(self._hosts_failed_on) > JOBS_MAX:
+            self._hosts_failed_on.popitem(last=False)
         if len(hosts) < self._settings.set_aside_after_hosts:
             return False
         self._set_aside_until_s[job] = now_s + self._settings.set_aside_s
@@ -52,10 +52,10 @@
         return True
 
 
-class OutcomeRecord:
+class OutcomeTracker:
     """Suspend hosts and set jobs aside by the outcomes of one pool's tasks.
 
-    ``pump`` leases what is free once a suspension ends; ``start_task`` runs
+    ``grant_waiting`` leases what is free once a suspension ends; ``start_task`` runs
     work beside the caller's.
     """
 
@@ -65,39 +65,39 @@
         hosts: dict[str, HostSlots],
         context: DispatchContext,
         settings: DispatchSettings,
-        pump: Callable[[], None],
+        grant_waiting: Callable[[], None],
         start_task: Callable[[Coroutine[Any, Any, None]], None],
     ) -> None:
         self.estimate = RunEstimate(settings)
-        self.jobs = JobRecord(settings)
+        self.jobs = JobFailureTracker(settings)
         self._pool = pool
         self._hosts = hosts
         self._context = context
         self._settings = settings
-        self._pump = pump
+        self._grant_waiting = grant_waiting
         self._start_task = start_task
 
-    def learn(self, slots: HostSlots, outcome: SlotOutcome, release: SlotRelease) -> None:
+    def process_release(self, slots: HostSlots, outcome: SlotOutcome, release: SlotRelease) -> None:
         """Learn from how a task on a host ended."""
         now_s = asyncio.get_running_loop().time()
         if outcome is SlotOutcome.RAN:
-            self.estimate.note(release.run_s)
-        is_blameless = (
+            self.estimate.record_run(release.run_s)
+        is_short_timeout = (
             outcome is SlotOutcome.TIMED_OUT
             and release.run_s < self.estimate.mean_s * self._settings.slow_factor
         )
-        if not is_blameless and slots.health.note(outcome, release.job, now_s):
+        if not is_short_timeout and slots.health.record_outcome(outcome, release.job, now_s):
             self._suspend(slots, now_s)
-        if self.jobs.note(outcome, release.job, slots.host.name, now_s):
+        if self.jobs.record_outcome(outcome, release.job, slots.host.name, now_s):
             self._context.counters.add("jobs_set_aside")
             for other in self._hosts.values():
-                other.health.forgive(release.job)
+                other.health.discard_failed_job(release.job)
 
     def _suspend(self, slots: HostSlots, now_s: float) -> None:
         self._context.counters.add("hosts_suspended")
         self._context.events.note("host_suspended", slots.host.name, self._pool)
         pause_s = slots.health.suspended_until_s - now_s
-        asyncio.get_running_loop().call_later(pause_s, self._pump)
+        asyncio.get_running_loop().call_later(pause_s, self._grant_waiting)
         if slots.health.suspensions >= self._settings.set_aside_after_suspensions:
             self._start_task(self._set_aside(slots.host))
 
--- a/src/robinthread/_internal/dispatch/run_estimate.py
+++ b/src/robinthread/_internal/dispatch/run_estimate.py
@@ -7,8 +7,8 @@
 from robinthread._internal.settings.dispatch_settings import DispatchSettings
 
 SAMPLES_MAX: Final = 256
-LINDY_SHARE: Final = 0.5
-NEEDED_MARGIN: Final = 1.1
+RESIDUAL_AGE_FRACTION: Final = 0.5
+TIME_LEFT_MARGIN: Final = 1.1
 
 
 class RunEstimate:
@@ -21,7 +21,7 @@
         self._order: deque[float] = deque(maxlen=SAMPLES_MAX)
         self._sorted: list[float] = []
 
-    def note(self, run_s: float) -> None:
+    def record_run(self, run_s: float) -> None:
         """Note a finished run."""
         self._count += 1
         weight = max(self._weight, 1 / self._count)
@@ -31,7 +31,7 @@
         self._order.append(run_s)
         bisect.insort(self._sorted, run_s)
 
-    def get_needed_s(self) -> float:
+    def get_min_time_left_s(self) -> float:
         """Return the time that a task must have left to be worth starting.
 
         The median run and a margin: with less, it more likely than not ends
@@ -39,7 +39,7 @@
         """
         if not self._sorted:
             return self.mean_s
-        return self._sorted[len(self._sorted) // 2] * NEEDED_MARGIN
+        return self._sorted[len(self._sorted) // 2] * TIME_LEFT_MARGIN
 
     def get_residual_s(self, age_s: float) -> float:
         """Return the expected time left of a task that has run for ``age_s``.
@@ -49,4 +49,4 @@
         longer = self._sorted[bisect.bisect_right(self._sorted, age_s) :]
         if longer:
             return sum(longer) / len(longer) - age_s
-        return max(self.mean_s - age_s, age_s * LINDY_SHARE)
+        return max(self.mean_s - age_s, age_s * RESIDUAL_AGE_FRACTION)
--- a/src/robinthread/_internal/dispatch/waiting_queue.py
+++ b/src/robinthread/_internal/dispatch/waiting_queue.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class WaitingAsk:
+class WaitingRequest:
     """An ask, who asked, and since when, in seconds of the loop."""
 
     ask: SlotAsk
@@ -29,7 +29,7 @@
     """Urgent work first; within a class, the team that holds the fewest slots."""
 
     def __init__(self) -> None:
-        self._classes: dict[int, dict[str, deque[WaitingAsk]]] = {
+        self._classes: dict[int, dict[str, deque[WaitingRequest]]] = {
             urgency.value: {} for urgency in Urgency
         }
         self._counts = dict.fromkeys(self._classes, 0)
@@ -45,19 +45,19 @@
         """Return the number of asks of this class."""
         return self._counts[urgency]
 
-    def put(self, waiting: WaitingAsk) -> None:
+    def put(self, waiting: WaitingRequest) -> None:
         """Add an ask behind those of its class and team."""
         teams = self._classes[waiting.ask.urgency]
         teams.setdefault(waiting.ask.team, deque()).append(waiting)
         self._counts[waiting.ask.urgency] += 1
 
-    def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingAsk]:
+    def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingRequest]:
         """Iterate over each team's first ask, best first, by class and share in use."""
         for teams in self._classes.values():
             order = sorted(teams, key=lambda team: (get_share(team), teams[team][0].arrived_at_s))
             yield from [teams[team][0] for team in order]
 
-    def remove(self, waiting: WaitingAsk) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Take an ask out."""
         teams = self._classes[waiting.ask.urgency]
         asks = teams.get(waiting.ask.team)
@@ -68,7 +68,7 @@
         if not asks:
             del teams[waiting.ask.team]
 
-    def iter_all(self) -> Iterator[WaitingAsk]:
+    def iter_all(self) -> Iterator[WaitingRequest]:
         """Iterate over all asks."""
         return (
             waiting
@@ -85,11 +85,11 @@
         self._get_state = get_state
         self._in_use: Counter[str] = Counter()
 
-    def take(self, team: str) -> None:
+    def add_slot(self, team: str) -> None:
         """Count a slot that was leased to a team."""
         self._in_use[team] += 1
 
-    def give_back(self, team: str) -> None:
+    def remove_slot(self, team: str) -> None:
         """Count a slot of a team as free again."""
         self._in_use[team] -= 1
 
--- a/src/robinthread/_internal/entry/slot_finder.py
+++ b/src/robinthread/_internal/entry/slot_finder.py
@@ -71,7 +71,9 @@
         if left_s <= 0:
             return SlotReply(ResultCode.DEADLINE_PASSED)
         ask = self._make_ask(running, hall, may_wait)
-        task = asyncio.get_running_loop().create_task(self._dispatch.ask(hall, ask, left_s))
+        task = asyncio.get_running_loop().create_task(
+            self._dispatch.request_slot(hall, ask, left_s)
+        )
         running.slot_wait = task
         try:
             return await task
--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -91,7 +91,7 @@
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL, settings=DRAIN_AT_ONCE)
             daemon = get_daemon(fleet)
-            turn = daemon.dispatch.get_turn("tiles", "kandy")
+            turn = daemon.dispatch.get_dispatching_daemon("tiles", "kandy")
             other = next(name for name in fleet.daemons if name != turn)
             calls = [
                 asyncio.create_task(
