--- a/bench/control.py
+++ b/bench/control.py
@@ -150,7 +150,7 @@
     data = encode_partition_record(ClaimBatch("b", -1, _make_claims(CLAIMS)))
     table = ClaimTable()
     tracemalloc.start()
-    table.fold(0, decode_partition_record(data))
+    table.apply(0, decode_partition_record(data))
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return round(held / CLAIMS)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -136,7 +136,7 @@
         for n in range(1000)
     )
     data = encode_partition_record(ClaimBatch("b", -1, claims))
-    ClaimTable().fold(0, decode_partition_record(data))
+    ClaimTable().apply(0, decode_partition_record(data))
 
 
 if __name__ == "__main__":
--- a/src/robinthread/_internal/claims/claim_service.py
+++ b/src/robinthread/_internal/claims/claim_service.py
@@ -18,8 +18,8 @@
 from robinthread._internal.telemetry.counters import Counters
 from robinthread._internal.utils.rendezvous import pick_by_rendezvous
 
-RETRY_S: Final = 0.1
-RETAKE_S: Final = 0.2
+RETRY_DELAY_S: Final = 0.1
+RESTART_DELAY_S: Final = 0.2
 
 
 @dataclass(frozen=True)
@@ -55,12 +55,12 @@
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._is_closed = False
         self._pacer = AppendPacer(self._get_rate_per_s)
-        self._turns: tuple[frozenset[str], dict[int, str]] = (frozenset(), {})
-        router.on(ClaimAsk, self._on_ask)
-        router.on(HolderAsk, self._on_holder_ask)
+        self._assignment: tuple[frozenset[str], dict[int, str]] = (frozenset(), {})
+        router.on(ClaimAsk, self._on_claim_request)
+        router.on(HolderAsk, self._on_holder_request)
         router.on_notice(ClaimRelease, self._on_release)
 
-    async def ask(self, claim: Claim, timeout_s: float) -> ClaimReply:
+    async def request_claim(self, claim: Claim, timeout_s: float) -> ClaimReply:
         """Ask the owner of the key for a claim; any refusal means not claimed for us."""
         ask = ClaimAsk(
             claim.key,
@@ -76,12 +76,12 @@
             owner = self._find_owner(claim.key)
             if owner is None or not self._context.can_hear(owner):
                 break
-            reply = await self._ask_once(owner, ask, left_s)
+            reply = await self._request_once(owner, ask, left_s)
             if reply.code != ResultCode.CLAIM_OWNER_UNREACHABLE:
                 return reply
             # A partition changes hands when daemons come and go: its new owner
             # needs a moment to read the stream.
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
 
     def release(self, claim: Claim) -> None:
@@ -106,16 +106,16 @@
         member = self._context.get_state().daemons.get(reply.holder)
         return member if member and member.incarnation == reply.incarnation else None
 
-    def adopt_turns(self) -> None:
+    def update_owned_partitions(self) -> None:
         """Take the partitions whose turn has come here, and leave the others.
 
         Called on changes of members.
         """
         if self._is_closed:
             return
-        turns = self._get_turns()
+        assignment = self._get_assignment()
         for partition in range(self._settings.claim_partitions):
-            is_ours = turns.get(partition) == self._context.name
+            is_ours = assignment.get(partition) == self._context.name
             owner = self._owners.get(partition)
             task = self._tasks.get(partition)
             if is_ours and (owner is None or task is None or task.done()):
@@ -151,12 +151,12 @@
         self._owners[partition] = owner
         task = asyncio.get_running_loop().create_task(owner.run())
         self._tasks[partition] = task
-        task.add_done_callback(self._note_ended)
+        task.add_done_callback(self._schedule_restart)
 
-    def _note_ended(self, task: asyncio.Task[None]) -> None:
+    def _schedule_restart(self, task: asyncio.Task[None]) -> None:
         """Take the partition again after a pause if it is still this daemon's turn."""
         if not task.cancelled() and not self._is_closed:
-            asyncio.get_running_loop().call_later(RETAKE_S, self.adopt_turns)
+            asyncio.get_running_loop().call_later(RESTART_DELAY_S, self.update_owned_partitions)
 
     def _get_rate_per_s(self) -> float:
         owned = sum(owner.is_owner for owner in self._owners.values())
@@ -165,16 +165,18 @@
 
     def _find_owner(self, key: bytes) -> DaemonMember | None:
         partition = get_partition(key, self._settings.claim_partitions)
-        return self._context.get_state().daemons.get(self._get_turns().get(partition, ""))
+        return self._context.get_state().daemons.get(self._get_assignment().get(partition, ""))
 
-    def _get_turns(self) -> dict[int, str]:
+    def _get_assignment(self) -> dict[int, str]:
         state = self._context.get_state()
         names = frozenset(_iter_eligible(state))
-        if self._turns[0] != names:
-            self._turns = (names, make_turns(names, self._settings.claim_partitions))
-        return self._turns[1]
+        if self._assignment[0] != names:
+            self._assignment = (names, assign_partitions(names, self._settings.claim_partitions))
+        return self._assignment[1]
 
-    async def _ask_once(self, owner: DaemonMember, ask: ClaimAsk, timeout_s: float) -> ClaimReply:
+    async def _request_once(
+        self, owner: DaemonMember, ask: ClaimAsk, timeout_s: float
+    ) -> ClaimReply:
         try:
             reply = await self._router.ask(owner.peer_address, ask, timeout_s)
         except PeerTimeoutError:
@@ -182,7 +184,7 @@
         assert isinstance(reply, ClaimReply)
         return reply
 
-    async def _on_ask(self, sender: Sender, ask: ClaimAsk) -> ClaimReply:
+    async def _on_claim_request(self, sender: Sender, ask: ClaimAsk) -> ClaimReply:
         owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
         if owner is None:
             return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
@@ -190,7 +192,7 @@
             Claim(ask.key, ask.digest, ask.expires_at_s, ask.holder, ask.incarnation, ask.ask_id)
         )
 
-    async def _on_holder_ask(self, sender: Sender, ask: HolderAsk) -> ClaimReply:
+    async def _on_holder_request(self, sender: Sender, ask: HolderAsk) -> ClaimReply:
         owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
         held = owner.table.get(ask.key) if owner else None
         if held is None:
@@ -204,11 +206,11 @@
 
 
 def _iter_eligible(state: FleetState) -> Iterable[str]:
-    outside = [m.name for m in state.daemons.values() if m.hall not in state.cut_halls]
-    return outside or list(state.daemons)
+    in_connected_halls = [m.name for m in state.daemons.values() if m.hall not in state.cut_halls]
+    return in_connected_halls or list(state.daemons)
 
 
-def make_turns(names: Iterable[str], partitions: int) -> dict[int, str]:
+def assign_partitions(names: Iterable[str], partitions: int) -> dict[int, str]:
     """Return the daemon whose turn each partition is."""
     ordered = sorted(names)
     return {
--- a/src/robinthread/_internal/claims/partition_owner.py
+++ b/src/robinthread/_internal/claims/partition_owner.py
@@ -26,7 +26,7 @@
 PAGE_RECORDS: Final = 1024
 APPEND_TRIES: Final = 3
 BATCH_CLAIMS_MAX: Final = 512
-OUT_PROBE_S: Final = 0.5
+LOG_RETRY_DELAY_S: Final = 0.5
 
 
 class _OwnershipLostError(Exception):
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class _Waiting:
+class _QueuedClaim:
     claim: Claim
     future: asyncio.Future[ClaimReply]
 
@@ -74,26 +74,26 @@
         self._clock_skew_s = clock_skew_s
         self._claims_max = claims_max
         self._counters = counters
-        self._own_id = ""
-        self._queue: dict[bytes, _Waiting] = {}
+        self._ownership_id = ""
+        self._queue: dict[bytes, _QueuedClaim] = {}
         self._wake = asyncio.Event()
-        self._out_until_s = -1e9
+        self._log_unavailable_until_s = -1e9
 
     @property
     def is_owner(self) -> bool:
         """Tell whether this daemon is the owner, as far as it has read the stream."""
-        return bool(self._own_id) and self.table.owner_id == self._own_id
+        return bool(self._ownership_id) and self.table.owner_id == self._ownership_id
 
     async def claim(self, claim: Claim) -> ClaimReply:
         """Claim a key, or tell who holds it."""
-        refusal = self._answer_from_table(claim)
+        refusal = self._reply_from_table(claim)
         if refusal is not None:
             return refusal
         queued = self._queue.get(claim.key)
         if queued is not None:
             return await self._join_queued(queued, claim)
         future: asyncio.Future[ClaimReply] = asyncio.get_running_loop().create_future()
-        self._queue[claim.key] = _Waiting(claim, future)
+        self._queue[claim.key] = _QueuedClaim(claim, future)
         self._wake.set()
         return await asyncio.shield(future)
 
@@ -105,7 +105,7 @@
     async def run(self) -> None:
         """Take the partition, then commit claims until ownership is lost."""
         try:
-            await self._take()
+            await self._acquire()
             while True:
                 await self._wake.wait()
                 self._wake.clear()
@@ -119,39 +119,39 @@
         finally:
             self._refuse_queued(ResultCode.CLAIM_OWNER_UNREACHABLE)
 
-    def _answer_from_table(self, claim: Claim) -> ClaimReply | None:
+    def _reply_from_table(self, claim: Claim) -> ClaimReply | None:
         now_s = self._wall_clock()
         self.table.drop_expired(now_s)
         held = self.table.get(claim.key)
         if held is not None:
-            return _answer_held(held, claim)
+            return _reply_for_held(held, claim)
         if not self.is_owner:
             return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
         if claim.expires_at_s - self._clock_skew_s <= now_s:
             return make_claim_refusal(ResultCode.CLAIM_EXPIRED)
-        if asyncio.get_running_loop().time() < self._out_until_s:
+        if asyncio.get_running_loop().time() < self._log_unavailable_until_s:
             return make_claim_refusal(ResultCode.PLATFORM_OUT)
         if len(self.table) + len(self._queue) >= self._claims_max:
             return make_claim_refusal(ResultCode.CLAIMS_FULL)
         return None
 
-    async def _join_queued(self, queued: _Waiting, claim: Claim) -> ClaimReply:
+    async def _join_queued(self, queued: _QueuedClaim, claim: Claim) -> ClaimReply:
         reply = await asyncio.shield(queued.future)
         if reply.code != ResultCode.OK:
             return reply
-        return _answer_held(queued.claim, claim)
+        return _reply_for_held(queued.claim, claim)
 
-    async def _take(self) -> None:
-        await self._read_on()
-        self._own_id = self._make_id()
-        taken = PartitionTaken(self._own_id, self._owner, self._incarnation)
-        while self.table.owner_id != self._own_id:
+    async def _acquire(self) -> None:
+        await self._read_to_end()
+        self._ownership_id = self._make_id()
+        taken = PartitionTaken(self._ownership_id, self._owner, self._incarnation)
+        while self.table.owner_id != self._ownership_id:
             try:
                 await self._log.append(self.stream, encode_partition_record(taken))
                 self._counters.add("claim_appends")
             except (LogReplyLostError, LogUnavailableError):
-                await asyncio.sleep(OUT_PROBE_S)
-            await self._read_on()
+                await asyncio.sleep(LOG_RETRY_DELAY_S)
+            await self._read_to_end()
         self._counters.add("partitions_taken")
 
     async def _commit(self) -> None:
@@ -186,20 +186,20 @@
             except LogUnavailableError:
                 break
             self._counters.add("claim_appends")
-            return await self._prove(offset, batch)
-        self._out_until_s = asyncio.get_running_loop().time() + OUT_PROBE_S
-        self._refuse_queued_after(batch)
+            return await self._confirm(offset, batch)
+        self._log_unavailable_until_s = asyncio.get_running_loop().time() + LOG_RETRY_DELAY_S
+        self._refuse_queued_outside(batch)
         return ResultCode.PLATFORM_OUT
 
-    async def _prove(self, offset: int, batch: ClaimBatch) -> ResultCode:
+    async def _confirm(self, offset: int, batch: ClaimBatch) -> ResultCode:
         if offset == self.table.next_offset:
-            self.table.fold(offset, batch)
+            self.table.apply(offset, batch)
             return ResultCode.OK
-        if await self._read_on(batch.id):
+        if await self._read_to_end(batch.id):
             return ResultCode.OK
         return ResultCode.CLAIM_OWNER_UNREACHABLE
 
-    def _refuse_queued_after(self, batch: ClaimBatch) -> None:
+    def _refuse_queued_outside(self, batch: ClaimBatch) -> None:
         committed = {claim.key for claim in batch.claims}
         for key in tuple(self._queue):
             if key not in committed:
@@ -214,21 +214,21 @@
         if not entry.future.done():
             entry.future.set_result(make_claim_refusal(code))
 
-    async def _read_on(self, wanted_id: str = "") -> bool:
+    async def _read_to_end(self, wanted_id: str = "") -> bool:
         """Fold the stream to its end; return whether batch ``wanted_id`` was valid."""
         found = False
         while True:
             try:
                 page = await self._log.read(self.stream, self.table.next_offset, PAGE_RECORDS, 0.0)
             except (LogReplyLostError, LogUnavailableError):
-                await asyncio.sleep(OUT_PROBE_S)
+                await asyncio.sleep(LOG_RETRY_DELAY_S)
                 continue
             for entry in page.records:
                 record = _decode_or_none(entry.data)
                 if record is None:
                     self.table.next_offset = entry.offset + 1
                     continue
-                is_valid = self.table.fold(entry.offset, record)
+                is_valid = self.table.apply(entry.offset, record)
                 found = found or (is_valid and record.id == wanted_id)
             if self.table.next_offset >= page.next_offset or not page.records:
                 return found
@@ -246,13 +246,13 @@
     return ClaimReply(code)
 
 
-def _answer_held(held: Claim, asked: Claim) -> ClaimReply:
-    if held.digest != asked.digest:
+def _reply_for_held(held: Claim, requested: Claim) -> ClaimReply:
+    if held.digest != requested.digest:
         return make_claim_refusal(ResultCode.BODY_DIFFERS)
-    is_same_ask = (held.holder, held.incarnation, held.ask_id) == (
-        asked.holder,
-        asked.incarnation,
-        asked.ask_id,
+    is_same_request = (held.holder, held.incarnation, held.ask_id) == (
+        requested.holder,
+        requested.incarnation,
+        requested.ask_id,
     )
-    code = ResultCode.OK if is_same_ask else ResultCode.REPEATED
+    code = ResultCode.OK if is_same_request else ResultCode.REPEATED
     return ClaimReply(code, held.holder, held.incarnation)
--- a/src/robinthread/_internal/claims/table.py
+++ b/src/robinthread/_internal/claims/table.py
@@ -23,7 +23,7 @@
     def __len__(self) -> int:
         return len(self._held)
 
-    def fold(self, offset: int, record: PartitionRecord) -> bool:
+    def apply(self, offset: int, record: PartitionRecord) -> bool:
         """Fold the record at ``offset``; return whether it was valid there."""
         self.next_offset = offset + 1
         if isinstance(record, PartitionTaken):
@@ -33,7 +33,7 @@
         if record.epoch != self.epoch:
             return False
         for claim in record.claims:
-            self._hold(claim)
+            self._add(claim)
         return True
 
     def get(self, key: bytes) -> Claim | None:
@@ -60,7 +60,7 @@
                 if held is not None and held.expires_at_s < now_s:
                     del self._held[key]
 
-    def _hold(self, claim: Claim) -> None:
+    def _add(self, claim: Claim) -> None:
         # Names are few and claims are many, so that each name is kept once.
         self._held[claim.key] = Claim(
             claim.key,
--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -233,7 +233,7 @@
         """Take up turns and hosts, unless the change was to something else."""
         before, self._adopted = self._adopted, self.state
         if before.daemons is not self.state.daemons or before.cut_halls != self.state.cut_halls:
-            self.claims.adopt_turns()
+            self.claims.update_owned_partitions()
         elif before.hosts is self.state.hosts:
             return
         self.dispatch.update_dispatchers()
--- a/src/robinthread/_internal/entry/entry_service.py
+++ b/src/robinthread/_internal/entry/entry_service.py
@@ -167,7 +167,7 @@
         if request.deadline_at_s > self._context.wall_clock() + self._horizon_s:
             return CallerAnswer(ResultCode.BAD_REQUEST)
         claim = running.claim = self._make_claim(running, key)
-        reply = await self._claims.ask(claim, self._claim_settings.claim_timeout_s)
+        reply = await self._claims.request_claim(claim, self._claim_settings.claim_timeout_s)
         if reply.code == ResultCode.REPEATED:
             running.claim = None
             return await self._ask_holder(running, key, reply)
--- a/tests/unit/test_claim_service.py
+++ b/tests/unit/test_claim_service.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from robinthread._internal.claims.claim_service import ClaimContext, ClaimService, make_turns
+from robinthread._internal.claims.claim_service import ClaimContext, ClaimService, assign_partitions
 from robinthread._internal.claims.records import decode_partition_record
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
@@ -35,17 +35,17 @@
             both = replace(alone, daemons=alone.daemons | {"b": make_member("b")})
             states = [alone]
             service = self._make_service(log, states)
-            service.adopt_turns()
+            service.update_owned_partitions()
             await asyncio.sleep(0.5)
             states[0] = both
-            service.adopt_turns()
+            service.update_owned_partitions()
             await asyncio.sleep(10.0)
             takers = [await self._read_takers(log, number) for number in range(PARTITIONS)]
-            turns = make_turns(("a", "b"), PARTITIONS)
+            assignment = assign_partitions(("a", "b"), PARTITIONS)
             self.assertEqual(
-                [["a"] if turns[number] == "a" else [] for number in range(PARTITIONS)], takers
+                [["a"] if assignment[number] == "a" else [] for number in range(PARTITIONS)], takers
             )
-            self.assertIn("b", turns.values())
+            self.assertIn("b", assignment.values())
 
         run_virtual(work())
 
