--- a/src/robinthread/_internal/dispatch/__init__.py
+++ b/src/robinthread/_internal/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Slots of a pool's hosts in one data hall: leases, queue, limits, outcomes."""
+"""Dispatch of a pool's slots in one data hall: leases, queue, limits and task outcomes."""
--- a/src/robinthread/_internal/dispatch/dispatch_service.py
+++ b/src/robinthread/_internal/dispatch/dispatch_service.py
@@ -1,4 +1,4 @@
-"""Dispatchers as a daemon runs them, and slots as it asks for them."""
+"""The dispatchers that a daemon runs, and its slot requests to dispatchers of any daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,10 +28,10 @@
 
 
 class DispatchService:
-    """Run the dispatchers whose turn is here; ask the others for slots.
+    """Run the dispatchers assigned to this daemon; request slots from any dispatcher.
 
-    The dispatcher of a pool in a data hall is one of the hall's own daemons,
-    so a hall that is cut off goes on serving from its own hosts.
+    The dispatcher of a pool in a data hall runs on one of the hall's own daemons,
+    so a hall that is cut off continues to serve from its own hosts.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         router.on_late_reply(self._on_late_reply)
 
     def update_dispatchers(self) -> None:
-        """Start, update and end dispatchers after a change of the fleet state."""
+        """Start, update and stop dispatchers after a change of the fleet state."""
         pools: dict[str, list[Host]] = {}
         for _, host in sorted(self._context.get_state().hosts.items()):
             if host.hall == self._context.hall and host.pool:
@@ -70,12 +70,16 @@
                 self.dispatchers.pop(pool).refuse_all(ResultCode.NOT_READY)
 
     def get_dispatching_daemon(self, pool: str, hall: str) -> str:
-        """Return the daemon whose turn it is to dispatch ``pool`` in ``hall``."""
+        """Return the name of the daemon that dispatches ``pool`` in ``hall``, "" if none can."""
         members = self._context.get_state().iter_hall_daemons(hall)
         return pick_by_rendezvous(pool, [member.name for member in members])
 
     async def request_slot(self, hall: str, ask: SlotAsk, timeout_s: float) -> SlotReply:
-        """Ask the dispatcher in ``hall`` for a slot."""
+        """Request a slot from the pool's dispatcher in ``hall``.
+
+        The code is ``NO_HOST_REACHABLE`` if its daemon is unreachable or does not
+        reply within ``timeout_s``.
+        """
         member = self._context.get_state().daemons.get(self.get_dispatching_daemon(ask.pool, hall))
         if member is None or not self._can_hear(member):
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
@@ -92,14 +96,17 @@
         return reply
 
     def release(self, release: SlotRelease) -> None:
-        """Give a slot back to its dispatcher, whoever that is by now."""
+        """Send the release of a slot to the daemon that dispatches its pool now.
+
+        This may be another daemon than the one that granted the slot.
+        """
         daemon_name = self.get_dispatching_daemon(release.pool, release.hall)
         member = self._context.get_state().daemons.get(daemon_name)
         if member is not None:
             self._context.router.tell(member.peer_address, release)
 
     def close(self) -> None:
-        """End the watches."""
+        """Cancel the monitors of all hosts."""
         for task in self._host_monitors.values():
             task.cancel()
 
@@ -118,7 +125,7 @@
                 )
 
     async def _monitor_host(self, pool: str, name: str) -> None:
-        """Follow one host: its reports, its failure and its return."""
+        """Poll one host's reports, and publish its failure and its recovery."""
         await asyncio.sleep(self._settings.takeover_wait_s)
         while True:
             dispatcher = self.dispatchers.get(pool)
@@ -169,7 +176,7 @@
             dispatcher.release(release)
 
     def _on_late_reply(self, address: str, message: AnyMessage) -> None:
-        """Give back a lease whose asker has stopped waiting."""
+        """Release a slot lease whose requester has stopped waiting for the reply."""
         if isinstance(message, SlotReply) and message.code == ResultCode.OK:
             host = self._context.get_state().hosts.get(message.host)
             if host is None:
--- a/src/robinthread/_internal/dispatch/dispatcher.py
+++ b/src/robinthread/_internal/dispatch/dispatcher.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class DispatchContext:
-    """What a dispatcher needs from its daemon."""
+    """Dependencies that a dispatcher gets from its daemon."""
 
     hall: str
     get_state: Callable[[], FleetState]
@@ -48,8 +48,8 @@
     """Lease the slots of a pool's hosts in one data hall.
 
     One daemon at a time is the dispatcher, so there is one queue, limits are
-    exact, and all outcomes of a host are seen in one place.  Fencing tokens
-    at the workers, not time, keep an earlier dispatcher from acting on.
+    exact, and all outcomes of a host are recorded in one place.  Workers check
+    fencing tokens, which stops an earlier dispatcher without relying on time.
     """
 
     def __init__(self, pool: str, context: DispatchContext, settings: DispatchSettings) -> None:
@@ -69,7 +69,7 @@
         self._lease_prefix = context.make_id()
 
     def update(self, hosts: tuple[Host, ...]) -> None:
-        """Adopt the pool's hosts in this data hall."""
+        """Update the pool's hosts in this data hall; hosts that stay keep their leases."""
         names = {host.name for host in hosts}
         for name in tuple(self.hosts):
             if name not in names:
@@ -83,7 +83,7 @@
         self.grant_waiting()
 
     async def request_slot(self, sender: Sender, ask: SlotAsk) -> SlotReply:
-        """Lease a slot, now or when one is free, or refuse early."""
+        """Lease a slot, at once or when one becomes free, or refuse the request early."""
         refusal = self._refuse(ask) or self._refuse_to_queue(ask)
         if refusal is not None:
             self._context.counters.add(f"slot_refusals_{refusal.code}")
@@ -102,13 +102,13 @@
             self.queue.remove(waiting)
 
     def cancel(self, sender: Sender, ask_id: int) -> None:
-        """Give up a waiting ask."""
+        """Cancel the waiting request that ``sender`` sent in frame ``ask_id``."""
         for waiting in self.queue.iter_all():
             if waiting.sender_name == sender.name and waiting.frame_id == ask_id:
                 self._finish(waiting, SlotReply(ResultCode.CANCELLED_BEFORE_START))
 
     def release(self, release: SlotRelease) -> None:
-        """Take back a slot and learn from the outcome."""
+        """Free a leased slot and record the outcome of its task."""
         slots = self.hosts.get(release.host)
         outcome = SlotOutcome(release.outcome)
         if slots is None:
@@ -124,7 +124,7 @@
         self.grant_waiting()
 
     def grant_waiting(self) -> None:
-        """Lease free slots to the asks that go first."""
+        """Lease free slots to waiting requests in the order of the queue."""
         while True:
             waiting = self._pick_next()
             if waiting is None:
@@ -134,7 +134,7 @@
             self._grant(waiting, slots)
 
     def steer(self, names: tuple[str, ...], order: tuple[str, ...], done: frozenset[str]) -> None:
-        """Place new work elsewhere than on ``names`` while there is room; see ``HostSelector``."""
+        """Steer new work away from the hosts ``names``; see ``HostSelector.steer``."""
         self._selector.steer(names, order, done)
 
     def get_steered_s(self, name: str) -> float:
@@ -142,15 +142,15 @@
         return self._selector.get_steered_s(name)
 
     def refuse_all(self, code: ResultCode) -> None:
-        """Refuse every waiting ask, as when the dispatcher hands over."""
+        """Refuse every waiting request, for example when another daemon takes over dispatching."""
         for waiting in self.queue.iter_all():
             self._finish(waiting, SlotReply(code, retry_after_s=RETRY_AFTER_MIN_S))
 
     async def query_slots_in_use(self, name: str) -> None:
-        """Learn from the worker's report what is in use that we did not lease.
+        """Read from the worker's report how many slots are in use without a lease.
 
-        A worker that refuses our fence has seen a later dispatcher's: no slot
-        of it is leased from here.
+        A worker that refuses this dispatcher's fencing token has accepted that of a
+        later dispatcher, so this dispatcher leases none of its slots.
         """
         slots = self.hosts.get(name)
         if slots is None or slots.is_counted:
@@ -170,7 +170,7 @@
         self.grant_waiting()
 
     def reconcile(self, name: str, reported: int) -> None:
-        """Compare a host's leases with its worker's report."""
+        """Reclaim leases of a host that its worker's reports do not confirm."""
         slots = self.hosts.get(name)
         if slots is None:
             return
@@ -180,7 +180,7 @@
         self.grant_waiting()
 
     def _recount(self, slots: HostSlots) -> None:
-        """Lease nothing on a host that refused a task until its report was read."""
+        """Lease no slot of a host that refused a task until its report has been read."""
         slots.is_counted = False
         self._start_task(self.query_slots_in_use(slots.host.name))
 
@@ -190,7 +190,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def count_idle_slots(self) -> int:
-        """Return the free slots of hosts that may get work."""
+        """Return the number of free slots on hosts that may get work."""
         return self._selector.count_idle_slots()
 
     def _refuse(self, ask: SlotAsk) -> SlotReply | None:
@@ -226,7 +226,7 @@
         limit = sum(slots.limit for slots in self.hosts.values() if slots.host.is_serving)
         ahead = self.queue.count_ahead(ask.urgency) + 1 - self.count_idle_slots()
         if ask.urgency == Urgency.URGENT:
-            # Lower work is made to give way, so only urgent work is waited for.
+            # Less urgent work is preempted, so urgent requests wait only for each other.
             return max(0, self.queue.count_class(ask.urgency)) * self.estimate.mean_s / limit
         return max(0, ahead) * self.estimate.mean_s / max(1, limit)
 
@@ -277,7 +277,7 @@
             waiting.future.set_result(reply)
 
     def _set_timers(self, waiting: WaitingRequest) -> None:
-        """Set the timers of an ask that must wait."""
+        """Start the timers of a waiting request: its deadline and, if urgent, preemption."""
         loop = asyncio.get_running_loop()
         left_s = max(0.0, waiting.ask.deadline_at_s - self._context.wall_clock())
         loop.call_later(left_s, self._finish, waiting, SlotReply(ResultCode.DEADLINE_PASSED))
--- a/src/robinthread/_internal/dispatch/host_health.py
+++ b/src/robinthread/_internal/dispatch/host_health.py
@@ -1,15 +1,15 @@
-"""Outcomes of a host, and whether it gets work."""
+"""Failed tasks of a host, and its suspension from new work."""
 
 from robinthread._internal.dispatch.slot_outcome import BAD_OUTCOMES, SlotOutcome
 from robinthread._internal.settings.dispatch_settings import DispatchSettings
 
 
 class HostHealth:
-    """Keep away from a host that fails whatever it starts.
+    """Suspend a host that fails every job it starts.
 
-    A failing host looks fast and idle, so routing by load would feed it.
-    Only distinct jobs count, and a job that fails everywhere is taken off the
-    count, so a bad job does not suspend good hosts.
+    A failing host looks fast and idle, so routing by load would send it more work.
+    Only distinct jobs count, and a job that fails on several hosts is removed from
+    the count, so a faulty job does not suspend healthy hosts.
     """
 
     def __init__(self, settings: DispatchSettings) -> None:
@@ -20,25 +20,25 @@
 
     @property
     def has_failed(self) -> bool:
-        """Tell whether the host has failed since its last success."""
+        """Return whether failures have been counted since the host's last success."""
         return bool(self._failed_jobs)
 
     @property
     def suspensions(self) -> int:
-        """Return how often the host was suspended since its last success."""
+        """Return how many times the host was suspended since its last success."""
         return self._suspensions
 
     @property
     def is_on_probation(self) -> bool:
-        """Tell whether the host was suspended and has not succeeded since."""
+        """Return whether the host was suspended and has had no success since."""
         return self._suspensions > 0
 
     def is_suspended(self, now_s: float) -> bool:
-        """Tell whether the host gets no work now."""
+        """Return whether the host is suspended from new work now."""
         return now_s < self.suspended_until_s
 
     def record_outcome(self, outcome: SlotOutcome, job: bytes, now_s: float) -> bool:
-        """Note an outcome; return whether the host was suspended by it."""
+        """Record an outcome; return whether it suspended the host."""
         if outcome is SlotOutcome.RAN:
             self._failed_jobs.clear()
             self._suspensions = 0
@@ -55,7 +55,10 @@
         return True
 
     def discard_failed_job(self, job: bytes) -> None:
-        """Take a job that fails everywhere off the count."""
+        """Remove a job that fails on several hosts from the count.
+
+        This ends the suspension if too few failed jobs are left to justify it.
+        """
         self._failed_jobs.discard(job)
         if len(self._failed_jobs) < self._settings.suspend_after_failures:
             self.suspended_until_s = -1e9
--- a/src/robinthread/_internal/dispatch/host_selector.py
+++ b/src/robinthread/_internal/dispatch/host_selector.py
@@ -1,4 +1,4 @@
-"""Which host of a pool gets the next task."""
+"""Selection of the host that gets the next task of a pool."""
 
 import asyncio
 from typing import Final
@@ -12,7 +12,7 @@
 
 
 class HostSelector:
-    """Choose hosts by their health, by the waves to come and by their load."""
+    """Select hosts by their health, by planned waves and by their load."""
 
     def __init__(self, hosts: dict[str, HostSlots], settings: DispatchSettings) -> None:
         self._hosts = hosts
@@ -22,11 +22,11 @@
         self._done_hosts: frozenset[str] = frozenset()
 
     def steer(self, names: tuple[str, ...], order: tuple[str, ...], done: frozenset[str]) -> None:
-        """Place new work elsewhere than on ``names`` while there is room.
+        """Steer new work away from the hosts ``names`` while other hosts have free slots.
 
-        ``order`` is that in which hosts are to leave: work that has to go to
-        one of them goes to the last.  Work goes to hosts in ``done`` first, so
-        that it moves once at most.
+        ``order`` is the order in which hosts are to leave: work that must go to one
+        of them goes to the last.  Hosts in ``done`` are preferred, so that work moves
+        at most once.
         """
         now_s = asyncio.get_running_loop().time()
         leaving = [
@@ -39,16 +39,16 @@
         self._done_hosts = done
 
     def is_steered(self, name: str) -> bool:
-        """Tell whether work is steered away from a host."""
+        """Return whether new work is steered away from a host."""
         return name in self._steered_since_s
 
     def get_steered_s(self, name: str) -> float:
-        """Return for how many seconds work has been steered away from a host."""
+        """Return for how many seconds new work has been steered away from a host, else 0."""
         now_s = asyncio.get_running_loop().time()
         return now_s - self._steered_since_s.get(name, now_s)
 
     def count_idle_slots(self) -> int:
-        """Return the free slots of hosts that may get work."""
+        """Return the number of free slots on hosts that may get work."""
         now_s = asyncio.get_running_loop().time()
         return sum(
             slots.limit - slots.in_use
@@ -57,7 +57,10 @@
         )
 
     def pick(self, ask: SlotAsk) -> HostSlots | None:
-        """Return the best host for an ask, one that it does not avoid if there is one."""
+        """Return the best host for a request, or None if no host may take it now.
+
+        A host that the request avoids is returned only if no other host fits.
+        """
         now_s = asyncio.get_running_loop().time()
         with_capacity = [slots for slots in self._hosts.values() if slots.has_capacity()]
         fit = [slots for slots in with_capacity if self._is_fit(slots, ask, now_s)]
--- a/src/robinthread/_internal/dispatch/host_slots.py
+++ b/src/robinthread/_internal/dispatch/host_slots.py
@@ -1,4 +1,4 @@
-"""Slots of one host as its dispatcher accounts for them."""
+"""Slots of one host, as its dispatcher counts them."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import replace
@@ -10,10 +10,11 @@
 
 
 class HostSlots:
-    """Leases out on a host.
+    """Leases and slots in use on a host.
 
-    ``unattributed`` counts slots in use that an earlier dispatcher granted;
-    they free themselves as their holders release them or reports shrink.
+    ``unattributed`` counts slots in use without a lease of this dispatcher: those
+    that an earlier dispatcher granted, and those of lost tasks that may still run.
+    It drops as holders release slots or as reports show fewer slots in use.
     """
 
     def __init__(self, host: Host, health: HostHealth) -> None:
@@ -27,39 +28,42 @@
 
     @property
     def in_use(self) -> int:
-        """Return the slots that are taken."""
+        """Return the number of slots in use."""
         return len(self.leases) + self.unattributed
 
     @property
     def limit(self) -> int:
-        """Return the slots that may be taken at once."""
+        """Return the number of slots that may be in use at once."""
         return min(self.host.slots, self.host.connections)
 
     def has_capacity(self) -> bool:
-        """Tell whether a slot is free and the host may get new work."""
+        """Return whether a slot is free and the host may get new work."""
         return self.is_counted and self.host.is_serving and self.in_use < self.limit
 
     def release(self, lease_id: str) -> SlotLease | None:
-        """Give back a lease, or a slot granted by an earlier dispatcher."""
+        """Remove a lease and return it.
+
+        Returns None for a lease of an earlier dispatcher, whose slot is freed as well.
+        """
         lease = self.leases.pop(lease_id, None)
         if lease is None and self.unattributed:
             self.unattributed -= 1
         return lease
 
     def add_unattributed(self) -> None:
-        """Count a slot as taken whose task may still run, until a report says otherwise."""
+        """Count a slot whose task may still run as in use until reports show it free."""
         self.unattributed += 1
 
     def mark_preempted(self, lease_id: str) -> None:
-        """Note that a lease's holder was asked to end its task."""
+        """Mark a lease whose holder was requested to checkpoint or stop its task."""
         self.leases[lease_id] = replace(self.leases[lease_id], is_preempted=True)
 
     def reconcile(self, reported: int, now_s: float) -> list[SlotLease]:
-        """Free slots that two reports on end did not bear out; return their leases.
+        """Free slots that two consecutive reports do not confirm; return their leases.
 
-        A release is lost where its dispatcher changed or a hall was cut off.
-        Leases granted since the report before are left alone: their tasks may
-        be on their way.
+        ``reported`` is the worker's number of slots in use.  A release can get lost
+        when the dispatcher changes or a hall is cut off.  Leases granted since the
+        previous report are excluded, because their tasks may not have arrived yet.
         """
         settled = [
             lease for lease in self.leases.values() if lease.granted_at_s < self._reported_at_s
@@ -81,7 +85,7 @@
 
 
 def pick_victim(hosts: Iterable[HostSlots]) -> tuple[HostSlots, SlotLease] | None:
-    """Return the lease that is to give way next and its host, if there is any."""
+    """Return the next lease to preempt and its host, or None if there is none."""
     return min(_iter_preemptible(hosts), key=_get_preemption_order, default=None)
 
 
@@ -95,6 +99,6 @@
 
 
 def _get_preemption_order(victim: tuple[HostSlots, SlotLease]) -> tuple[bool, int, float]:
-    """Order leases: what may be repeated, is least urgent and started last gives way first."""
+    """Order leases for preemption: repeatable, then least urgent, then granted last."""
     _, lease = victim
     return (not lease.is_repeatable, -lease.urgency, -lease.granted_at_s)
--- a/src/robinthread/_internal/dispatch/outcome_tracker.py
+++ b/src/robinthread/_internal/dispatch/outcome_tracker.py
@@ -1,4 +1,4 @@
-"""What the outcomes of tasks teach about jobs and hosts."""
+"""Jobs and hosts that fail, derived from the outcomes of tasks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,11 @@
 
 
 class JobFailureTracker:
-    """Tell a job that can never run from a host that fails everything."""
+    """Set aside jobs that fail on several hosts.
+
+    A job that fails on several distinct hosts is taken as one that can never run.
+    A host on which distinct jobs fail is the faulty part; see ``HostHealth``.
+    """
 
     def __init__(self, settings: DispatchSettings) -> None:
         self._settings = settings
@@ -30,11 +34,11 @@
         self._set_aside_until_s: OrderedDict[bytes, float] = OrderedDict()
 
     def is_set_aside(self, job: bytes, now_s: float) -> bool:
-        """Tell whether the job is refused now."""
+        """Return whether requests of the job are refused now."""
         return now_s < self._set_aside_until_s.get(job, -1e9)
 
     def record_outcome(self, outcome: SlotOutcome, job: bytes, host: str, now_s: float) -> bool:
-        """Note an outcome; return whether the job was set aside by it."""
+        """Record an outcome on ``host``; return whether it set the job aside."""
         if outcome is SlotOutcome.RAN:
             self._hosts_failed_on.pop(job, None)
             return False
@@ -55,8 +59,8 @@
 class OutcomeTracker:
     """Suspend hosts and set jobs aside by the outcomes of one pool's tasks.
 
-    ``grant_waiting`` leases what is free once a suspension ends; ``start_task`` runs
-    work beside the caller's.
+    ``grant_waiting`` leases free slots when a suspension ends; ``start_task`` runs
+    a coroutine in the background.
     """
 
     def __init__(
@@ -78,7 +82,7 @@
         self._start_task = start_task
 
     def process_release(self, slots: HostSlots, outcome: SlotOutcome, release: SlotRelease) -> None:
-        """Learn from how a task on a host ended."""
+        """Record how a task on a host ended, and suspend the host or set the job aside if due."""
         now_s = asyncio.get_running_loop().time()
         if outcome is SlotOutcome.RAN:
             self.estimate.record_run(release.run_s)
@@ -102,7 +106,7 @@
             self._start_task(self._set_aside(slots.host))
 
     async def _set_aside(self, host: Host) -> None:
-        """Ask to have a host that fails on and on set aside; its budget may forbid it."""
+        """Publish that a host that keeps failing is to be set aside; its budget may forbid it."""
         if host.is_serving:
             self._context.counters.add("hosts_set_aside_asked")
             await self._context.publish(HostSetAside(host.name, host.token))
--- a/src/robinthread/_internal/dispatch/run_estimate.py
+++ b/src/robinthread/_internal/dispatch/run_estimate.py
@@ -1,4 +1,4 @@
-"""Run times learnt from outcomes."""
+"""Estimates of run times from finished tasks."""
 
 import bisect
 from collections import deque
@@ -12,7 +12,10 @@
 
 
 class RunEstimate:
-    """Run times in seconds of the last tasks; declared ones are far off."""
+    """Run times in seconds of the last ``SAMPLES_MAX`` tasks that ran, and a moving average.
+
+    Declared run times are not used: they are far off.
+    """
 
     def __init__(self, settings: DispatchSettings) -> None:
         self.mean_s = settings.first_run_estimate_s
@@ -22,7 +25,7 @@
         self._sorted: list[float] = []
 
     def record_run(self, run_s: float) -> None:
-        """Note a finished run."""
+        """Record the run time of a finished task."""
         self._count += 1
         weight = max(self._weight, 1 / self._count)
         self.mean_s += weight * (run_s - self.mean_s)
@@ -32,19 +35,20 @@
         bisect.insort(self._sorted, run_s)
 
     def get_min_time_left_s(self) -> float:
-        """Return the time that a task must have left to be worth starting.
+        """Return the seconds before its deadline that a task needs to be worth starting.
 
-        The median run and a margin: with less, it more likely than not ends
-        too late, and all of it is wasted.
+        This is the median run time plus a margin.  With less, the task more likely
+        than not ends after its deadline, and its whole run is wasted.
         """
         if not self._sorted:
             return self.mean_s
         return self._sorted[len(self._sorted) // 2] * TIME_LEFT_MARGIN
 
     def get_residual_s(self, age_s: float) -> float:
-        """Return the expected time left of a task that has run for ``age_s``.
+        """Return the expected remaining seconds of a task that has run for ``age_s``.
 
-        Past every known run time, a share of the age is all there is to go by.
+        For a task older than every recorded run, a fraction of its age is the only
+        estimate available.
         """
         longer = self._sorted[bisect.bisect_right(self._sorted, age_s) :]
         if longer:
--- a/src/robinthread/_internal/dispatch/slot_lease.py
+++ b/src/robinthread/_internal/dispatch/slot_lease.py
@@ -5,9 +5,9 @@
 
 @dataclass(frozen=True)
 class SlotLease:
-    """A slot given to the daemon at ``holder_address`` until ``expires_at_s``.
+    """A slot leased to the daemon at ``holder_address`` until ``expires_at_s``.
 
-    Times are of the dispatcher's loop, in seconds.
+    Times are in seconds on the clock of the dispatcher's event loop.
     """
 
     id: str
--- a/src/robinthread/_internal/dispatch/slot_outcome.py
+++ b/src/robinthread/_internal/dispatch/slot_outcome.py
@@ -1,10 +1,10 @@
-"""How a slot lease's task ended."""
+"""Outcomes of the task that ran under a slot lease."""
 
 import enum
 
 
 class SlotOutcome(enum.IntEnum):
-    """Outcome that the holder of a slot lease reports with its release."""
+    """Outcome that the holder of a slot lease reports when it releases the lease."""
 
     RAN = 0
     RAN_FAILED = 1
--- a/src/robinthread/_internal/dispatch/waiting_queue.py
+++ b/src/robinthread/_internal/dispatch/waiting_queue.py
@@ -1,4 +1,4 @@
-"""Asks for slots that wait, by urgency and team, and the slots that teams hold."""
+"""Queue of waiting slot requests by urgency and team, and the slots that teams hold."""
 
 import asyncio
 from collections import Counter, deque
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class WaitingRequest:
-    """An ask, who asked, and since when, in seconds of the loop."""
+    """A waiting slot request and its sender; ``arrived_at_s`` is event-loop time in seconds."""
 
     ask: SlotAsk
     sender_name: str
@@ -26,7 +26,10 @@
 
 
 class WaitingQueue:
-    """Urgent work first; within a class, the team that holds the fewest slots."""
+    """Slot requests in order of urgency class.
+
+    Within a class, the team that uses the smallest share of its quota goes first.
+    """
 
     def __init__(self) -> None:
         self._classes: dict[int, dict[str, deque[WaitingRequest]]] = {
@@ -38,27 +41,27 @@
         return sum(self._counts.values())
 
     def count_ahead(self, urgency: int) -> int:
-        """Return the number of asks that go before a new one of this class."""
+        """Return the number of waiting requests of this class or a more urgent one."""
         return sum(count for level, count in self._counts.items() if level <= urgency)
 
     def count_class(self, urgency: int) -> int:
-        """Return the number of asks of this class."""
+        """Return the number of waiting requests of this class."""
         return self._counts[urgency]
 
     def put(self, waiting: WaitingRequest) -> None:
-        """Add an ask behind those of its class and team."""
+        """Append a request to the queue of its class and team."""
         teams = self._classes[waiting.ask.urgency]
         teams.setdefault(waiting.ask.team, deque()).append(waiting)
         self._counts[waiting.ask.urgency] += 1
 
     def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingRequest]:
-        """Iterate over each team's first ask, best first, by class and share in use."""
+        """Iterate over each team's first request, by class, then by the team's share in use."""
         for teams in self._classes.values():
             order = sorted(teams, key=lambda team: (get_share(team), teams[team][0].arrived_at_s))
             yield from [teams[team][0] for team in order]
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Take an ask out."""
+        """Remove a request; does nothing if it is no longer queued."""
         teams = self._classes[waiting.ask.urgency]
         asks = teams.get(waiting.ask.team)
         if asks is None or waiting not in asks:
@@ -69,7 +72,7 @@
             del teams[waiting.ask.team]
 
     def iter_all(self) -> Iterator[WaitingRequest]:
-        """Iterate over all asks."""
+        """Iterate over all waiting requests."""
         return (
             waiting
             for teams in tuple(self._classes.values())
@@ -79,14 +82,14 @@
 
 
 class TeamSlots:
-    """Count the slots that each team holds in a pool's part of one data hall."""
+    """Count the slots that each team holds in one pool and data hall."""
 
     def __init__(self, get_state: Callable[[], FleetState]) -> None:
         self._get_state = get_state
         self._in_use: Counter[str] = Counter()
 
     def add_slot(self, team: str) -> None:
-        """Count a slot that was leased to a team."""
+        """Count a slot that was leased to a team as in use."""
         self._in_use[team] += 1
 
     def remove_slot(self, team: str) -> None:
@@ -94,11 +97,11 @@
         self._in_use[team] -= 1
 
     def get_share(self, team: str) -> float:
-        """Return the share of its quota that a team holds."""
+        """Return the fraction of its quota that a team has in use."""
         return self._in_use[team] / self._get_quota(team)
 
     def is_over_quota(self, team: str) -> bool:
-        """Tell whether a team may get no further slot."""
+        """Return whether a team has used up its quota and gets no further slot."""
         return self._in_use[team] >= self._get_quota(team)
 
     def _get_quota(self, team: str) -> int:
