--- a/src/robinthread/_internal/claims/append_pacer.py
+++ b/src/robinthread/_internal/claims/append_pacer.py
@@ -1,4 +1,4 @@
-"""Pacing of appends against the fleet's share of the log."""
+"""Rate limit of a daemon's appends to the log."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,8 +10,9 @@
 class AppendPacer:
     """A token bucket shared by the partitions that this daemon owns.
 
-    ``get_rate_per_s`` returns the daemon's share of the fleet's appends; an
-    idle daemon may append at once, a busy one groups what arrives meanwhile.
+    ``get_rate_per_s`` returns the daemon's share of the fleet's appends per second.
+    An idle daemon may append at once; a busy one groups the claims that arrive
+    while it waits.
     """
 
     def __init__(self, get_rate_per_s: Callable[[], float]) -> None:
@@ -19,7 +20,7 @@
         self._next_at_s = 0.0
 
     async def wait_turn(self) -> None:
-        """Wait until an append is due."""
+        """Wait until the rate limit allows the next append."""
         now_s = asyncio.get_running_loop().time()
         start_s = max(self._next_at_s, now_s - BURST_S)
         self._next_at_s = start_s + 1 / self._get_rate_per_s()
--- a/src/robinthread/_internal/claims/claim.py
+++ b/src/robinthread/_internal/claims/claim.py
@@ -10,11 +10,11 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """A claim as the partition's stream and the owner's table hold it.
+    """A claim as stored in the partition's stream and in its owner's table.
 
-    A struct in array form: claims are the one kind of state that grows with
-    the callers' load.  ``ask_id`` makes a repeated ask of the same holder
-    idempotent.  The claim may be dropped after ``expires_at_s``, Unix time.
+    The struct is encoded as an array because claims are the only state that grows
+    with the callers' load.  ``ask_id`` makes a repeated claim request of the same
+    holder idempotent.  The claim may be dropped after ``expires_at_s``, Unix time.
     """
 
     key: bytes
@@ -26,13 +26,13 @@
 
 
 def make_key(caller: str, request_id: str) -> bytes:
-    """Return the fixed-size key of a caller's request id."""
+    """Return the key, a hash of ``KEY_BYTES`` bytes, of a caller's request id."""
     text = f"{len(caller)}:{caller}{request_id}".encode()
     return hashlib.blake2b(text, digest_size=KEY_BYTES).digest()
 
 
 def make_identity_digest(pool: str, deadline_at_s: float, body: bytes) -> bytes:
-    """Return a digest of what must not differ between tries of one request."""
+    """Return a digest of the values that must be equal in all tries of one request."""
     head = f"{len(pool)}:{pool}{deadline_at_s:.3f}".encode()
     return hashlib.blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
--- a/src/robinthread/_internal/claims/claim_service.py
+++ b/src/robinthread/_internal/claims/claim_service.py
@@ -1,4 +1,4 @@
-"""Claims as a daemon uses and serves them."""
+"""Claim requests of a daemon, and the partitions of claims that it owns."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ClaimContext:
-    """What the claims of a daemon need from it."""
+    """Dependencies that the claim service gets from its daemon."""
 
     name: str
     hall: str
@@ -36,7 +36,7 @@
 
 
 class ClaimService:
-    """Own partitions when it is this daemon's turn, and ask owners otherwise."""
+    """Own the partitions assigned to this daemon; request claims from any partition's owner."""
 
     def __init__(
         self,
@@ -61,7 +61,11 @@
         router.on_notice(ClaimRelease, self._on_release)
 
     async def request_claim(self, claim: Claim, timeout_s: float) -> ClaimReply:
-        """Ask the owner of the key for a claim; any refusal means not claimed for us."""
+        """Request a claim from the owner of the key's partition.
+
+        Any code but ``OK`` means that the claim is not confirmed for ``claim.holder``.
+        ``CLAIM_OWNER_UNREACHABLE`` is returned if no owner replied in ``timeout_s``.
+        """
         ask = ClaimAsk(
             claim.key,
             claim.digest,
@@ -79,20 +83,24 @@
             reply = await self._request_once(owner, ask, left_s)
             if reply.code != ResultCode.CLAIM_OWNER_UNREACHABLE:
                 return reply
-            # A partition changes hands when daemons come and go: its new owner
-            # needs a moment to read the stream.
+            # A partition gets another owner when daemons join or leave, and the
+            # new owner must read the stream before it grants claims.
             await asyncio.sleep(RETRY_DELAY_S)
         return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
 
     def release(self, claim: Claim) -> None:
-        """Tell the owner that the claim's request did not run and never will."""
+        """Notify the partition's owner that the claimed request did not and will not run."""
         owner = self._find_owner(claim.key)
         if owner is not None:
             message = ClaimRelease(claim.key, claim.holder, claim.incarnation, claim.ask_id)
             self._router.tell(owner.peer_address, message)
 
     async def find_holder(self, key: bytes) -> DaemonMember | None:
-        """Return the live daemon that holds the claim on ``key``, if there is one."""
+        """Return the daemon that holds the claim on ``key``.
+
+        None means that the key is not claimed, that its holder has left or restarted,
+        or that no owner of the partition replied.
+        """
         owner = self._find_owner(key)
         if owner is None:
             return None
@@ -107,9 +115,9 @@
         return member if member and member.incarnation == reply.incarnation else None
 
     def update_owned_partitions(self) -> None:
-        """Take the partitions whose turn has come here, and leave the others.
+        """Acquire the partitions assigned to this daemon, and stop owning the others.
 
-        Called on changes of members.
+        Called when members change.
         """
         if self._is_closed:
             return
@@ -121,7 +129,8 @@
             if is_ours and (owner is None or task is None or task.done()):
                 self._start_owner(partition)
             elif not is_ours and task is not None and not task.done():
-                # A late take of ours would depose the daemon whose turn it is.
+                # If this daemon's acquisition landed late, it would take the partition
+                # away from the daemon that it is assigned to.
                 task.cancel()
 
     def count_held(self) -> int:
@@ -129,7 +138,7 @@
         return sum(len(owner.table) for owner in self._owners.values())
 
     def close(self) -> None:
-        """Stop owning."""
+        """Stop owning partitions."""
         self._is_closed = True
         for task in self._tasks.values():
             task.cancel()
@@ -154,7 +163,7 @@
         task.add_done_callback(self._schedule_restart)
 
     def _schedule_restart(self, task: asyncio.Task[None]) -> None:
-        """Take the partition again after a pause if it is still this daemon's turn."""
+        """Acquire the partition again after ``RESTART_DELAY_S`` if it is still assigned here."""
         if not task.cancelled() and not self._is_closed:
             asyncio.get_running_loop().call_later(RESTART_DELAY_S, self.update_owned_partitions)
 
@@ -211,7 +220,7 @@
 
 
 def assign_partitions(names: Iterable[str], partitions: int) -> dict[int, str]:
-    """Return the daemon whose turn each partition is."""
+    """Map each partition number to the name of the daemon that is to own it."""
     ordered = sorted(names)
     return {
         partition: pick_by_rendezvous(f"claims-{partition}", ordered)
--- a/src/robinthread/_internal/claims/partition_owner.py
+++ b/src/robinthread/_internal/claims/partition_owner.py
@@ -1,4 +1,4 @@
-"""The owner of one partition of claims."""
+"""Ownership of one partition of claims, and the granting of its claims."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class _OwnershipLostError(Exception):
-    """Another daemon took the partition."""
+    """Another daemon acquired the partition."""
 
 
 @dataclass(frozen=True)
@@ -42,11 +42,11 @@
 class PartitionOwner:
     """Grant claims of a partition, each durable in the log before it is granted.
 
-    Ownership is proved by the stream's order alone, never by time: a batch
-    counts only if no other daemon took the partition before it.  An append
-    that lands right behind the last known offset proves it at once; otherwise
-    the owner reads what came between.  Claims that arrive while an append is
-    out, or waits for its turn, share the next one.
+    Ownership depends on the order of the stream alone, never on time: a batch is
+    valid only if no other daemon acquired the partition before it.  An append at
+    the next expected offset confirms this at once; otherwise the owner reads the
+    records in between.  Claims that arrive while an append is in flight or paced
+    are committed together by the next append.
     """
 
     def __init__(
@@ -81,11 +81,11 @@
 
     @property
     def is_owner(self) -> bool:
-        """Tell whether this daemon is the owner, as far as it has read the stream."""
+        """Return whether this daemon is the owner, as far as it has read the stream."""
         return bool(self._ownership_id) and self.table.owner_id == self._ownership_id
 
     async def claim(self, claim: Claim) -> ClaimReply:
-        """Claim a key, or tell who holds it."""
+        """Claim a key; if it is claimed already, the reply names its holder."""
         refusal = self._reply_from_table(claim)
         if refusal is not None:
             return refusal
@@ -98,12 +98,12 @@
         return await asyncio.shield(future)
 
     def release(self, key: bytes, holder: str, incarnation: str, ask_id: int) -> None:
-        """Take back a claim whose request did not run."""
+        """Drop a claim whose request did not run, if it is still the one held."""
         if self.table.release(key, holder, incarnation, ask_id):
             self._counters.add("claims_released")
 
     async def run(self) -> None:
-        """Take the partition, then commit claims until ownership is lost."""
+        """Acquire the partition, then commit claims until ownership is lost."""
         try:
             await self._acquire()
             while True:
@@ -215,7 +215,7 @@
             entry.future.set_result(make_claim_refusal(code))
 
     async def _read_to_end(self, wanted_id: str = "") -> bool:
-        """Fold the stream to its end; return whether batch ``wanted_id`` was valid."""
+        """Apply the stream's records to its end; return whether batch ``wanted_id`` was valid."""
         found = False
         while True:
             try:
@@ -242,7 +242,7 @@
 
 
 def make_claim_refusal(code: ResultCode) -> ClaimReply:
-    """Make a reply that names no holder."""
+    """Return a refusal with ``code`` that names no holder."""
     return ClaimReply(code)
 
 
--- a/src/robinthread/_internal/claims/records.py
+++ b/src/robinthread/_internal/claims/records.py
@@ -1,4 +1,4 @@
-"""Records of a claim partition's stream."""
+"""Records in the stream of a claim partition."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class PartitionTaken(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A daemon takes the partition; the record's offset is its epoch."""
+    """A daemon acquires the partition; the offset of this record is the new epoch."""
 
     id: str
     owner: str
@@ -14,7 +14,7 @@
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Claims of one group commit; void unless ``epoch`` is the partition's current one."""
+    """Claims of one group commit; valid only if ``epoch`` is the partition's current one."""
 
     id: str
     epoch: int
@@ -25,10 +25,10 @@
 
 
 def encode_partition_record(record: PartitionRecord) -> bytes:
-    """Encode a record."""
+    """Encode a record as MessagePack."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_partition_record(data: bytes) -> PartitionRecord:
-    """Decode a record; raise ``msgspec.MsgspecError`` on bad bytes."""
+    """Decode a record; raise ``msgspec.MsgspecError`` if the bytes are malformed."""
     return msgspec.msgpack.decode(data, type=PartitionRecord)
--- a/src/robinthread/_internal/claims/table.py
+++ b/src/robinthread/_internal/claims/table.py
@@ -1,4 +1,4 @@
-"""Claims of one partition, as its stream's order gives them."""
+"""Claims of one partition, built from the records of its stream."""
 
 import heapq
 from sys import intern
@@ -10,7 +10,10 @@
 
 
 class ClaimTable:
-    """Fold a partition's records; every reader of the stream gets the same table."""
+    """Apply a partition's records in log order.
+
+    Every reader of the stream builds the same table.
+    """
 
     def __init__(self) -> None:
         self.epoch = NO_EPOCH
@@ -24,7 +27,7 @@
         return len(self._held)
 
     def apply(self, offset: int, record: PartitionRecord) -> bool:
-        """Fold the record at ``offset``; return whether it was valid there."""
+        """Apply the record at ``offset``; return whether it was valid there."""
         self.next_offset = offset + 1
         if isinstance(record, PartitionTaken):
             self.epoch = offset
@@ -37,11 +40,11 @@
         return True
 
     def get(self, key: bytes) -> Claim | None:
-        """Return the claim on ``key``, if one is held."""
+        """Return the claim on ``key``, or None if the key is not claimed."""
         return self._held.get(key)
 
     def release(self, key: bytes, holder: str, incarnation: str, ask_id: int) -> bool:
-        """Drop a claim that its holder says did not run; return whether it was held."""
+        """Drop a claim whose holder reports that it did not run; return whether it was held."""
         held = self._held.get(key)
         if held is None or (held.holder, held.incarnation, held.ask_id) != (
             holder,
@@ -53,7 +56,7 @@
         return True
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop claims that expired before ``now_s``, a second's worth at a time."""
+        """Drop claims that expired before ``now_s``, in buckets of one second."""
         while self._expiries_s and self._expiries_s[0] < now_s - 1:
             for key in self._keys_by_expiry_s.pop(heapq.heappop(self._expiries_s)):
                 held = self._held.get(key)
@@ -61,7 +64,7 @@
                     del self._held[key]
 
     def _add(self, claim: Claim) -> None:
-        # Names are few and claims are many, so that each name is kept once.
+        # Many claims share a few holder names; interning stores each name once.
         self._held[claim.key] = Claim(
             claim.key,
             claim.digest,
