--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -40,7 +40,7 @@
 
         run_virtual(work())
 
-    def test_late_duplicate_after_the_claim_is_gone_does_not_run(self) -> None:
+    def test_late_duplicate_after_the_claim_has_expired_does_not_run(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "late", left_s=5.0)
@@ -52,7 +52,7 @@
 
         run_virtual(work())
 
-    def test_owner_of_the_claim_dies_and_its_successor_knows(self) -> None:
+    def test_claim_is_known_to_the_successor_of_a_crashed_owner(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "owner", left_s=60.0)
@@ -70,7 +70,7 @@
 
         run_virtual(work())
 
-    def test_holder_dies_and_nobody_runs_the_request_again(self) -> None:
+    def test_request_is_not_run_again_after_its_holder_crashes(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "holder", run_s=2.0, left_s=60.0)
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -19,7 +19,7 @@
 
 
 class LimitsTest(TestCase):
-    def test_waves_of_cancellations_are_answered_truthfully(self) -> None:
+    def test_bursts_of_cancellations_get_correct_codes(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL, slots=1)
             daemon = get_daemon(fleet)
@@ -103,7 +103,7 @@
 
         run_virtual(work())
 
-    def test_run_times_are_learnt_not_declared(self) -> None:
+    def test_run_times_are_estimated_from_finished_tasks(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL, slots=1)
             for number in range(40):
--- a/tests/unit/test_claim_service.py
+++ b/tests/unit/test_claim_service.py
@@ -26,8 +26,8 @@
     return DaemonMember(name, "i", "hall", f"tcp://{name}", "")
 
 
-class TurnsTest(TestCase):
-    def test_late_take_does_not_depose_the_daemon_whose_turn_came(self) -> None:
+class PartitionAssignmentTest(TestCase):
+    def test_late_acquisition_does_not_displace_the_assigned_daemon(self) -> None:
         async def work() -> None:
             log = LogStandin()
             log.faults.delay_s = 1.0
@@ -40,10 +40,10 @@
             states[0] = both
             service.update_owned_partitions()
             await asyncio.sleep(10.0)
-            takers = [await self._read_takers(log, number) for number in range(PARTITIONS)]
+            owners = [await self._read_owners(log, number) for number in range(PARTITIONS)]
             assignment = assign_partitions(("a", "b"), PARTITIONS)
             self.assertEqual(
-                [["a"] if assignment[number] == "a" else [] for number in range(PARTITIONS)], takers
+                [["a"] if assignment[number] == "a" else [] for number in range(PARTITIONS)], owners
             )
             self.assertIn("b", assignment.values())
 
@@ -65,6 +65,6 @@
         settings = ClaimSettings(claim_partitions=PARTITIONS)
         return ClaimService(context, settings, log.make_service(), router, Counters())
 
-    async def _read_takers(self, log: LogStandin, number: int) -> list[str]:
+    async def _read_owners(self, log: LogStandin, number: int) -> list[str]:
         page = await log.read(f"claims-{number}", 0, 100, 0.0)
         return [decode_partition_record(record.data).owner for record in page.records]  # type: ignore[union-attr]
