--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that must not run twice, whatever fails."""
+"""Requests that must run at most once, also when daemons crash or the log loses replies."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/unit/test_claim_service.py
+++ b/tests/unit/test_claim_service.py
@@ -1,4 +1,4 @@
-"""Turns of claim partitions as daemons come and go."""
+"""Assignment of claim partitions when daemons join or leave."""
 
 import asyncio
 import itertools
