--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -233,10 +233,10 @@
         """Take up turns and hosts, unless the change was to something else."""
         before, self._adopted = self._adopted, self.state
         if before.daemons is not self.state.daemons or before.cut_halls != self.state.cut_halls:
-            self.claims.adopt_turns()
+            self.claims.update_owned_partitions()
         elif before.hosts is self.state.hosts:
             return
-        self.dispatch.adopt_state()
+        self.dispatch.update_dispatchers()
 
     def _note_folded(self, record: FoldedRecord) -> None:
         if record.code is not ResultCode.OK:
@@ -307,4 +307,4 @@
 
     def is_hall_lead(self) -> bool:
         """Tell whether this daemon follows the host list for its data hall."""
-        return self.dispatch.get_turn("", self.settings.hall) == self.settings.name
+        return self.dispatch.get_dispatching_daemon("", self.settings.hall) == self.settings.name
