--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from bench.result import BenchResult
-from robinthread._internal.experiments.day import play_day
+from robinthread._internal.experiments.day import simulate_day
 from robinthread._internal.experiments.deployment_file import parse_deployment
 from robinthread._internal.experiments.estimates import estimate_mean
 from robinthread._internal.settings.policy_settings import PolicySettings
@@ -16,8 +16,8 @@
 def run_short_experiment() -> BenchResult:
     """Play three days of a small deployment, and one of them again."""
     deployment = parse_deployment(read_text(str(FILE)), FILE.name).unwrap()
-    days = [play_day(deployment, PolicySettings(), seed) for seed in SEEDS]
-    again = play_day(deployment, PolicySettings(), SEEDS[0])
+    days = [simulate_day(deployment, PolicySettings(), seed) for seed in SEEDS]
+    again = simulate_day(deployment, PolicySettings(), SEEDS[0])
     counts = {
         "jobs": float(sum(day.job_count for day in days)),
         "served_share": sum(day.served_count for day in days) / sum(day.job_count for day in days),
--- a/src/robinthread/_internal/commands/experiment.py
+++ b/src/robinthread/_internal/commands/experiment.py
@@ -19,7 +19,7 @@
     Arm,
     Run,
     make_runs,
-    play_runs,
+    simulate_runs,
 )
 from robinthread._internal.experiments.variants import make_variant
 from robinthread._internal.results import Fault, FaultError, ResultCode, make_fault
@@ -59,13 +59,13 @@
     arms = list(_iter_arms(options))
     seeds = range(options.first_seed, options.first_seed + options.seeds)
     runs = make_runs(arms, seeds)
-    results = play_runs(runs, options.processes or PROCESSES_MAX, options.shows_progress)
+    results = simulate_runs(runs, options.processes or PROCESSES_MAX, options.shows_progress)
     if options.output:
         _write_lines(options.output, runs, results)
     if options.plot:
-        from robinthread._internal.experiments.plots import draw_day
+        from robinthread._internal.experiments.plots import plot_day
 
-        draw_day(runs[0].deployment, runs[0], results[0], options.plot)
+        plot_day(runs[0].deployment, runs[0], results[0], options.plot)
     print((format_differences if options.ablates else format_report)(runs, results))
     broken = [broken for result in results for broken in result.breaks]
     print("\n".join(("promises broken:", *broken)) if broken else "no promise broken")
--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -12,7 +12,7 @@
 from robinthread._internal.experiments.demand import Arrival, draw_arrivals
 from robinthread._internal.experiments.deployment import Deployment
 from robinthread._internal.experiments.processors import Processors, charge_calls
-from robinthread._internal.experiments.troubles import bring_about
+from robinthread._internal.experiments.troubles import inject_trouble
 from robinthread._internal.experiments.virtual_time import VirtualClock, run_on_clock
 from robinthread._internal.experiments.worth import JobOutcome, weigh_day
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
@@ -44,7 +44,7 @@
 WHOLE_CORE_MILLICORES: Final = 1000
 
 
-def play_day(deployment: Deployment, policy: PolicySettings, seed: int) -> DayResult:
+def simulate_day(deployment: Deployment, policy: PolicySettings, seed: int) -> DayResult:
     """Play a day; the same seed gives the same result."""
     return run_on_clock(VirtualClock(), _Day(deployment, policy, seed).play())
 
@@ -71,7 +71,7 @@
         async with asyncio.TaskGroup() as day:
             sampling = day.create_task(self._keep_sampling(platform))
             for trouble in self._deployment.troubles.values():
-                day.create_task(bring_about(platform, trouble, self._random, self._start_node))
+                day.create_task(inject_trouble(platform, trouble, self._random, self._start_node))
             await self._feed(platform)
             await self._wait_until_ended(platform)
             sampling.cancel()
--- a/src/robinthread/_internal/experiments/plots.py
+++ b/src/robinthread/_internal/experiments/plots.py
@@ -17,7 +17,7 @@
 SIZE_INCHES: Final = (9.0, 9.0)
 
 
-def draw_day(deployment: Deployment, run: Run, day: DayResult, path: str) -> None:
+def plot_day(deployment: Deployment, run: Run, day: DayResult, path: str) -> None:
     """Write a picture: hosts and jobs by pool over time, how long jobs took, and the worth."""
     # Names in the file stay the same from run to run, so that it can be kept and compared.
     with matplotlib.rc_context({"svg.hashsalt": "robinthread"}):
--- a/src/robinthread/_internal/experiments/runs.py
+++ b/src/robinthread/_internal/experiments/runs.py
@@ -8,7 +8,7 @@
 
 from tqdm import tqdm
 
-from robinthread._internal.experiments.day import play_day
+from robinthread._internal.experiments.day import simulate_day
 from robinthread._internal.experiments.day_result import DayResult
 from robinthread._internal.experiments.deployment import Deployment
 from robinthread._internal.settings.policy_settings import PolicySettings
@@ -48,7 +48,7 @@
     ]
 
 
-def play_runs(runs: Sequence[Run], processes: int, shows_progress: bool) -> list[DayResult]:
+def simulate_runs(runs: Sequence[Run], processes: int, shows_progress: bool) -> list[DayResult]:
     """Play all runs, and return their results in the same order."""
     if processes == 1:
         return list(map(_play, _show(runs, shows_progress)))
@@ -62,4 +62,4 @@
 
 
 def _play(run: Run) -> DayResult:
-    return play_day(run.deployment, run.policy, run.seed)
+    return simulate_day(run.deployment, run.policy, run.seed)
--- a/src/robinthread/_internal/experiments/troubles.py
+++ b/src/robinthread/_internal/experiments/troubles.py
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 
-async def bring_about(
+async def inject_trouble(
     platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random, start_node: StartNode
 ) -> None:
     """Bring a trouble about at its time, and end it."""
--- a/tests/functional/test_experiments.py
+++ b/tests/functional/test_experiments.py
@@ -11,7 +11,7 @@
 from testtools import TestCase
 
 from robinthread._internal.cli.main import run_command_line
-from robinthread._internal.experiments.day import play_day
+from robinthread._internal.experiments.day import simulate_day
 from robinthread._internal.experiments.deployment import (
     Deployment,
     MachinesSpec,
@@ -20,7 +20,7 @@
     TroubleKind,
     TroubleSpec,
 )
-from robinthread._internal.experiments.runs import Arm, make_runs, play_runs
+from robinthread._internal.experiments.runs import Arm, make_runs, simulate_runs
 from robinthread._internal.settings.policy_settings import PolicySettings
 
 SMALL = Deployment(
@@ -41,12 +41,12 @@
 class DayTest(TestCase):
     def test_same_seed_gives_the_same_day_in_any_process(self) -> None:
         runs = make_runs([Arm("defaults", (SMALL,), PolicySettings())], (1, 2))
-        here = play_runs(runs, processes=1, shows_progress=False)
-        self.assertEqual(here, play_runs(runs, processes=2, shows_progress=False))
+        here = simulate_runs(runs, processes=1, shows_progress=False)
+        self.assertEqual(here, simulate_runs(runs, processes=2, shows_progress=False))
         self.assertNotEqual(here[0], here[1])
 
     def test_calm_day_is_served(self) -> None:
-        day = play_day(SMALL, PolicySettings(), 1)
+        day = simulate_day(SMALL, PolicySettings(), 1)
         self.assertEqual(day.job_count, day.served_count)
         self.assertGreater(day.worth.on_time, 0.9)
         self.assertEqual((), day.breaks)
@@ -57,14 +57,14 @@
             trouble = TroubleSpec(TroubleKind.CRASH_HOSTS.value, at_s=3.0, for_s=back_s, share=0.5)
             machines = MachinesSpec(count=6, keeps_host_ids=True)
             spec = replace(SMALL, machines=machines, troubles={"one": trouble})
-            day = play_day(spec, PolicySettings(), 1)
+            day = simulate_day(spec, PolicySettings(), 1)
             self.assertEqual((), day.breaks)
             self.assertEqual(day.job_count, day.served_count)
 
     def test_each_trouble_ends_and_breaks_no_promise(self) -> None:
         for kind in TroubleKind:
             trouble = TroubleSpec(kind.value, at_s=3.0, for_s=2.0, share=0.4)
-            day = play_day(replace(SMALL, troubles={"one": trouble}), PolicySettings(), 1)
+            day = simulate_day(replace(SMALL, troubles={"one": trouble}), PolicySettings(), 1)
             self.assertEqual((), day.breaks, kind.value)
             # Callers give up after three tries; whoever came before or after was served.
             lost_at_s = [job.at_s for job in day.jobs if job.ended_at_s is None]
@@ -74,7 +74,7 @@
         busy = replace(SMALL, queues={"tiles": QueueSpec(pool="tiles", jobs_per_s=6.0)})
         small = replace(busy, nodes=NodesSpec(count=3, processor_share=0.005))
         large = replace(busy, nodes=NodesSpec(count=3, processor_share=1.0))
-        found = [play_day(one, PolicySettings(), 1) for one in (small, large)]
+        found = [simulate_day(one, PolicySettings(), 1) for one in (small, large)]
         self.assertLess(found[0].worth.on_time, found[1].worth.on_time)
         self.assertGreater(found[0].busiest_node, 0.5)
         self.assertLess(found[1].busiest_node, 0.1)
