--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -14,7 +14,7 @@
 from robinthread._internal.experiments.processors import Processors, charge_calls
 from robinthread._internal.experiments.troubles import inject_trouble
 from robinthread._internal.experiments.virtual_time import VirtualClock, run_on_clock
-from robinthread._internal.experiments.worth import JobOutcome, weigh_day
+from robinthread._internal.experiments.worth import JobOutcome, compute_worth
 from robinthread._internal.models.job_spec import JobSpec, StepSpec
 from robinthread._internal.models.machine import MachineState
 from robinthread._internal.models.pool_policy import PoolPolicy
@@ -222,7 +222,7 @@
         spent_s = max(self._processors.spent_s.values(), default=0.0)
         return DayResult(
             self._seed,
-            weigh_day(jobs, spec.queues, spec.prices, machine_s, move_count),
+            compute_worth(jobs, spec.queues, spec.prices, machine_s, move_count),
             len(jobs),
             sum(job.ended_at_s is not None for job in jobs),
             machine_s,
--- a/src/robinthread/_internal/experiments/deployment.py
+++ b/src/robinthread/_internal/experiments/deployment.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-US_IN_S: Final = 1e-6
+SECONDS_PER_US: Final = 1e-6
 
 
 class Shape(enum.Enum):
--- a/src/robinthread/_internal/experiments/estimates.py
+++ b/src/robinthread/_internal/experiments/estimates.py
@@ -18,7 +18,7 @@
     half_width: float | None
 
     @property
-    def is_clear(self) -> bool:
+    def is_significant(self) -> bool:
         """Tell whether the interval leaves zero out."""
         return self.half_width is not None and abs(self.mean) > self.half_width
 
--- a/src/robinthread/_internal/experiments/processors.py
+++ b/src/robinthread/_internal/experiments/processors.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import defaultdict
 
-from robinthread._internal.experiments.deployment import US_IN_S, CostsSpec
+from robinthread._internal.experiments.deployment import SECONDS_PER_US, CostsSpec
 from robinthread._internal.standins.call_faults import Charge
 from robinthread._internal.standins.platform_standin import PlatformStandin
 
@@ -31,7 +31,7 @@
     """Have all calls of a platform's nodes cost their processors."""
 
     def make_charge(cost_us: float) -> Charge:
-        return lambda node: processors.spend(node, cost_us * US_IN_S)
+        return lambda node: processors.spend(node, cost_us * SECONDS_PER_US)
 
     platform.store.faults.charge = make_charge(costs.store_call_us)
     platform.hosts.faults.charge = make_charge(costs.host_call_us)
--- a/src/robinthread/_internal/experiments/report.py
+++ b/src/robinthread/_internal/experiments/report.py
@@ -74,4 +74,4 @@
     figure: Figure, base: Sequence[DayResult], change: Sequence[DayResult]
 ) -> str:
     found = estimate_difference(list(map(figure, base)), list(map(figure, change)))
-    return f"{found}{'' if found.is_clear else ' (unclear)'}"
+    return f"{found}{'' if found.is_significant else ' (unclear)'}"
--- a/src/robinthread/_internal/experiments/worth.py
+++ b/src/robinthread/_internal/experiments/worth.py
@@ -47,7 +47,7 @@
     return took_s is not None and took_s <= queue.stretch * job.work_s + queue.slack_s
 
 
-def weigh_day(
+def compute_worth(
     jobs: Collection[JobOutcome],
     queues: dict[str, QueueSpec],
     prices: PricesSpec,
--- a/tests/unit/test_experiment_parts.py
+++ b/tests/unit/test_experiment_parts.py
@@ -9,7 +9,7 @@
 from robinthread._internal.experiments.deployment import Deployment, PricesSpec, QueueSpec
 from robinthread._internal.experiments.estimates import estimate_difference, estimate_mean
 from robinthread._internal.experiments.processors import Processors
-from robinthread._internal.experiments.worth import JobOutcome, weigh_day
+from robinthread._internal.experiments.worth import JobOutcome, compute_worth
 from tests.lib.virtual import run_virtual
 
 QUEUE = QueueSpec(pool="tiles", jobs_per_s=10.0)
@@ -68,7 +68,7 @@
             JobOutcome("b", 2.0, 1.0, 4.0),
             JobOutcome("b", 4.0, 1.0, None),
         ]
-        found = weigh_day(jobs, queues, PricesSpec(0.1, 1.0), machine_s=4.0, move_count=2)
+        found = compute_worth(jobs, queues, PricesSpec(0.1, 1.0), machine_s=4.0, move_count=2)
         self.assertAlmostEqual(4 / 8, found.on_time)
         self.assertAlmostEqual(0.0, found.worst_window)
         self.assertAlmostEqual(0.5, found.worst_queue)
@@ -80,7 +80,7 @@
     def test_difference_is_taken_seed_by_seed(self) -> None:
         found = estimate_difference([0.1, 0.5, 0.9], [0.2, 0.6, 1.0])
         self.assertAlmostEqual(0.1, found.mean)
-        self.assertTrue(found.is_clear)
+        self.assertTrue(found.is_significant)
 
     def test_width_is_that_of_students_distribution(self) -> None:
         # The quantile for three degrees of freedom is 3.182; the spread is 1.291.
