--- a/src/robinthread/_internal/experiments/ablation.py
+++ b/src/robinthread/_internal/experiments/ablation.py
@@ -7,7 +7,7 @@
 from robinthread._internal.settings.policy_settings import PolicySettings
 
 # What switches a mechanism off whose setting is a number; 0 does so for all others.
-OFF: Final = {"demand.late_share": 1.0}
+OFF_VALUES: Final = {"demand.late_share": 1.0}
 
 
 def iter_ablations(policy: PolicySettings) -> Iterator[tuple[str, PolicySettings]]:
@@ -16,10 +16,10 @@
         settings: Any = getattr(policy, part.name)
         for field in dataclasses.fields(settings):
             key, value = f"{part.name}.{field.name}", getattr(settings, field.name)
-            switched = not value if isinstance(value, bool) else OFF.get(key, 0.0)
+            switched = not value if isinstance(value, bool) else OFF_VALUES.get(key, 0.0)
             changed = dataclasses.replace(settings, **{field.name: switched})
-            yield f"{key}={_name(switched)}", dataclasses.replace(policy, **{part.name: changed})
+            yield f"{key}={_format(switched)}", dataclasses.replace(policy, **{part.name: changed})
 
 
-def _name(value: bool | float) -> str:
+def _format(value: bool | float) -> str:
     return str(value).lower() if isinstance(value, bool) else f"{value:g}"
--- a/src/robinthread/_internal/experiments/demand.py
+++ b/src/robinthread/_internal/experiments/demand.py
@@ -8,8 +8,8 @@
 from robinthread._internal.experiments.deployment import Deployment, QueueSpec, Shape
 
 # Demand in a queue's turn and between its turns, times its ``jobs_per_s``.
-IN_TURN: Final = 5.0
-BETWEEN_TURNS: Final = 0.05
+IN_TURN_FACTOR: Final = 5.0
+BETWEEN_TURNS_FACTOR: Final = 0.05
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
         generator = np.random.default_rng((seed, number))
         for at_s in _draw_times(deployment, name, queue, generator):
             spread = generator.uniform(-queue.work_spread, queue.work_spread, queue.tasks)
-            work_s = tuple(float(queue.work_s * (1 + share)) for share in spread)
+            work_s = tuple(float(queue.work_s * (1 + deviation)) for deviation in spread)
             drawn.append((at_s, name, work_s))
     drawn.sort()
     return tuple(
@@ -43,13 +43,15 @@
     deployment: Deployment, name: str, queue: QueueSpec, generator: np.random.Generator
 ) -> list[float]:
     """Draw times by thinning a steady stream of the greatest rate."""
-    greatest = queue.jobs_per_s * IN_TURN
-    count = generator.poisson(greatest * deployment.length_s)
+    rate_max = queue.jobs_per_s * IN_TURN_FACTOR
+    count = generator.poisson(rate_max * deployment.length_s)
     times_s = np.sort(generator.uniform(0, deployment.length_s, count))
-    kept = generator.uniform(0, greatest, count)
+    thresholds = generator.uniform(0, rate_max, count)
     rates = [get_rate(deployment, name, float(at_s)) for at_s in times_s]
     return [
-        float(at_s) for at_s, rate, least in zip(times_s, rates, kept, strict=True) if rate > least
+        float(at_s)
+        for at_s, rate, threshold in zip(times_s, rates, thresholds, strict=True)
+        if rate > threshold
     ]
 
 
@@ -62,11 +64,11 @@
         case Shape.RAMP:
             return queue.jobs_per_s * 2 * at_s / deployment.length_s
         case Shape.TURNS:
-            takers = [
+            turn_queues = [
                 other
                 for other, spec in deployment.queues.items()
                 if spec.shape == Shape.TURNS.value
             ]
-            turn = int(at_s / deployment.turn_s) % len(takers)
-            is_in_turn = takers[turn] == name
-            return queue.jobs_per_s * (IN_TURN if is_in_turn else BETWEEN_TURNS)
+            turn = int(at_s / deployment.turn_s) % len(turn_queues)
+            is_in_turn = turn_queues[turn] == name
+            return queue.jobs_per_s * (IN_TURN_FACTOR if is_in_turn else BETWEEN_TURNS_FACTOR)
--- a/src/robinthread/_internal/experiments/deployment_file.py
+++ b/src/robinthread/_internal/experiments/deployment_file.py
@@ -38,7 +38,7 @@
         yield from _iter_queue_conflicts(f"queues.{name}", queue, deployment)
     for name, trouble in deployment.troubles.items():
         if trouble.kind not in TROUBLE_KINDS:
-            yield _make_choice(f"troubles.{name}.kind", trouble.kind, TROUBLE_KINDS)
+            yield _make_choice_conflict(f"troubles.{name}.kind", trouble.kind, TROUBLE_KINDS)
         if trouble.share > 1:
             yield Conflict(f"troubles.{name}.share", f"is {trouble.share}, expected 1 at most")
     job_count = sum(queue.jobs_per_s for queue in deployment.queues.values()) * deployment.length_s
@@ -56,7 +56,7 @@
     if queue.pool == RESERVE:
         yield Conflict(f"{key}.pool", f"is {RESERVE!r}, which is the pool of machines that are off")
     if queue.shape not in SHAPES:
-        yield _make_choice(f"{key}.shape", queue.shape, SHAPES)
+        yield _make_choice_conflict(f"{key}.shape", queue.shape, SHAPES)
     if queue.work_spread >= 1:
         yield Conflict(f"{key}.work_spread", f"is {queue.work_spread}, expected less than 1")
     for name in ("cpu_millicores", "memory_mb"):
@@ -74,10 +74,10 @@
         elif dataclasses.is_dataclass(value):
             yield from _iter_range_conflicts(value, f"{key}.")
         elif isinstance(value, int | float) and not isinstance(value, bool):
-            least = "at least 0" if field.name in MAY_BE_ZERO else "more than 0"
+            bound = "at least 0" if field.name in MAY_BE_ZERO else "more than 0"
             if value < 0 or (value == 0 and field.name not in MAY_BE_ZERO):
-                yield Conflict(key, f"is {value}, expected {least}")
+                yield Conflict(key, f"is {value}, expected {bound}")
 
 
-def _make_choice(key: str, value: str, choices: tuple[str, ...]) -> Conflict:
+def _make_choice_conflict(key: str, value: str, choices: tuple[str, ...]) -> Conflict:
     return Conflict(key, f"is {value!r}, expected one of {', '.join(choices)}")
--- a/src/robinthread/_internal/experiments/runs.py
+++ b/src/robinthread/_internal/experiments/runs.py
@@ -51,15 +51,15 @@
 def simulate_runs(runs: Sequence[Run], processes: int, shows_progress: bool) -> list[DayResult]:
     """Play all runs, and return their results in the same order."""
     if processes == 1:
-        return list(map(_play, _show(runs, shows_progress)))
+        return list(map(_simulate, _iter_with_progress(runs, shows_progress)))
     with ProcessPoolExecutor(min(processes, len(runs))) as executor:
-        played = executor.map(_play, runs)
-        return list(tqdm(played, total=len(runs), disable=not shows_progress, unit="day"))
+        results = executor.map(_simulate, runs)
+        return list(tqdm(results, total=len(runs), disable=not shows_progress, unit="day"))
 
 
-def _show(runs: Sequence[Run], shows_progress: bool) -> Iterable[Run]:
+def _iter_with_progress(runs: Sequence[Run], shows_progress: bool) -> Iterable[Run]:
     return tqdm(runs, disable=not shows_progress, unit="day")
 
 
-def _play(run: Run) -> DayResult:
+def _simulate(run: Run) -> DayResult:
     return simulate_day(run.deployment, run.policy, run.seed)
--- a/src/robinthread/_internal/experiments/troubles.py
+++ b/src/robinthread/_internal/experiments/troubles.py
@@ -8,39 +8,41 @@
 from robinthread._internal.experiments.deployment import TroubleKind, TroubleSpec
 from robinthread._internal.standins.platform_standin import PlatformStandin
 
-EVERYBODY: Final = "*"
+ALL_CALLERS: Final = "*"
 
 StartNode = Callable[[PlatformStandin, str], None]
 T = TypeVar("T")
 
 
 async def inject_trouble(
-    platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random, start_node: StartNode
+    platform: PlatformStandin, trouble: TroubleSpec, rng: random.Random, start_node: StartNode
 ) -> None:
     """Bring a trouble about at its time, and end it."""
     await asyncio.sleep(trouble.at_s)
     match TroubleKind(trouble.kind):
         case TroubleKind.KILL_NODES:
-            await _kill_nodes(platform, trouble, drawn, start_node)
+            await _kill_nodes(platform, trouble, rng, start_node)
         case TroubleKind.CUT_NODES:
-            await _cut_nodes(platform, trouble, drawn)
+            await _cut_nodes(platform, trouble, rng)
         case TroubleKind.CRASH_HOSTS:
-            _crash_hosts(platform, trouble, drawn)
+            _crash_hosts(platform, trouble, rng)
         case TroubleKind.SLOW_STORE:
             await _slow_store(platform, trouble)
         case TroubleKind.STORE_AWAY:
-            await _turn_all_away(platform, trouble)
+            await _refuse_store_calls(platform, trouble)
 
 
-def _pick(found: Sequence[T], trouble: TroubleSpec, drawn: random.Random) -> list[T]:
+def _choose_targets(candidates: Sequence[T], trouble: TroubleSpec, rng: random.Random) -> list[T]:
     """Pick a share of what may be struck, one at least."""
-    return drawn.sample(found, min(len(found), max(1, round(trouble.share * len(found)))))
+    return rng.sample(
+        candidates, min(len(candidates), max(1, round(trouble.share * len(candidates))))
+    )
 
 
 async def _kill_nodes(
-    platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random, start_node: StartNode
+    platform: PlatformStandin, trouble: TroubleSpec, rng: random.Random, start_node: StartNode
 ) -> None:
-    names = _pick(sorted(platform.nodes), trouble, drawn)
+    names = _choose_targets(sorted(platform.nodes), trouble, rng)
     for name in names:
         platform.kill_node(name)
     await asyncio.sleep(trouble.for_s)
@@ -49,8 +51,8 @@
             start_node(platform, name)
 
 
-async def _cut_nodes(platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random) -> None:
-    names = _pick(sorted(platform.nodes), trouble, drawn)
+async def _cut_nodes(platform: PlatformStandin, trouble: TroubleSpec, rng: random.Random) -> None:
+    names = _choose_targets(sorted(platform.nodes), trouble, rng)
     for name in names:
         platform.cut_node(name)
     await asyncio.sleep(trouble.for_s)
@@ -58,10 +60,10 @@
         platform.heal_node(name)
 
 
-def _crash_hosts(platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random) -> None:
+def _crash_hosts(platform: PlatformStandin, trouble: TroubleSpec, rng: random.Random) -> None:
     platform.host_back_s = trouble.for_s
     up = [host.record.id for host in platform.hosts.hosts.values() if host.is_up]
-    for host_id in _pick(up, trouble, drawn):
+    for host_id in _choose_targets(up, trouble, rng):
         platform.crash_for_a_while(host_id)
 
 
@@ -72,7 +74,7 @@
     faults.latency_s /= trouble.times
 
 
-async def _turn_all_away(platform: PlatformStandin, trouble: TroubleSpec) -> None:
-    platform.store.faults.refused.add(EVERYBODY)
+async def _refuse_store_calls(platform: PlatformStandin, trouble: TroubleSpec) -> None:
+    platform.store.faults.refused.add(ALL_CALLERS)
     await asyncio.sleep(trouble.for_s)
-    platform.store.faults.refused.discard(EVERYBODY)
+    platform.store.faults.refused.discard(ALL_CALLERS)
--- a/src/robinthread/_internal/experiments/variants.py
+++ b/src/robinthread/_internal/experiments/variants.py
@@ -11,7 +11,7 @@
 def make_variant(deployment: Deployment, key: str, value: str) -> Deployment:
     """Return a deployment with another value under a dotted key; raise ``FaultError``."""
     try:
-        changed = _replace(deployment, key.split("."), value)
+        changed = _replace_value(deployment, key.split("."), value)
     except (AttributeError, KeyError, ValueError) as error:
         text = f"--vary={key}: {value} is no value for a key of the file"
         raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, text)) from error
@@ -22,14 +22,14 @@
     return changed
 
 
-def _replace(part: Any, path: list[str], value: str) -> Any:
+def _replace_value(part: Any, path: list[str], value: str) -> Any:
     """Return a part with a value of the same type as the one that it stands for."""
     name, rest = path[0], path[1:]
-    found = part[name] if isinstance(part, dict) else getattr(part, name)
+    old_value = part[name] if isinstance(part, dict) else getattr(part, name)
     if rest:
-        changed = _replace(found, rest, value)
-    elif isinstance(found, int | float | str):
-        changed = type(found)(value)
+        changed = _replace_value(old_value, rest, value)
+    elif isinstance(old_value, int | float | str):
+        changed = type(old_value)(value)
     else:
         raise ValueError(name)
     return part | {name: changed} if isinstance(part, dict) else _replace_field(part, name, changed)
--- a/src/robinthread/_internal/experiments/virtual_time.py
+++ b/src/robinthread/_internal/experiments/virtual_time.py
@@ -21,7 +21,7 @@
         return self.elapsed_s
 
 
-class _WaitlessSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Has the time of a wait pass at once."""
 
     def __init__(self, clock: VirtualClock) -> None:
@@ -34,11 +34,11 @@
         return super().select(0)
 
 
-def run_on_clock(clock: VirtualClock, work: Coroutine[Any, Any, T]) -> T:
-    """Run ``work`` by a clock, on the loop that nodes are run on."""
-    loop = ProcessLoop(Clocks(clock.read_elapsed_s), _WaitlessSelector(clock))
+def run_on_clock(clock: VirtualClock, main: Coroutine[Any, Any, T]) -> T:
+    """Run ``main`` by a clock, on the loop that nodes are run on."""
+    loop = ProcessLoop(Clocks(clock.read_elapsed_s), _VirtualTimeSelector(clock))
     try:
-        return loop.run_until_complete(work)
+        return loop.run_until_complete(main)
     finally:
         tasks = asyncio.all_tasks(loop)
         for task in tasks:
--- a/src/robinthread/_internal/experiments/worth.py
+++ b/src/robinthread/_internal/experiments/worth.py
@@ -60,21 +60,25 @@
     for job in jobs:
         by_window[str(int(job.at_s / WINDOW_S))].append(job)
         by_queue[job.queue].append(job)
-    on_time = get_share(jobs, queues)
-    asked = sum(queues[job.queue].worth for job in jobs)
-    spent = prices.machine_s * machine_s + prices.move * move_count
-    taken = spent / asked if asked else 0.0
+    on_time = compute_on_time_share(jobs, queues)
+    total_worth = sum(queues[job.queue].worth for job in jobs)
+    cost = prices.machine_s * machine_s + prices.move * move_count
+    price_share = cost / total_worth if total_worth else 0.0
     return Worth(
-        on_time - taken,
+        on_time - price_share,
         on_time,
-        min((get_share(found, queues) for found in by_window.values()), default=1.0),
-        min((get_share(found, queues) for found in by_queue.values()), default=1.0),
-        taken,
+        min((compute_on_time_share(group, queues) for group in by_window.values()), default=1.0),
+        min((compute_on_time_share(group, queues) for group in by_queue.values()), default=1.0),
+        price_share,
     )
 
 
-def get_share(jobs: Iterable[JobOutcome], queues: dict[str, QueueSpec]) -> float:
+def compute_on_time_share(jobs: Iterable[JobOutcome], queues: dict[str, QueueSpec]) -> float:
     """Return the share of the jobs' worth that was on time; 1 where there was none."""
     rows = [(queues[job.queue].worth, is_on_time(job, queues[job.queue])) for job in jobs]
-    asked = sum(worth for worth, _ in rows)
-    return sum(worth for worth, is_in_time in rows if is_in_time) / asked if asked else 1.0
+    total_worth = sum(worth for worth, _ in rows)
+    return (
+        sum(worth for worth, job_is_on_time in rows if job_is_on_time) / total_worth
+        if total_worth
+        else 1.0
+    )
