--- a/src/robinthread/_internal/experiments/__init__.py
+++ b/src/robinthread/_internal/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Days of a described deployment, played by the nodes' own code on virtual time."""
+"""Simulations of a deployment: the production code of the nodes runs on virtual time."""
--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -1,4 +1,8 @@
-"""One day of a deployment: the nodes' own code on the platform's stand-in, on virtual time."""
+"""Simulation of one day of a deployment.
+
+A day is the simulated period of ``length_s`` seconds, not 24 hours.  The production code of the
+nodes runs in virtual time against the stand-in of the platform.
+"""
 
 import asyncio
 import itertools
@@ -30,13 +34,14 @@
     StartTimeSource,
 )
 
-# Nodes have found each other, and pools their owners, by then.
+# Time for the nodes to discover each other and to acquire the pools, before the first job.
 SETTLE_TIME_S: Final = 4.0
 SAMPLE_INTERVAL_S: Final = 0.5
-# Jobs that have not ended so long after the last came earn nothing any more.
+# Limit of the wait for jobs to end after the last submission.  The remaining ones count as
+# unfinished.
 END_WAIT_MAX_S: Final = 20.0
-# A caller waits so long for an answer, and tries so often, each time at another node and so
-# long after it was turned away.
+# A caller tries up to TRIES_MAX nodes.  It waits up to TRY_TIMEOUT_S for each response, and
+# RETRY_PAUSE_S after an unsuccessful one before it tries the next node.
 TRY_TIMEOUT_S: Final = 3.0
 TRIES_MAX: Final = 3
 RETRY_PAUSE_S: Final = 1.0
@@ -45,12 +50,12 @@
 
 
 def simulate_day(deployment: Deployment, policy: PolicySettings, seed: int) -> DayResult:
-    """Play a day; the same seed gives the same result."""
+    """Simulate one day under a policy; the same seed gives the same result."""
     return run_on_clock(VirtualClock(), _DaySimulation(deployment, policy, seed).simulate())
 
 
 class _DaySimulation:
-    """A day while it is played."""
+    """State of the simulation of one day."""
 
     def __init__(self, deployment: Deployment, policy: PolicySettings, seed: int) -> None:
         self._deployment = deployment
@@ -63,7 +68,7 @@
         self._samples: list[Sample] = []
 
     async def simulate(self) -> DayResult:
-        """Play the day to its end."""
+        """Run the simulation and return its result."""
         platform = self._start_platform()
         await asyncio.sleep(SETTLE_TIME_S)
         self._started_at_s = asyncio.get_running_loop().time()
@@ -131,7 +136,7 @@
                 callers.create_task(self._submit_job(platform, arrival))
 
     async def _submit_job(self, platform: PlatformStandin, arrival: Arrival) -> None:
-        """Hand a job in as a caller does; one that no node takes is lost to its queue."""
+        """Submit a job as a caller does; the job is lost if no node accepts it."""
         spec = self._make_job(arrival)
         loop = asyncio.get_running_loop()
         for name in self._random.sample(sorted(platform.nodes), len(platform.nodes))[:TRIES_MAX]:
@@ -190,7 +195,10 @@
             yield Sample(at_s, pool, hosts[pool], unfinished[pool])
 
     def _find_ends(self, platform: PlatformStandin) -> dict[str, float]:
-        """Return when the jobs ended all of whose tasks are done, as the hosts saw it."""
+        """Return by job id the time at which the last task was done, as recorded by the hosts.
+
+        Jobs with an unfinished task are not included.
+        """
         done: dict[str, dict[int, float]] = defaultdict(dict)
         for run in platform.hosts.ledger.runs:
             if run.end == "done" and run.ended_at_s is not None:
@@ -239,4 +247,5 @@
 
 
 def _subtract_start(at_s: float | None, started_at_s: float) -> float | None:
+    """Return ``at_s`` relative to the start of the day, None for None."""
     return None if at_s is None else at_s - started_at_s
--- a/src/robinthread/_internal/experiments/day_result.py
+++ b/src/robinthread/_internal/experiments/day_result.py
@@ -1,4 +1,4 @@
-"""What an experiment keeps of a day."""
+"""Result of the simulation of a day."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """How a pool stood at a moment: its hosts, and its jobs that had not ended."""
+    """Number of running hosts and of unfinished jobs of a pool, ``at_s`` after the day's start."""
 
     at_s: float
     pool: str
@@ -17,7 +17,12 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """What became of a day; ``busiest_node`` is the greatest share of a node's processor."""
+    """Outcome of a simulated day.
+
+    ``machine_s`` is the time that machines were up in pools, in machine seconds, and
+    ``busiest_node`` the highest processor utilization of any node, as a share of its processor.
+    ``breaks`` describes each violation of a guarantee.
+    """
 
     seed: int
     worth: Worth
--- a/src/robinthread/_internal/experiments/demand.py
+++ b/src/robinthread/_internal/experiments/demand.py
@@ -1,4 +1,4 @@
-"""The jobs of a day, drawn from its seed before it is played."""
+"""Random arrivals of the jobs of a day, drawn from its seed before the simulation."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -7,14 +7,17 @@
 
 from robinthread._internal.experiments.deployment import Deployment, QueueSpec, Shape
 
-# Demand in a queue's turn and between its turns, times its ``jobs_per_s``.
+# Factors on ``jobs_per_s`` during a queue's turn and between its turns, see ``Shape``.
 IN_TURN_FACTOR: Final = 5.0
 BETWEEN_TURNS_FACTOR: Final = 0.05
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A job that comes ``at_s`` after the day's beginning; each of its tasks works so long."""
+    """A job that is submitted ``at_s`` after the day's start.
+
+    ``work_s`` has the duration of each of its tasks, ``number`` counts a day's jobs from 1.
+    """
 
     number: int
     queue: str
@@ -23,10 +26,10 @@
 
 
 def draw_arrivals(deployment: Deployment, seed: int) -> tuple[Arrival, ...]:
-    """Draw the jobs of all queues, in the order of their times."""
+    """Draw the jobs of all queues, sorted by arrival time."""
     drawn: list[tuple[float, str, tuple[float, ...]]] = []
     for number, (name, queue) in enumerate(deployment.queues.items()):
-        # A queue's jobs do not depend on those of others.
+        # One generator per queue, so that a queue's jobs do not depend on the other queues.
         generator = np.random.default_rng((seed, number))
         for at_s in _draw_times(deployment, name, queue, generator):
             spread = generator.uniform(-queue.work_spread, queue.work_spread, queue.tasks)
@@ -42,7 +45,11 @@
 def _draw_times(
     deployment: Deployment, name: str, queue: QueueSpec, generator: np.random.Generator
 ) -> list[float]:
-    """Draw times by thinning a steady stream of the greatest rate."""
+    """Draw a queue's arrival times, in seconds after the day's start.
+
+    The arrivals are a Poisson process with a varying rate, drawn by thinning one with the
+    constant rate ``rate_max``.
+    """
     rate_max = queue.jobs_per_s * IN_TURN_FACTOR
     count = generator.poisson(rate_max * deployment.length_s)
     times_s = np.sort(generator.uniform(0, deployment.length_s, count))
@@ -56,7 +63,7 @@
 
 
 def get_rate(deployment: Deployment, name: str, at_s: float) -> float:
-    """Return a queue's jobs a second at a time of the day."""
+    """Return a queue's arrival rate at a time of the day, in jobs per second."""
     queue = deployment.queues[name]
     match Shape(queue.shape):
         case Shape.STEADY:
--- a/src/robinthread/_internal/experiments/deployment.py
+++ b/src/robinthread/_internal/experiments/deployment.py
@@ -1,4 +1,7 @@
-"""A deployment as an experiment plays it: nodes, machines, queues, troubles and prices."""
+"""Description of a deployment to simulate: nodes, machines, queues, troubles and prices.
+
+The names of fields are the keys of an experiment's file.
+"""
 
 import enum
 from dataclasses import dataclass, field
@@ -8,10 +11,11 @@
 
 
 class Shape(enum.Enum):
-    """How a queue's demand lies in time.
+    """Arrival rate of a queue's jobs over the day.
 
-    STEADY: ``jobs_per_s`` all day.  TURNS: five times as much in its turn, a twentieth between
-    its turns.  RAMP: from nothing to twice as much.
+    STEADY: constantly ``jobs_per_s``.
+    TURNS: five times ``jobs_per_s`` during the queue's turn, a twentieth of it between turns.
+    RAMP: rises linearly from 0 to twice ``jobs_per_s``.
     """
 
     STEADY = "steady"
@@ -20,7 +24,14 @@
 
 
 class TroubleKind(enum.Enum):
-    """What goes wrong."""
+    """Kinds of faults that can be injected.
+
+    KILL_NODES: nodes end without a shutdown and start again after ``for_s``.
+    CUT_NODES: nodes cannot reach the store, the hosts and other nodes.
+    CRASH_HOSTS: hosts crash, and their machines start new ones after ``for_s``.
+    SLOW_STORE: the latency of the store rises.
+    STORE_AWAY: the store refuses all calls.
+    """
 
     KILL_NODES = "kill_nodes"
     CUT_NODES = "cut_nodes"
@@ -35,9 +46,10 @@
 
 @dataclass(frozen=True)
 class NodesSpec:
-    """Nodes, all alike: each has a share of a core.
+    """Nodes, all identical.
 
-    A call of a host or of machines takes ``call_ms``, one of the store ``store_ms``.
+    Each has ``processor_share`` of a core.  A call to a host or to the machines takes
+    ``call_ms``, a call to the store ``store_ms``.
     """
 
     count: int = 5
@@ -48,9 +60,11 @@
 
 @dataclass(frozen=True)
 class MachinesSpec:
-    """Machines, all alike; those beside the reserve begin in the pools, as many in each.
+    """Machines, all identical.
 
-    Where ``keeps_host_ids`` a machine's next host has the id of the last one, and tells its birth.
+    ``count`` machines start in the pools, distributed evenly, and ``reserve`` more in the
+    reserve.  If ``keeps_host_ids`` is set, a machine's next host has the id of the previous one,
+    and its start time tells the two apart.
     """
 
     count: int = 16
@@ -63,10 +77,11 @@
 
 @dataclass(frozen=True)
 class QueueSpec:
-    """A queue: its demand, its jobs and what one of them is worth on time.
+    """A queue: its arrival rate, the size of its jobs and the worth of a job on time.
 
-    A job has one step of ``tasks`` tasks, each of which works for ``work_s``, give or take a
-    share of ``work_spread``.  It is on time within ``stretch`` times its work plus ``slack_s``.
+    A job has one step of ``tasks`` tasks.  The duration of a task is uniformly distributed
+    within ``work_s`` plus or minus the fraction ``work_spread`` of it.  A job is on time if it
+    takes at most ``stretch`` times the duration of its longest task plus ``slack_s``.
     """
 
     pool: str = ""
@@ -84,10 +99,10 @@
 
 @dataclass(frozen=True)
 class TroubleSpec:
-    """Something that goes wrong ``at_s`` after the first job, for ``for_s``.
+    """A fault that is injected ``at_s`` after the day's start and lasts for ``for_s``.
 
-    ``share`` is that of the nodes or hosts that it strikes; ``times`` how much slower the
-    store becomes.
+    ``share`` is the share of the nodes or hosts that are affected, ``times`` the factor by which
+    the latency of the store rises.
     """
 
     kind: str = TroubleKind.KILL_NODES.value
@@ -99,7 +114,7 @@
 
 @dataclass(frozen=True)
 class PricesSpec:
-    """What is taken off the worth: for a machine's second in a pool, and for its move."""
+    """Prices subtracted from the worth: of a second of a machine in a pool, and of a move."""
 
     machine_s: float = 0.0
     move: float = 0.0
@@ -107,9 +122,10 @@
 
 @dataclass(frozen=True)
 class CostsSpec:
-    """What a node's calls cost of a core: docs/CAPACITY.md has the measurements.
+    """Processor time of a node's calls, in microseconds of a whole core.
 
-    ``host_call_us`` has the engine's part of a start or an end in it.
+    The measurements are in docs/CAPACITY.md.  ``host_call_us`` includes the engine's processing
+    of the start or the end of a run.
     """
 
     store_call_us: float = 200.0
@@ -120,10 +136,10 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A deployment, and the day that is played there.
+    """A deployment and the day to simulate on it.
 
-    ``turn_s`` is how long a turn lasts; queues whose demand comes in turns take them in the
-    order in which they are described.
+    ``turn_s`` is the length of a turn.  The queues of shape TURNS have their turns one after
+    another, in the order of ``queues``.
     """
 
     name: str = ""
@@ -138,5 +154,5 @@
 
     @property
     def pools(self) -> tuple[str, ...]:
-        """List the pools, in the order of their queues."""
+        """Return the names of the pools, in the order of their first queues."""
         return tuple(dict.fromkeys(queue.pool for queue in self.queues.values()))
--- a/src/robinthread/_internal/experiments/deployment_file.py
+++ b/src/robinthread/_internal/experiments/deployment_file.py
@@ -1,4 +1,4 @@
-"""Reading a deployment from TOML, with every fault told at once, by key and line."""
+"""Parser of a deployment's TOML file; reports all errors at once, by key and line."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -20,17 +20,17 @@
 MAY_BE_ZERO: Final = frozenset(
     {"reserve", "work_spread", "memory_mb", "slack_s", "worth", "at_s", "machine_s", "move"}
 )
-# A day of more jobs than that is no day of a model any more: it would take hours.
+# The simulation of a day with more jobs would take hours.
 JOBS_MAX: Final = 100_000
 
 
 def parse_deployment(text: str, path: str) -> Result[Deployment, Fault]:
-    """Parse a deployment's file and check it; the fault names every problem."""
+    """Parse and validate the text of a deployment's file; the fault lists every error."""
     return parse_file(Deployment, text, path, iter_deployment_conflicts)
 
 
 def iter_deployment_conflicts(deployment: Deployment) -> Iterator[Conflict]:
-    """Iterate over what is out of range, or does not go with something else."""
+    """Iterate over the settings that are out of range or contradict another setting."""
     yield from _iter_range_conflicts(deployment, "")
     if not deployment.queues:
         yield Conflict("queues", "are missing, expected one at least")
@@ -45,7 +45,7 @@
     if job_count > JOBS_MAX:
         yield Conflict("length_s", f"gives {job_count:.0f} jobs, expected {JOBS_MAX} at most")
     if deployment.machines.count < len(deployment.pools):
-        text = f"is {deployment.machines.count}, expected one a pool at least"
+        text = f"is {deployment.machines.count}, expected at least one per pool"
         yield Conflict("machines.count", text)
 
 
--- a/src/robinthread/_internal/experiments/drawn_deployments.py
+++ b/src/robinthread/_internal/experiments/drawn_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments that nobody has tuned for, each drawn wholly from its seed."""
+"""Random deployments, determined by a seed, for which no policy has been tuned."""
 
 import random
 from typing import Final
@@ -15,15 +15,15 @@
 )
 
 LENGTH_S: Final = 24.0
-# What the queues ask for together, as shares of what the machines can do.
+# Total demand of all queues, as shares of the processor capacity of all pools' machines.
 LOAD_SHARES: Final = (0.25, 0.5, 0.75, 1.0)
-# A day of more jobs takes long and tells no more.
+# A higher rate makes the simulation slower without adding information.
 JOBS_PER_S_MAX: Final = 15.0
 TROUBLE_START_RANGE_S: Final = (2.0, 18.0)
 
 
 def draw_deployment(seed: int) -> Deployment:
-    """Draw a deployment: few pools or many, machines large and small, dear moves or cheap ones."""
+    """Draw a deployment with a random number of pools, size of machines and price of moves."""
     rng = random.Random(seed)
     pool_count = rng.choice((1, 2, 4, 8))
     machines = MachinesSpec(
@@ -58,7 +58,10 @@
 
 
 def _draw_queue(rng: random.Random, pool: str, machines: MachinesSpec, share: float) -> QueueSpec:
-    """Draw a queue that asks for so much of all machines."""
+    """Draw a queue whose jobs need ``share`` of the processor capacity of all pools' machines.
+
+    Its rate is at most ``JOBS_PER_S_MAX``, so that the demand may be lower.
+    """
     tasks, work_s = rng.choice((1, 4, 12)), rng.choice((0.3, 0.8, 2.0))
     cpu_millicores = rng.choice((1000, 2000, 4000))
     pool_millicores = machines.count * machines.cpu_millicores * share
--- a/src/robinthread/_internal/experiments/worth.py
+++ b/src/robinthread/_internal/experiments/worth.py
@@ -1,4 +1,4 @@
-"""What a day was worth, from what became of its jobs."""
+"""Worth of a day, computed from the outcomes of its jobs."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterable
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True)
 class JobOutcome:
-    """A job that was handed in; ``ended_at_s`` is when its last task was done, by its host."""
+    """Outcome of a job that was submitted ``at_s`` after the day's start.
+
+    ``work_s`` is the duration of its longest task.  ``ended_at_s`` is when the last of its tasks
+    was done, as recorded by the host, or None if the job did not finish.
+    """
 
     queue: str
     at_s: float
@@ -21,17 +25,18 @@
 
     @property
     def took_s(self) -> float | None:
-        """Return how long the job took from its first handing in, or None."""
+        """Return the seconds from the first submission to the end, None if there was no end."""
         return None if self.ended_at_s is None else self.ended_at_s - self.at_s
 
 
 @dataclass(frozen=True)
 class Worth:
-    """A day's worth, as a share of that of all jobs asked for, and its parts.
+    """Worth of a day and its parts, as shares of the worth of all submitted jobs.
 
-    ``on_time`` is the share of the worth that was on time, ``worst_window`` the same for the
-    worst 2 s, ``worst_queue`` for the worst queue; ``prices`` what machines cost.  ``total`` is
-    ``on_time`` less ``prices``.
+    ``on_time`` is the share of the jobs that were on time, weighted by worth.  ``worst_window``
+    and ``worst_queue`` are the lowest such shares of the jobs of a window of ``WINDOW_S`` and of
+    a queue.  ``prices`` is the cost of machines and moves, and ``total`` is ``on_time`` minus
+    ``prices``.
     """
 
     total: float
@@ -42,7 +47,7 @@
 
 
 def is_on_time(job: JobOutcome, queue: QueueSpec) -> bool:
-    """Tell whether a job was on time."""
+    """Return whether a job finished on time."""
     took_s = job.took_s
     return took_s is not None and took_s <= queue.stretch * job.work_s + queue.slack_s
 
@@ -54,7 +59,7 @@
     machine_s: float,
     move_count: int,
 ) -> Worth:
-    """Return what a day was worth."""
+    """Return the worth of a day; ``machine_s`` is the time of machines in pools."""
     by_window: dict[str, list[JobOutcome]] = defaultdict(list)
     by_queue: dict[str, list[JobOutcome]] = defaultdict(list)
     for job in jobs:
@@ -74,7 +79,7 @@
 
 
 def compute_on_time_share(jobs: Iterable[JobOutcome], queues: dict[str, QueueSpec]) -> float:
-    """Return the share of the jobs' worth that was on time; 1 where there was none."""
+    """Return the share of jobs on time, weighted by worth; 1 if the total worth is 0."""
     rows = [(queues[job.queue].worth, is_on_time(job, queues[job.queue])) for job in jobs]
     total_worth = sum(worth for worth, _ in rows)
     return (
