--- a/src/robinthread/_internal/experiments/ablation.py
+++ b/src/robinthread/_internal/experiments/ablation.py
@@ -1,4 +1,4 @@
-"""A policy with each of its mechanisms switched, one by one."""
+"""Ablation of a policy: variants in which one mechanism is switched on or off."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -6,12 +6,15 @@
 
 from robinthread._internal.settings.policy_settings import PolicySettings
 
-# What switches a mechanism off whose setting is a number; 0 does so for all others.
+# Values that switch a mechanism off if its setting is a number.  For all others it is 0.
 OFF_VALUES: Final = {"demand.late_share": 1.0}
 
 
 def iter_ablations(policy: PolicySettings) -> Iterator[tuple[str, PolicySettings]]:
-    """Iterate over names and policies; a mechanism that is off is switched on."""
+    """Iterate over the variants of ``policy``, each with its label ``key=value``.
+
+    Each variant changes one setting: a boolean is inverted, a number is set to its off value.
+    """
     for part in dataclasses.fields(policy):
         settings: Any = getattr(policy, part.name)
         for field in dataclasses.fields(settings):
--- a/src/robinthread/_internal/experiments/estimates.py
+++ b/src/robinthread/_internal/experiments/estimates.py
@@ -1,4 +1,4 @@
-"""Means over seeds with their confidence, and differences paired by seed."""
+"""Estimates of means over seeds and of differences paired by seed."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """A mean, and half the width of its interval of confidence; None for a single value."""
+    """A mean and half the width of its confidence interval, which is None for a single value."""
 
     mean: float
     half_width: float | None
 
     @property
     def is_significant(self) -> bool:
-        """Tell whether the interval leaves zero out."""
+        """Return whether the confidence interval excludes zero."""
         return self.half_width is not None and abs(self.mean) > self.half_width
 
     def __str__(self) -> str:
@@ -28,7 +28,10 @@
 
 
 def estimate_mean(values: Sequence[float]) -> Estimate:
-    """Estimate the mean of what one value at least was drawn from, by Student's distribution."""
+    """Estimate the mean of the values' distribution; the interval uses Student's t.
+
+    There must be at least one value.
+    """
     mean = float(np.mean(values))
     if len(values) < 2:
         return Estimate(mean, None)
@@ -37,5 +40,5 @@
 
 
 def estimate_difference(base: Sequence[float], change: Sequence[float]) -> Estimate:
-    """Estimate by how much a change is above the base; values stand in the order of seeds."""
+    """Estimate the mean of ``change`` minus ``base``, paired by position (deployment and seed)."""
     return estimate_mean([after - before for before, after in zip(base, change, strict=True)])
--- a/src/robinthread/_internal/experiments/plots.py
+++ b/src/robinthread/_internal/experiments/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of a day, as SVG."""
+"""Plots of a simulated day, as SVG files."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -18,8 +18,8 @@
 
 
 def plot_day(deployment: Deployment, run: Run, day: DayResult, path: str) -> None:
-    """Write a picture: hosts and jobs by pool over time, how long jobs took, and the worth."""
-    # Names in the file stay the same from run to run, so that it can be kept and compared.
+    """Plot hosts and jobs by pool over time, the durations of jobs and the parts of the worth."""
+    # The salt makes the ids in the SVG file deterministic, so that files can be compared.
     with matplotlib.rc_context({"svg.hashsalt": "robinthread"}):
         figure, ((hosts, jobs), (durations, worth)) = pyplot.subplots(2, 2, figsize=SIZE_INCHES)
         figure.suptitle(f"{deployment.name}, {run.label}, seed {day.seed}")
@@ -51,7 +51,7 @@
     for queue, values in by_queue.items():
         values.sort()
         axes.step(values, _make_cumulative_shares(values), label=queue)
-    _label_axes(axes, "share of jobs that took so long at most", "s")
+    _label_axes(axes, "cumulative share of jobs by duration", "s")
 
 
 def _make_cumulative_shares(values: Sequence[float]) -> list[float]:
--- a/src/robinthread/_internal/experiments/processors.py
+++ b/src/robinthread/_internal/experiments/processors.py
@@ -1,4 +1,4 @@
-"""Processors of nodes on virtual time: what a node does waits for what it began before."""
+"""Model of the nodes' processors on virtual time: a node does its work sequentially."""
 
 import asyncio
 from collections import defaultdict
@@ -9,9 +9,9 @@
 
 
 class Processors:
-    """A processor for each node, a share of a core, that does one thing after another.
+    """One processor per node, each with ``share`` of a core, that does its work sequentially.
 
-    ``spent_s`` is what each node has used, in seconds of a whole core.
+    ``spent_s`` is the processor time used by each node, in seconds of a whole core.
     """
 
     def __init__(self, share: float) -> None:
@@ -20,7 +20,7 @@
         self.spent_s: dict[str, float] = defaultdict(float)
 
     async def spend(self, node: str, cost_s: float) -> None:
-        """Wait until a node's processor has done a thing more."""
+        """Queue work of ``cost_s`` seconds of a whole core on a node and wait until it is done."""
         loop = asyncio.get_running_loop()
         self.spent_s[node] += cost_s
         self._free_at_s[node] = max(self._free_at_s[node], loop.time()) + cost_s / self._share
@@ -28,7 +28,7 @@
 
 
 def charge_calls(platform: PlatformStandin, processors: Processors, costs: CostsSpec) -> None:
-    """Have all calls of a platform's nodes cost their processors."""
+    """Make all calls of a platform's nodes use processor time of the nodes."""
 
     def make_charge(cost_us: float) -> Charge:
         return lambda node: processors.spend(node, cost_us * SECONDS_PER_US)
--- a/src/robinthread/_internal/experiments/report.py
+++ b/src/robinthread/_internal/experiments/report.py
@@ -1,4 +1,4 @@
-"""An experiment's table: each policy's worth and its parts, and what a change is worth."""
+"""Tables of an experiment: the metrics of each policy and the differences between policies."""
 
 from collections import defaultdict
 from collections.abc import Callable, Sequence
@@ -28,7 +28,7 @@
 
 
 def format_report(runs: Sequence[Run], results: Sequence[DayResult]) -> str:
-    """Return a table of all policies; with two, their difference in a column of its own."""
+    """Return a table with a column per label, and a column of the difference if there are two."""
     by_label = _group_by_label(runs, results)
     rows = [
         [name, *(str(_estimate(metric, days)) for days in by_label.values())]
@@ -44,7 +44,7 @@
 
 
 def format_differences(runs: Sequence[Run], results: Sequence[DayResult]) -> str:
-    """Return a table of what each arm is worth against the first one, seed by seed."""
+    """Return a table of each label's differences from the first label, paired by seed."""
     by_label = _group_by_label(runs, results)
     base, *_ = by_label.values()
     rows = [
--- a/src/robinthread/_internal/experiments/runs.py
+++ b/src/robinthread/_internal/experiments/runs.py
@@ -1,4 +1,4 @@
-"""Days of several seeds and policies, played in processes side by side."""
+"""Simulation of several seeds and policies in parallel processes."""
 
 import os
 from collections.abc import Iterable, Sequence
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True)
 class Arm:
-    """What is played on each seed: deployments under a policy.
+    """An arm of an experiment: deployments under a policy, simulated with each seed.
 
-    The deployments of all arms stand in the same order.
+    All arms list their variants of the deployments in the same order.
     """
 
     label: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A day to play; ``label`` names its arm."""
+    """A day to simulate; ``label`` is the label of its arm."""
 
     label: str
     deployment: Deployment
@@ -39,7 +39,7 @@
 
 
 def make_runs(arms: Sequence[Arm], seeds: Sequence[int]) -> list[Run]:
-    """Make the runs of all arms on each seed, those of a deployment and a seed together."""
+    """Make the runs of all arms and seeds, ordered by deployment, then seed, then arm."""
     return [
         Run(arm.label, deployment, arm.policy, seed)
         for deployments in zip(*(arm.deployments for arm in arms), strict=True)
@@ -49,7 +49,7 @@
 
 
 def simulate_runs(runs: Sequence[Run], processes: int, shows_progress: bool) -> list[DayResult]:
-    """Play all runs, and return their results in the same order."""
+    """Simulate all runs and return their results in the same order."""
     if processes == 1:
         return list(map(_simulate, _iter_with_progress(runs, shows_progress)))
     with ProcessPoolExecutor(min(processes, len(runs))) as executor:
--- a/src/robinthread/_internal/experiments/troubles.py
+++ b/src/robinthread/_internal/experiments/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a day, brought about on the platform's stand-in."""
+"""Injection of a day's troubles into the stand-in of the platform."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 async def inject_trouble(
     platform: PlatformStandin, trouble: TroubleSpec, rng: random.Random, start_node: StartNode
 ) -> None:
-    """Bring a trouble about at its time, and end it."""
+    """Wait until a trouble's start, inject it and end it after its duration."""
     await asyncio.sleep(trouble.at_s)
     match TroubleKind(trouble.kind):
         case TroubleKind.KILL_NODES:
@@ -33,7 +33,7 @@
 
 
 def _choose_targets(candidates: Sequence[T], trouble: TroubleSpec, rng: random.Random) -> list[T]:
-    """Pick a share of what may be struck, one at least."""
+    """Choose ``trouble.share`` of the candidates at random, at least one if there are any."""
     return rng.sample(
         candidates, min(len(candidates), max(1, round(trouble.share * len(candidates))))
     )
--- a/src/robinthread/_internal/experiments/variants.py
+++ b/src/robinthread/_internal/experiments/variants.py
@@ -1,4 +1,4 @@
-"""Deployments that differ from a described one in a single value."""
+"""Variants of a deployment with one changed value."""
 
 import dataclasses
 from typing import Any
@@ -9,11 +9,11 @@
 
 
 def make_variant(deployment: Deployment, key: str, value: str) -> Deployment:
-    """Return a deployment with another value under a dotted key; raise ``FaultError``."""
+    """Return ``deployment`` with ``value`` at a dotted key; raise ``FaultError`` if invalid."""
     try:
         changed = _replace_value(deployment, key.split("."), value)
     except (AttributeError, KeyError, ValueError) as error:
-        text = f"--vary={key}: {value} is no value for a key of the file"
+        text = f"--vary={key}: no such key in the file, or {value} is not a valid value for it"
         raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, text)) from error
     faults = [f"{conflict.key}: {conflict.text}" for conflict in iter_deployment_conflicts(changed)]
     if faults:
@@ -23,7 +23,7 @@
 
 
 def _replace_value(part: Any, path: list[str], value: str) -> Any:
-    """Return a part with a value of the same type as the one that it stands for."""
+    """Return ``part`` with ``value`` at a path, converted to the type of the old value."""
     name, rest = path[0], path[1:]
     old_value = part[name] if isinstance(part, dict) else getattr(part, name)
     if rest:
