--- a/tests/functional/test_experiments.py
+++ b/tests/functional/test_experiments.py
@@ -45,23 +45,25 @@
         self.assertEqual(here, simulate_runs(runs, processes=2, shows_progress=False))
         self.assertNotEqual(here[0], here[1])
 
-    def test_calm_day_is_served(self) -> None:
+    def test_day_without_troubles_is_served(self) -> None:
         day = simulate_day(SMALL, PolicySettings(), 1)
         self.assertEqual(day.job_count, day.served_count)
         self.assertGreater(day.worth.on_time, 0.9)
         self.assertEqual((), day.breaks)
 
-    def test_hosts_that_come_back_under_their_ids_break_no_promise(self) -> None:
+    def test_restart_under_the_same_host_id_breaks_no_guarantee(self) -> None:
         """Their ends were taken for those of the life before, and they were never used again."""
-        for back_s in (0.2, 2.0):
-            trouble = TroubleSpec(TroubleKind.CRASH_HOSTS.value, at_s=3.0, for_s=back_s, share=0.5)
+        for restart_s in (0.2, 2.0):
+            trouble = TroubleSpec(
+                TroubleKind.CRASH_HOSTS.value, at_s=3.0, for_s=restart_s, share=0.5
+            )
             machines = MachinesSpec(count=6, keeps_host_ids=True)
             spec = replace(SMALL, machines=machines, troubles={"one": trouble})
             day = simulate_day(spec, PolicySettings(), 1)
             self.assertEqual((), day.breaks)
             self.assertEqual(day.job_count, day.served_count)
 
-    def test_each_trouble_ends_and_breaks_no_promise(self) -> None:
+    def test_each_trouble_ends_and_breaks_no_guarantee(self) -> None:
         for kind in TroubleKind:
             trouble = TroubleSpec(kind.value, at_s=3.0, for_s=2.0, share=0.4)
             day = simulate_day(replace(SMALL, troubles={"one": trouble}), PolicySettings(), 1)
@@ -101,7 +103,7 @@
     def test_two_policies_are_compared_seed_by_seed(self) -> None:
         change = self.write("change.toml", "[owners]\nspreads_pools = false\n")
         lines, picture = str(self.folder / "runs.jsonl"), str(self.folder / "day.svg")
-        code, told = self.run_command(
+        code, printed = self.run_command(
             f"--file={self.write('one.toml', FILE)}",
             "--seeds=2",
             "--processes=1",
@@ -109,9 +111,9 @@
             f"--output={lines}",
             f"--plot={picture}",
         )
-        self.assertEqual(0, code, told)
-        self.assertIn("difference", told)
-        self.assertIn("no promise broken", told)
+        self.assertEqual(0, code, printed)
+        self.assertIn("difference", printed)
+        self.assertIn("no promise broken", printed)
         rows = [json.loads(line) for line in Path(lines).read_text().splitlines()]
         self.assertEqual(
             [("defaults", 1), (change, 1), ("defaults", 2), (change, 2)],
@@ -119,35 +121,35 @@
         )
         self.assertIn("<svg", Path(picture).read_text())
 
-    def test_each_value_of_a_key_is_played(self) -> None:
+    def test_each_value_of_a_key_is_simulated(self) -> None:
         file = self.write("one.toml", FILE)
-        code, told = self.run_command(
+        code, printed = self.run_command(
             f"--file={file}", "--seeds=1", "--processes=1", "--vary=machines.count=1,4"
         )
-        self.assertEqual(0, code, told)
-        self.assertIn("machines.count=1", told)
-        self.assertIn("machines.count=4", told)
+        self.assertEqual(0, code, printed)
+        self.assertIn("machines.count=1", printed)
+        self.assertIn("machines.count=4", printed)
         for wrong in ("machines.counts=4", "machines=4", "machines.count=x", "machines.count=0"):
-            code, told = self.run_command(f"--file={file}", f"--vary={wrong}")
+            code, printed = self.run_command(f"--file={file}", f"--vary={wrong}")
             self.assertNotEqual(0, code)
-            self.assertIn(wrong.partition("=")[0], told)
+            self.assertIn(wrong.partition("=")[0], printed)
 
     def test_each_mechanism_is_switched(self) -> None:
         file = self.write("one.toml", FILE.replace("6.0", "2.0"))
-        code, told = self.run_command(f"--file={file}", "--seeds=2", "--processes=1", "--ablate")
-        self.assertEqual(0, code, told)
+        code, printed = self.run_command(f"--file={file}", "--seeds=2", "--processes=1", "--ablate")
+        self.assertEqual(0, code, printed)
         for part in dataclasses.fields(PolicySettings):
-            self.assertIn(f"{part.name}.", told)
-        self.assertIn("placement.isolates_crashing_tasks=false", told)
-        self.assertIn("fleet.shares_when_short=true", told)
+            self.assertIn(f"{part.name}.", printed)
+        self.assertIn("placement.isolates_crashing_tasks=false", printed)
+        self.assertIn("fleet.shares_when_short=true", printed)
 
-    def test_bad_file_is_told_with_a_number(self) -> None:
-        code, told = self.run_command(f"--file={self.write('one.toml', 'length_s = 0')}")
+    def test_invalid_file_is_reported_with_its_result_code(self) -> None:
+        code, printed = self.run_command(f"--file={self.write('one.toml', 'length_s = 0')}")
         self.assertNotEqual(0, code)
-        self.assertIn("501", told)
-        self.assertIn("has 2 faults", told)
+        self.assertIn("501", printed)
+        self.assertIn("has 2 faults", printed)
 
-    def test_either_a_file_or_drawn_deployments_are_played(self) -> None:
-        code, told = self.run_command("--drawn=2", f"--file={self.write('one.toml', FILE)}")
+    def test_file_and_drawn_deployments_exclude_each_other(self) -> None:
+        code, printed = self.run_command("--drawn=2", f"--file={self.write('one.toml', FILE)}")
         self.assertNotEqual(0, code)
-        self.assertIn("either --file or --drawn", told)
+        self.assertIn("either --file or --drawn", printed)
--- a/tests/unit/test_deployment_file.py
+++ b/tests/unit/test_deployment_file.py
@@ -10,7 +10,7 @@
 )
 from robinthread._internal.experiments.drawn_deployments import draw_deployment
 
-GOOD = """
+VALID = """
 name = "one"
 [queues.tiles]
 pool = "tiles"
@@ -19,18 +19,18 @@
 
 
 class DeploymentFileTest(TestCase):
-    def find_faults(self, text: str) -> list[str]:
+    def find_errors(self, text: str) -> list[str]:
         result = parse_deployment(text, "one.toml")
         assert isinstance(result, Failure)
         return [line.strip() for line in result.failure().message.splitlines()[1:]]
 
-    def test_good_file_is_read_with_defaults(self) -> None:
-        found = parse_deployment(GOOD, "one.toml").unwrap()
+    def test_valid_file_is_read_with_defaults(self) -> None:
+        found = parse_deployment(VALID, "one.toml").unwrap()
         self.assertEqual(("tiles",), found.pools)
         self.assertEqual(4.0, found.queues["tiles"].jobs_per_s)
         self.assertEqual(Deployment().machines, found.machines)
 
-    def test_faults_of_form_are_told_at_once_with_their_lines(self) -> None:
+    def test_errors_of_form_are_reported_at_once_with_their_lines(self) -> None:
         text = "queues = 3\nlengt_s = 4\n[nodes]\ncount = 2.5\n[troubles.one]\nfor_ms = 3\n"
         self.assertEqual(
             [
@@ -39,10 +39,10 @@
                 "line 4: nodes.count: is 2.5, expected a whole number",
                 "line 6: troubles.one.for_ms: has the wrong unit, expected for_s",
             ],
-            self.find_faults(text),
+            self.find_errors(text),
         )
 
-    def test_faults_of_range_are_told_at_once_with_what_is_allowed(self) -> None:
+    def test_errors_of_range_are_reported_at_once_with_the_allowed_values(self) -> None:
         text = """
         length_s = -1.0
         [machines]
@@ -65,35 +65,37 @@
                 "crash_hosts, slow_store, store_away",
                 "line 10: troubles.one.share: is 2.0, expected 1 at most",
             ],
-            self.find_faults(text),
+            self.find_errors(text),
         )
 
-    def test_faults_of_form_and_of_range_are_told_together(self) -> None:
-        text = GOOD.replace("jobs_per_s = 4", 'jobs_per_s = -1\nshape = "wave"\n[nodes]\ncnt = 3')
+    def test_errors_of_form_and_of_range_are_reported_together(self) -> None:
+        text = VALID.replace("jobs_per_s = 4", 'jobs_per_s = -1\nshape = "wave"\n[nodes]\ncnt = 3')
         self.assertEqual(
             [
                 "line 8: nodes.cnt: is unknown, did you mean count?",
                 "line 5: queues.tiles.jobs_per_s: is -1.0, expected more than 0",
                 "line 6: queues.tiles.shape: is 'wave', expected one of steady, turns, ramp",
             ],
-            self.find_faults(text),
+            self.find_errors(text),
         )
 
-    def test_deployment_without_queues_is_a_fault(self) -> None:
-        self.assertEqual(["queues: are missing, expected one at least"], self.find_faults(""))
+    def test_deployment_without_queues_is_rejected(self) -> None:
+        self.assertEqual(["queues: are missing, expected one at least"], self.find_errors(""))
 
-    def test_reserve_is_no_pool_of_a_queue(self) -> None:
-        told = "line 4: queues.tiles.pool: is 'reserve', which is the pool of machines that are off"
-        self.assertEqual([told], self.find_faults(GOOD.replace('"tiles"', '"reserve"')))
+    def test_queue_cannot_use_the_reserve(self) -> None:
+        expected = (
+            "line 4: queues.tiles.pool: is 'reserve', which is the pool of machines that are off"
+        )
+        self.assertEqual([expected], self.find_errors(VALID.replace('"tiles"', '"reserve"')))
 
-    def test_drawn_deployments_are_good_and_differ(self) -> None:
+    def test_drawn_deployments_are_valid_and_differ(self) -> None:
         drawn = list(map(draw_deployment, range(1, 201)))
         self.assertEqual(
             [],
             [
-                list(iter_deployment_conflicts(one))
-                for one in drawn
-                if any(iter_deployment_conflicts(one))
+                list(iter_deployment_conflicts(drawn_one))
+                for drawn_one in drawn
+                if any(iter_deployment_conflicts(drawn_one))
             ],
         )
         self.assertEqual(len(drawn), len(set(map(repr, drawn))))
--- a/tests/unit/test_experiment_parts.py
+++ b/tests/unit/test_experiment_parts.py
@@ -22,22 +22,22 @@
         self.assertEqual(draw_arrivals(deployment, 3), draw_arrivals(deployment, 3))
         self.assertNotEqual(draw_arrivals(deployment, 3), draw_arrivals(deployment, 4))
 
-    def test_queue_draws_the_same_jobs_whatever_others_do(self) -> None:
-        def find(deployment: Deployment) -> list[tuple[float, tuple[float, ...]]]:
+    def test_jobs_of_a_queue_do_not_depend_on_other_queues(self) -> None:
+        def find_jobs(deployment: Deployment) -> list[tuple[float, tuple[float, ...]]]:
             drawn = draw_arrivals(deployment, 1)
-            return [(one.at_s, one.work_s) for one in drawn if one.queue == "a"]
+            return [(arrival.at_s, arrival.work_s) for arrival in drawn if arrival.queue == "a"]
 
         alone = Deployment(queues={"a": QUEUE})
-        self.assertEqual(find(alone), find(Deployment(queues={"a": QUEUE, "b": QUEUE})))
+        self.assertEqual(find_jobs(alone), find_jobs(Deployment(queues={"a": QUEUE, "b": QUEUE})))
 
-    def test_as_many_jobs_come_as_are_described(self) -> None:
+    def test_number_of_jobs_matches_the_rate(self) -> None:
         for shape, share in (("steady", 1.0), ("ramp", 1.0)):
             queue = replace(QUEUE, shape=shape)
             deployment = Deployment(length_s=100.0, queues={"a": queue})
             # Five times the spread of a count of 1,000.
             self.assertLess(abs(len(draw_arrivals(deployment, 1)) - 1000 * share), 160)
 
-    def test_turns_are_taken_one_after_another(self) -> None:
+    def test_queues_have_their_turns_one_after_another(self) -> None:
         deployment = Deployment(turn_s=5.0, queues={"a": TURNS, "c": QUEUE, "b": TURNS})
         rates = [get_rate(deployment, "b", at_s) for at_s in (0.0, 4.9, 5.0, 9.9, 10.0)]
         self.assertEqual([0.5, 0.5, 50.0, 50.0, 0.5], rates)
@@ -45,7 +45,7 @@
 
 
 class ProcessorsTest(TestCase):
-    def test_what_a_node_does_waits_for_what_it_began_before(self) -> None:
+    def test_node_does_its_work_sequentially(self) -> None:
         async def work() -> tuple[float, float]:
             processors = Processors(0.5)
             loop = asyncio.get_running_loop()
@@ -77,7 +77,7 @@
 
 
 class EstimatesTest(TestCase):
-    def test_difference_is_taken_seed_by_seed(self) -> None:
+    def test_difference_is_paired_by_seed(self) -> None:
         found = estimate_difference([0.1, 0.5, 0.9], [0.2, 0.6, 1.0])
         self.assertAlmostEqual(0.1, found.mean)
         self.assertTrue(found.is_significant)
