--- a/src/robinthread/_internal/experiments/plots.py
+++ b/src/robinthread/_internal/experiments/plots.py
@@ -51,7 +51,7 @@
     for queue, values in by_queue.items():
         values.sort()
         axes.step(values, _make_cumulative_shares(values), label=queue)
-    _label_axes(axes, "cumulative share of jobs by duration", "s")
+    _label_axes(axes, "cumulative share of finished jobs by duration", "s")
 
 
 def _make_cumulative_shares(values: Sequence[float]) -> list[float]:
--- a/tests/functional/test_experiments.py
+++ b/tests/functional/test_experiments.py
@@ -1,4 +1,4 @@
-"""Days of a deployment, played by the nodes' own code."""
+"""Simulated days of a deployment, and the command that simulates and compares them."""
 
 import contextlib
 import dataclasses
@@ -52,7 +52,10 @@
         self.assertEqual((), day.breaks)
 
     def test_restart_under_the_same_host_id_breaks_no_guarantee(self) -> None:
-        """Their ends were taken for those of the life before, and they were never used again."""
+        """Ends of runs were attributed to the host's previous incarnation.
+
+        The restarted host was then never used again.
+        """
         for restart_s in (0.2, 2.0):
             trouble = TroubleSpec(
                 TroubleKind.CRASH_HOSTS.value, at_s=3.0, for_s=restart_s, share=0.5
@@ -68,7 +71,7 @@
             trouble = TroubleSpec(kind.value, at_s=3.0, for_s=2.0, share=0.4)
             day = simulate_day(replace(SMALL, troubles={"one": trouble}), PolicySettings(), 1)
             self.assertEqual((), day.breaks, kind.value)
-            # Callers give up after three tries; whoever came before or after was served.
+            # Callers give up after three tries.  Jobs submitted before or after the trouble finish.
             lost_at_s = [job.at_s for job in day.jobs if job.ended_at_s is None]
             self.assertEqual([], [at_s for at_s in lost_at_s if not 3.0 <= at_s <= 5.0])
 
--- a/tests/unit/test_deployment_file.py
+++ b/tests/unit/test_deployment_file.py
@@ -1,4 +1,4 @@
-"""Files of deployments: each fault is told, and all at once."""
+"""Deployment files: every error is reported, all at once, and drawn deployments are valid."""
 
 from returns.result import Failure
 from testtools import TestCase
--- a/tests/unit/test_experiment_parts.py
+++ b/tests/unit/test_experiment_parts.py
@@ -34,7 +34,7 @@
         for shape, share in (("steady", 1.0), ("ramp", 1.0)):
             queue = replace(QUEUE, shape=shape)
             deployment = Deployment(length_s=100.0, queues={"a": queue})
-            # Five times the spread of a count of 1,000.
+            # Five standard deviations of a Poisson count with mean 1,000.
             self.assertLess(abs(len(draw_arrivals(deployment, 1)) - 1000 * share), 160)
 
     def test_queues_have_their_turns_one_after_another(self) -> None:
@@ -83,7 +83,7 @@
         self.assertTrue(found.is_significant)
 
     def test_width_is_that_of_students_distribution(self) -> None:
-        # The quantile for three degrees of freedom is 3.182; the spread is 1.291.
+        # The quantile for three degrees of freedom is 3.182, the standard deviation 1.291.
         found = estimate_mean([1.0, 2.0, 3.0, 4.0])
         assert found.half_width is not None
         self.assertAlmostEqual(3.182 * 1.291 / 2, found.half_width, places=2)
