--- a/src/robinthread/_internal/experiments/ablation.py
+++ b/src/robinthread/_internal/experiments/ablation.py
@@ -1,4 +1,4 @@
-"""A policy with each of its mechanisms switched, one by one."""
+"""Ablation of a policy: variants in which one mechanism is switched on or off."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -6,20 +6,23 @@
 
 from robinthread._internal.settings.policy_settings import PolicySettings
 
-# What switches a mechanism off whose setting is a number; 0 does so for all others.
-OFF: Final = {"demand.late_share": 1.0}
+# Values that switch a mechanism off if its setting is a number.  For all others it is 0.
+OFF_VALUES: Final = {"demand.late_share": 1.0}
 
 
 def iter_ablations(policy: PolicySettings) -> Iterator[tuple[str, PolicySettings]]:
-    """Iterate over names and policies; a mechanism that is off is switched on."""
+    """Iterate over the variants of ``policy``, each with its label ``key=value``.
+
+    Each variant changes one setting: a boolean is inverted, a number is set to its off value.
+    """
     for part in dataclasses.fields(policy):
         settings: Any = getattr(policy, part.name)
         for field in dataclasses.fields(settings):
             key, value = f"{part.name}.{field.name}", getattr(settings, field.name)
-            switched = not value if isinstance(value, bool) else OFF.get(key, 0.0)
+            switched = not value if isinstance(value, bool) else OFF_VALUES.get(key, 0.0)
             changed = dataclasses.replace(settings, **{field.name: switched})
-            yield f"{key}={_name(switched)}", dataclasses.replace(policy, **{part.name: changed})
+            yield f"{key}={_format(switched)}", dataclasses.replace(policy, **{part.name: changed})
 
 
-def _name(value: bool | float) -> str:
+def _format(value: bool | float) -> str:
     return str(value).lower() if isinstance(value, bool) else f"{value:g}"
