--- a/src/robinthread/_internal/node/status_reporter.py
+++ b/src/robinthread/_internal/node/status_reporter.py
@@ -43,7 +43,7 @@
 
     def check(self) -> None:
         """Write what is due now."""
-        self._events.tell_gathered()
+        self._events.flush_gathered()
         self._readiness.check()
         is_due = get_loop_s() - self._told_at_s >= STATUS_PERIOD_S
         if is_due:
--- a/src/robinthread/_internal/node/steward.py
+++ b/src/robinthread/_internal/node/steward.py
@@ -28,7 +28,7 @@
 from robinthread._internal.node.share_allocator import ShareAllocator
 from robinthread._internal.node.upkeep_reporter import UpkeepReporter
 from robinthread._internal.node.wave_tracker import WaveTracker
-from robinthread._internal.telemetry.gathered_lines import NAMES_MAX
+from robinthread._internal.telemetry.gathered_lines import LISTED_NAMES_MAX
 
 # How often the pools are asked how they stand, and the fleet is planned.
 STEP_S: Final = 0.1
@@ -137,8 +137,8 @@
         self._events.write(
             "steward_began",
             token=self.token,
-            ordered_before=sorted(self._orders.previously_ordered)[:NAMES_MAX],
-            unsettled=sorted(self._orders.unsettled.get_waves())[:NAMES_MAX],
+            ordered_before=sorted(self._orders.previously_ordered)[:LISTED_NAMES_MAX],
+            unsettled=sorted(self._orders.unsettled.get_waves())[:LISTED_NAMES_MAX],
             waves={wave.number: self._waves.count_begun(wave.number) for wave in waves},
         )
 
@@ -167,7 +167,7 @@
                     "machines_vacating",
                     by={"pool": pool},
                     machine_count=len(machines),
-                    machines=sorted(machines)[:NAMES_MAX],
+                    machines=sorted(machines)[:LISTED_NAMES_MAX],
                 )
         self._vacate = plan.vacate
         self._note_sizes(view, plan)
--- a/src/robinthread/_internal/node/stopping.py
+++ b/src/robinthread/_internal/node/stopping.py
@@ -37,7 +37,7 @@
     budget = StopBudget(grace_s, lag_s, events)
     events.write("stopping", grace_s=grace_s, budget_ms=round(budget.budget_s * 1000))
     await asyncio.gather(assembled.node.stop(budget), _dismiss_callers(callers, requests, budget))
-    events.tell_gathered(is_last=True)
+    events.flush_gathered(is_last=True)
     events.write(
         "stopped",
         took_ms=round((budget.budget_s - budget.left_s) * 1000, 1),
--- a/src/robinthread/_internal/telemetry/event_log.py
+++ b/src/robinthread/_internal/telemetry/event_log.py
@@ -11,7 +11,7 @@
 
 from robinthread._internal.telemetry.gathered_lines import GatheredLines
 from robinthread._internal.telemetry.levels import LEVELS
-from robinthread._internal.telemetry.line_budget import LineBudget
+from robinthread._internal.telemetry.line_rate_limiter import LineRateLimiter
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 
 # How often a line tells how many others were left out.
@@ -30,7 +30,7 @@
 
     Every event is counted.  Of one kind only so many lines a second are written;
     a line each second tells how many were left out.  Of gathered ones a line a second
-    tells how many there were; ``tell_gathered`` must be called now and then for these.
+    tells how many there were; ``flush_gathered`` must be called now and then for these.
     """
 
     def __init__(
@@ -40,9 +40,9 @@
         self._write = write
         self.metrics = metrics or NodeMetrics()
         self._encoder = msgspec.json.Encoder(enc_hook=str)
-        self._budget = LineBudget()
+        self._budget = LineRateLimiter()
         self._gathered = GatheredLines()
-        self._left_out_told_at_s = 0.0
+        self._suppressed_logged_at_s = 0.0
         self._began_at_s = time.monotonic()
 
     @property
@@ -56,9 +56,9 @@
         now_s = time.monotonic()
         if self._budget.admit(event, now_s):
             self._write_line(event, fields)
-        if now_s - self._left_out_told_at_s >= LEFT_OUT_PERIOD_S:
-            self._left_out_told_at_s = now_s
-            if left_out := self._budget.take_left_out():
+        if now_s - self._suppressed_logged_at_s >= LEFT_OUT_PERIOD_S:
+            self._suppressed_logged_at_s = now_s
+            if left_out := self._budget.take_suppressed():
                 self._write_line("lines_left_out", {"counts": left_out})
 
     def gather(
@@ -77,9 +77,9 @@
         """
         self.metrics.count_event(event, str(by.get("outcome", "")))
         self._gathered.add(event, by, counted_by, listed, newest)
-        self.tell_gathered()
+        self.flush_gathered()
 
-    def tell_gathered(self, is_last: bool = False) -> None:
+    def flush_gathered(self, is_last: bool = False) -> None:
         """Write the gathered lines that are due, or all of them."""
         for event, fields in self._gathered.take_due(math.inf if is_last else time.monotonic()):
             self._write_line(event, fields)
--- a/src/robinthread/_internal/telemetry/gathered_lines.py
+++ b/src/robinthread/_internal/telemetry/gathered_lines.py
@@ -8,7 +8,7 @@
 # Least time between two lines of one kind and group.
 GATHER_S: Final = 1.0
 # Names that a line tells of those that it counts: some 150 bytes beside 100 to 200.
-NAMES_MAX: Final = 10
+LISTED_NAMES_MAX: Final = 10
 
 Line = tuple[str, dict[str, Any]]
 
@@ -64,7 +64,7 @@
             group.counts[counted_by] += 1
         for field, name in listed.items():
             names = group.names.setdefault(field, {})
-            if len(names) < NAMES_MAX:
+            if len(names) < LISTED_NAMES_MAX:
                 names[name] = None
         self._next_due_s = min(self._next_due_s, group.due_at_s)
 
--- a/src/robinthread/_internal/telemetry/line_budget.py
+++ b/src/robinthread/_internal/telemetry/line_rate_limiter.py
@@ -16,7 +16,7 @@
 )
 
 
-class LineBudget:
+class LineRateLimiter:
     """A token bucket for each kind of line; counts what it turns away.
 
     Times are of any one steady clock, in seconds.
@@ -39,7 +39,7 @@
             self._left_out[kind] += 1
         return is_admitted
 
-    def take_left_out(self) -> dict[str, int]:
+    def take_suppressed(self) -> dict[str, int]:
         """Return how many lines of each kind were turned away since the last call."""
         left_out = dict(self._left_out)
         self._left_out.clear()
--- a/tests/functional/test_keys_at_the_door.py
+++ b/tests/functional/test_keys_at_the_door.py
@@ -130,7 +130,7 @@
                 for key in secrets
                 for method, path in CALLS
             ]
-            site.events.tell_gathered(is_last=True)
+            site.events.flush_gathered(is_last=True)
             told = b"".join([*site.lines, *answers])
             self.assertIn(b"workspace_keys_changed", told)
             self.assertIn(b'"maps"', told)
--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -25,7 +25,7 @@
 def tell_all(platform: PlatformStandin, event: str) -> list[dict[str, Any]]:
     """Have all nodes write what they have gathered; return the lines of an event."""
     for node in platform.nodes.values():
-        node.assembled.status_reporter._events.tell_gathered(is_last=True)
+        node.assembled.status_reporter._events.flush_gathered(is_last=True)
     return [line for line in map(json.loads, platform.events) if line["event"] == event]
 
 
@@ -70,7 +70,7 @@
             await ask(port, REQUESTS)
             holder.config = make_fleet_config(1, (QUEUE,), (), 1000)
             await ask(port, REQUESTS)
-            events.tell_gathered(is_last=True)
+            events.flush_gathered(is_last=True)
             server.stop()
 
         asyncio.run(work())
--- a/tests/unit/test_pool_reporting.py
+++ b/tests/unit/test_pool_reporting.py
@@ -71,7 +71,7 @@
     def test_hosts_without_runs_are_told_together(self) -> None:
         for number in range(30):
             self.tell(make_host(f"h{number}"))
-        self.events.tell_gathered(is_last=True)
+        self.events.flush_gathered(is_last=True)
         self.assertEqual([1, 29], [line["count"] for line in self.lines])
         self.assertEqual(["h0"], self.lines[0]["hosts"])
 
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -12,7 +12,7 @@
 from robinthread._internal.telemetry.event_log import EventLog, LineWriter
 from robinthread._internal.telemetry.gathered_lines import GatheredLines
 from robinthread._internal.telemetry.latencies import Latencies
-from robinthread._internal.telemetry.line_budget import ROUTINE_BURST, LineBudget
+from robinthread._internal.telemetry.line_rate_limiter import ROUTINE_BURST, LineRateLimiter
 
 METRICS_CODE = """
 from opentelemetry.metrics import get_meter
@@ -30,16 +30,16 @@
 """
 
 
-class LineBudgetTest(TestCase):
+class LineRateLimiterTest(TestCase):
     def test_burst_then_rate(self) -> None:
-        budget = LineBudget()
+        budget = LineRateLimiter()
         admitted = sum(budget.admit("run_started", 0.0) for _ in range(1000))
         self.assertEqual(ROUTINE_BURST, admitted)
-        self.assertEqual({"run_started": 800}, budget.take_left_out())
+        self.assertEqual({"run_started": 800}, budget.take_suppressed())
         self.assertEqual(100, sum(budget.admit("run_started", 1.0) for _ in range(1000)))
 
     def test_refusals_have_room_of_their_own(self) -> None:
-        budget = LineBudget()
+        budget = LineRateLimiter()
         for _ in range(5000):
             budget.admit("run_started", 0.0)
         self.assertTrue(all(budget.admit("request_refused", 0.0) for _ in range(2000)))
@@ -52,7 +52,7 @@
         for number in range(1000):
             log.write("run_started", run=number)
         self.assertTrue(len(lines) <= ROUTINE_BURST + 2)
-        log._left_out_told_at_s = time.monotonic() - 2
+        log._suppressed_logged_at_s = time.monotonic() - 2
         log.write("stopping")
         told = json.loads(lines[-1])
         self.assertEqual("lines_left_out", told["event"])
@@ -115,7 +115,7 @@
         for number in range(5):
             log.gather("machine_ordered", {"outcome": "done"}, listed={"machines": f"m{number}"})
         self.assertEqual(1, len(lines))
-        log.tell_gathered(is_last=True)
+        log.flush_gathered(is_last=True)
         self.assertEqual(["m1", "m2", "m3", "m4"], json.loads(lines[1])["machines"])
 
 
