--- a/src/robinthread/_internal/commands/node.py
+++ b/src/robinthread/_internal/commands/node.py
@@ -20,7 +20,9 @@
     """
     path = get_settings_path()
     policy = _read_policy(policy_path) if policy_path else PolicySettings()
-    run_process(run_node(lambda: read_node_settings(path), metrics_port, _begin_metrics, policy))
+    run_process(
+        run_node(lambda: read_node_settings(path), metrics_port, _start_metrics_export, policy)
+    )
     return 0
 
 
@@ -32,9 +34,9 @@
     raise FaultError(result.failure())
 
 
-def _begin_metrics(metrics: NodeMetrics) -> Application:
+def _start_metrics_export(metrics: NodeMetrics) -> Application:
     from robinthread._internal.telemetry.exporter import make_metrics_application
-    from robinthread._internal.telemetry.node_exporter import begin_metrics
+    from robinthread._internal.telemetry.node_exporter import start_metrics_export
 
-    begin_metrics(metrics)
+    start_metrics_export(metrics)
     return make_metrics_application()
--- a/src/robinthread/_internal/node/order_sender.py
+++ b/src/robinthread/_internal/node/order_sender.py
@@ -248,7 +248,7 @@
         else:
             self._runtime.jobs.confirm_start(run, get_loop_s())
             since_accepted_ms = self._context.get_wall_ms() - job.spec.accepted_at_ms
-            self._events.metrics.note_start(self._runtime.pool, since_accepted_ms / 1000)
+            self._events.metrics.record_run_start(self._runtime.pool, since_accepted_ms / 1000)
             self._events.write(
                 "run_started",
                 job=job.id,
--- a/src/robinthread/_internal/node/process.py
+++ b/src/robinthread/_internal/node/process.py
@@ -60,18 +60,18 @@
 async def run_node(
     read_settings: Callable[[], NodeSettings],
     metrics_port: int | None,
-    begin_metrics: Callable[[NodeMetrics], Application],
+    start_metrics_export: Callable[[NodeMetrics], Application],
     policy: PolicySettings,
 ) -> None:
     """Run a node until SIGTERM; raise ``FaultError`` where its settings are not valid.
 
     Metrics are served on ``metrics_port`` where there is one, by what
-    ``begin_metrics`` returns once the node has had time to start.
+    ``start_metrics_export`` returns once the node has had time to start.
     """
     settings = read_settings()
     writer = LineWriter()
     metrics = NodeMetrics(get_meter("robinthread"))
-    metrics.observe("lines_lost", "by", lambda: {"slow reader": writer.lost_count})
+    metrics.register_gauge("lines_lost", "by", lambda: {"slow reader": writer.lost_count})
     events = EventLog(settings.name, writer.write, metrics)
     bridge_libraries(events)
     loop = asyncio.get_running_loop()
@@ -97,17 +97,19 @@
         capacity_millicores=capacity_millicores,
     )
     assembled = assemble_node(holder, make_environment(settings, events, policy), me)
-    metrics.observe("loop_lag_seconds", "of", lambda: {"event loop": assembled.lag.lag_s})
-    metrics.observe("pool_state", "pool", assembled.status_reporter.read_states)
-    metrics.observe("lasting_away", "pool", assembled.status_reporter.count_lasting_not_running)
-    metrics.observe(
+    metrics.register_gauge("loop_lag_seconds", "of", lambda: {"event loop": assembled.lag.lag_s})
+    metrics.register_gauge("pool_state", "pool", assembled.status_reporter.read_states)
+    metrics.register_gauge(
+        "lasting_away", "pool", assembled.status_reporter.count_lasting_not_running
+    )
+    metrics.register_gauge(
         "workspace_part", "pool_and_workspace", assembled.status_reporter.read_workspace_parts
     )
     requests = OpenRequests()
     callers = _serve(assembled, settings, peer_address, events, requests)
     if metrics_port is not None:
         address = f"{settings.ip}:{metrics_port}"
-        assembled.node.spawn(_serve_metrics(begin_metrics, metrics, address))
+        assembled.node.spawn(_serve_metrics(start_metrics_export, metrics, address))
     await stopped.wait()
     grace_s = holder.settings.bounds.stop_grace_s
     await stop_node(assembled, callers, requests, grace_s, events)
@@ -149,11 +151,11 @@
 
 
 async def _serve_metrics(
-    begin_metrics: Callable[[NodeMetrics], Application], metrics: NodeMetrics, address: str
+    start_metrics_export: Callable[[NodeMetrics], Application], metrics: NodeMetrics, address: str
 ) -> None:
     """Load the exporter, bit by bit, and serve it."""
     await asyncio.sleep(METRICS_DELAY_S)
     for name in METRICS_MODULES:
         importlib.import_module(name)
         await asyncio.sleep(METRICS_PAUSE_S)
-    listen(begin_metrics(metrics), address)
+    listen(start_metrics_export(metrics), address)
--- a/src/robinthread/_internal/node/progress_recorder.py
+++ b/src/robinthread/_internal/node/progress_recorder.py
@@ -81,7 +81,7 @@
         """Write the last word on a job, with what it was allowed to take."""
         took_ms = job.ended_at_ms - job.spec.accepted_at_ms
         pool = self._runtime.pool
-        self._runtime.events.metrics.note_job_end(pool, status.value, took_ms / 1000)
+        self._runtime.events.metrics.record_job_end(pool, status.value, took_ms / 1000)
         self._runtime.events.write(
             "job_failed" if status is JobStatus.FAILED else "job_ended",
             job=job.id,
--- a/src/robinthread/_internal/platform/callers.py
+++ b/src/robinthread/_internal/platform/callers.py
@@ -214,7 +214,7 @@
         if status == 503:
             self.set_header("Retry-After", str(RETRY_AFTER_S))
         took_s = time.monotonic() - self._began_at_s
-        self._events.metrics.note_request(str(self.request.method), int(code), took_s)
+        self._events.metrics.record_request(str(self.request.method), int(code), took_s)
         self.finish(msgspec.json.encode(body))
 
     def _note_refusal(self, status: int, code: ResultCode, error: str) -> None:
--- a/src/robinthread/_internal/platform/hosts.py
+++ b/src/robinthread/_internal/platform/hosts.py
@@ -148,7 +148,7 @@
     async def _order(
         self, host: UpstreamHost, kind: str, path: str, body: dict[str, Any], timeout_s: float
     ) -> HTTPResponse:
-        with timed_call(self._metrics.note_host_call, kind):
+        with timed_call(self._metrics.record_host_call, kind):
             return await self._order_once(host, path, body, timeout_s)
 
     async def _order_once(
--- a/src/robinthread/_internal/platform/machines.py
+++ b/src/robinthread/_internal/platform/machines.py
@@ -90,7 +90,7 @@
         self, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
     ) -> HTTPResponse:
         kind = path.removeprefix("/machine-").lstrip("/").partition("?")[0]
-        with timed_call(self._metrics.note_machine_call, kind):
+        with timed_call(self._metrics.record_machine_call, kind):
             return await self._call_once(path, body, headers)
 
     async def _call_once(
--- a/src/robinthread/_internal/platform/store.py
+++ b/src/robinthread/_internal/platform/store.py
@@ -194,7 +194,7 @@
         timeout_s: float | None = None,
     ) -> HTTPResponse:
         kind = path.removeprefix("/log-").partition("?")[0]
-        with timed_call(self._metrics.note_store_call, kind):
+        with timed_call(self._metrics.record_store_call, kind):
             return await self._call_once(path, body, wait_s, timeout_s)
 
     async def _call_once(
--- a/src/robinthread/_internal/telemetry/counters.py
+++ b/src/robinthread/_internal/telemetry/counters.py
@@ -25,7 +25,7 @@
             counter = self._counters[name] = self._meter.create_counter(f"robinthread_{name}")
         counter.add(amount)
 
-    def observe(self, name: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Publish a gauge whose value ``read`` returns."""
 
         def callback(options: CallbackOptions) -> list[Observation]:
--- a/src/robinthread/_internal/telemetry/latencies.py
+++ b/src/robinthread/_internal/telemetry/latencies.py
@@ -12,7 +12,7 @@
 Labels = tuple[str, ...]
 
 
-class Latency:
+class LatencyCounts:
     """How many latencies lie up to each bound and beyond the last, and their sum."""
 
     __slots__ = ("counts", "sum_s")
@@ -22,7 +22,7 @@
         self.sum_s = 0.0
 
 
-class Latencies:
+class LatencyHistogram:
     """Latencies of one name by the values of its labels.
 
     A record takes 0.5 us, one of the library's instruments 14 us; a busy owner makes some
@@ -32,17 +32,17 @@
     def __init__(self, name: str, *labels: str) -> None:
         self.name = name
         self.labels = labels
-        self._kept: dict[Labels, Latency] = {}
+        self._by_labels: dict[Labels, LatencyCounts] = {}
 
     @property
-    def kept(self) -> Mapping[Labels, Latency]:
+    def by_labels(self) -> Mapping[Labels, LatencyCounts]:
         """Return what was recorded, by the labels' values."""
-        return self._kept
+        return self._by_labels
 
     def record(self, took_s: float, *values: str) -> None:
         """Record a latency under the values of the labels."""
-        latency = self._kept.get(values)
+        latency = self._by_labels.get(values)
         if latency is None:
-            latency = self._kept[values] = Latency()
+            latency = self._by_labels[values] = LatencyCounts()
         latency.counts[bisect_left(LATENCY_BOUNDS_S, took_s)] += 1
         latency.sum_s += took_s
--- a/src/robinthread/_internal/telemetry/node_exporter.py
+++ b/src/robinthread/_internal/telemetry/node_exporter.py
@@ -9,7 +9,7 @@
 from prometheus_client.registry import Collector
 
 from robinthread._internal.telemetry.exporter import METRICS_REGISTRY, make_meter_provider
-from robinthread._internal.telemetry.latencies import LATENCY_BOUNDS_S, Latencies
+from robinthread._internal.telemetry.latencies import LATENCY_BOUNDS_S, LatencyHistogram
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 
 BOUND_LABELS: Final = (*map(str, LATENCY_BOUNDS_S), "+Inf")
@@ -23,18 +23,18 @@
 
     def collect(self) -> Iterator[Metric]:
         """Iterate over the latencies that have values."""
-        yield from (_make_family(found) for found in self._metrics.latencies if found.kept)
+        yield from (_make_family(found) for found in self._metrics.latencies if found.by_labels)
 
 
-def _make_family(latencies: Latencies) -> HistogramMetricFamily:
+def _make_family(latencies: LatencyHistogram) -> HistogramMetricFamily:
     family = HistogramMetricFamily(latencies.name, "", labels=latencies.labels)
-    for values, latency in latencies.kept.items():
+    for values, latency in latencies.by_labels.items():
         counts = map(float, accumulate(latency.counts))
         family.add_metric(values, list(zip(BOUND_LABELS, counts, strict=True)), latency.sum_s)
     return family
 
 
-def begin_metrics(metrics: NodeMetrics) -> None:
+def start_metrics_export(metrics: NodeMetrics) -> None:
     """Have what a node has counted and timed since its start served, and its gauges."""
     set_meter_provider(make_meter_provider())
     METRICS_REGISTRY.register(LatencyCollector(metrics))
--- a/src/robinthread/_internal/telemetry/node_metrics.py
+++ b/src/robinthread/_internal/telemetry/node_metrics.py
@@ -5,7 +5,7 @@
 
 from opentelemetry.metrics import CallbackOptions, Meter, NoOpMeterProvider, Observation
 
-from robinthread._internal.telemetry.latencies import Latencies
+from robinthread._internal.telemetry.latencies import LatencyHistogram
 
 ReadGauge = Callable[[], Mapping[str, float]]
 
@@ -21,15 +21,17 @@
         self._meter = meter
         self._events: Counter[tuple[str, str]] = Counter()
         meter.create_observable_counter("robinthread_events", callbacks=[self._read_events])
-        self._requests = Latencies("robinthread_request_seconds", "kind", "code")
-        self._store_calls = Latencies("robinthread_store_call_seconds", "kind", "outcome")
-        self._host_calls = Latencies("robinthread_host_call_seconds", "kind", "outcome")
-        self._machine_calls = Latencies("robinthread_machine_call_seconds", "kind", "outcome")
-        self._starts = Latencies("robinthread_acceptance_to_start_seconds", "pool")
-        self._jobs = Latencies("robinthread_acceptance_to_end_seconds", "pool", "status")
+        self._requests = LatencyHistogram("robinthread_request_seconds", "kind", "code")
+        self._store_calls = LatencyHistogram("robinthread_store_call_seconds", "kind", "outcome")
+        self._host_calls = LatencyHistogram("robinthread_host_call_seconds", "kind", "outcome")
+        self._machine_calls = LatencyHistogram(
+            "robinthread_machine_call_seconds", "kind", "outcome"
+        )
+        self._starts = LatencyHistogram("robinthread_acceptance_to_start_seconds", "pool")
+        self._jobs = LatencyHistogram("robinthread_acceptance_to_end_seconds", "pool", "status")
 
     @property
-    def latencies(self) -> tuple[Latencies, ...]:
+    def latencies(self) -> tuple[LatencyHistogram, ...]:
         """Return all latencies, those first that tell most of how callers fare."""
         return (
             self._starts,
@@ -44,31 +46,31 @@
         """Count a log line, written or left out."""
         self._events[event, outcome] += 1
 
-    def note_request(self, kind: str, code: int, took_s: float) -> None:
+    def record_request(self, kind: str, code: int, took_s: float) -> None:
         """Note a caller's request and the number of its result code."""
         self._requests.record(took_s, kind, str(code))
 
-    def note_store_call(self, kind: str, outcome: str, took_s: float) -> None:
+    def record_store_call(self, kind: str, outcome: str, took_s: float) -> None:
         """Note a call to the store."""
         self._store_calls.record(took_s, kind, outcome)
 
-    def note_host_call(self, kind: str, outcome: str, took_s: float) -> None:
+    def record_host_call(self, kind: str, outcome: str, took_s: float) -> None:
         """Note an order to a job host."""
         self._host_calls.record(took_s, kind, outcome)
 
-    def note_machine_call(self, kind: str, outcome: str, took_s: float) -> None:
+    def record_machine_call(self, kind: str, outcome: str, took_s: float) -> None:
         """Note a call about the fleet's machines."""
         self._machine_calls.record(took_s, kind, outcome)
 
-    def note_start(self, pool: str, since_accepted_s: float) -> None:
+    def record_run_start(self, pool: str, since_accepted_s: float) -> None:
         """Note a run's start."""
         self._starts.record(max(0.0, since_accepted_s), pool)
 
-    def note_job_end(self, pool: str, status: str, since_accepted_s: float) -> None:
+    def record_job_end(self, pool: str, status: str, since_accepted_s: float) -> None:
         """Note a job's end."""
         self._jobs.record(max(0.0, since_accepted_s), pool, status)
 
-    def observe(self, name: str, label: str, read: ReadGauge) -> None:
+    def register_gauge(self, name: str, label: str, read: ReadGauge) -> None:
         """Publish a gauge; ``read`` returns its values by label."""
 
         def callback(options: CallbackOptions) -> Iterable[Observation]:
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -11,7 +11,7 @@
 
 from robinthread._internal.telemetry.event_log import EventLog, LineWriter
 from robinthread._internal.telemetry.gathered_lines import GatheredLines
-from robinthread._internal.telemetry.latencies import Latencies
+from robinthread._internal.telemetry.latencies import LatencyHistogram
 from robinthread._internal.telemetry.line_rate_limiter import ROUTINE_BURST, LineRateLimiter
 
 METRICS_CODE = """
@@ -19,13 +19,13 @@
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 metrics = NodeMetrics(get_meter("robinthread"))
 metrics.count_event("job_ended", "succeeded")
-metrics.note_store_call("append", "ok", 0.004)
+metrics.record_store_call("append", "ok", 0.004)
 from robinthread._internal.telemetry.exporter import write_metrics
-from robinthread._internal.telemetry.node_exporter import begin_metrics
-begin_metrics(metrics)
+from robinthread._internal.telemetry.node_exporter import start_metrics_export
+start_metrics_export(metrics)
 metrics.count_event("job_ended", "succeeded")
-metrics.note_store_call("append", "ok", 0.3)
-metrics.observe("lines_lost", "by", lambda: {"slow reader": 3})
+metrics.record_store_call("append", "ok", 0.3)
+metrics.register_gauge("lines_lost", "by", lambda: {"slow reader": 3})
 print(write_metrics().decode())
 """
 
@@ -152,9 +152,9 @@
         )
 
     def test_latencies_are_counted_up_to_each_bound(self) -> None:
-        latencies = Latencies("seconds", "pool")
+        latencies = LatencyHistogram("seconds", "pool")
         for took_s in (0.0, 0.02, 0.021, 0.5, 2.0, 2.1, 60.0):
             latencies.record(took_s, "press")
-        latency = latencies.kept["press",]
+        latency = latencies.by_labels["press",]
         self.assertEqual([2, 1, 1, 1, 2], latency.counts)
         self.assertAlmostEqual(64.641, latency.sum_s)
