--- a/src/robinthread/_internal/platform/store.py
+++ b/src/robinthread/_internal/platform/store.py
@@ -211,13 +211,13 @@
             )
         except CallUnsentError as error:
             # Connecting may take longer than was allowed.
-            self._timeout.note_lost()
+            self._timeout.record_loss()
             raise StoreRefusedError(f"the store cannot be reached: {error}") from error
         except CallLostError as error:
-            self._timeout.note_lost()
+            self._timeout.record_loss()
             raise StoreNoAnswerError(str(error)) from error
         if not wait_s and timeout_s is None:
-            self._timeout.note_answer(time.monotonic() - began_at_s)
+            self._timeout.record_response(time.monotonic() - began_at_s)
         if response.code != 200:
             raise _make_error(response)
         return response
--- a/src/robinthread/_internal/utils/call_timeout.py
+++ b/src/robinthread/_internal/utils/call_timeout.py
@@ -29,14 +29,14 @@
         expected_s = self._mean_s + SPREADS * self._spread_s
         return min(self._max_s, max(self._min_s, expected_s) * self._backoff)
 
-    def note_answer(self, took_s: float) -> None:
+    def record_response(self, took_s: float) -> None:
         """Note how long an answer took."""
         deviation_s = abs(took_s - self._mean_s)
         self._spread_s += SPREAD_WEIGHT * (deviation_s - self._spread_s)
         self._mean_s += MEAN_WEIGHT * (took_s - self._mean_s)
         self._backoff = 1
 
-    def note_lost(self) -> None:
+    def record_loss(self) -> None:
         """Note an answer that did not come in time."""
         if self.seconds < self._max_s:
             self._backoff *= 2
--- a/src/robinthread/_internal/utils/http_call.py
+++ b/src/robinthread/_internal/utils/http_call.py
@@ -10,7 +10,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest, HTTPResponse
 
 from robinthread._internal.utils.fetcher import REFUSED_CODE, Fetcher
-from robinthread._internal.utils.kept_connections import ConnectionUse, KeptConnections
+from robinthread._internal.utils.keep_alive_connections import ConnectionUse, KeepAliveConnections
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 # Longest wait for a connection.  A lost SYN is sent again after a second; every
@@ -41,7 +41,7 @@
     """An HTTP client, and what it knows of the connections that it keeps open."""
 
     fetcher: AsyncHTTPClient
-    kept: KeptConnections = field(default_factory=KeptConnections)
+    keep_alive: KeepAliveConnections = field(default_factory=KeepAliveConnections)
 
 
 def make_client(connections_max: int) -> HttpClient:
@@ -65,7 +65,7 @@
     ``NobodyListensError`` is one, or ``CallLostError``; the connection of a lost call is
     not used again, and if it was a kept one, none that was open to that address then.
     """
-    use = ConnectionUse(client.kept, urlsplit(url).netloc)
+    use = ConnectionUse(client.keep_alive, urlsplit(url).netloc)
     request = HTTPRequest(
         url,
         method="GET" if body is None else "POST",
@@ -83,7 +83,7 @@
             if isinstance(error, CurlError) and error.errno == REFUSED_CODE:
                 raise NobodyListensError(str(error)) from error
             raise CallUnsentError(str(error)) from error
-        use.note_lost()
+        use.record_loss()
         if isinstance(error, CurlError) and error.errno == pycurl.E_OPERATION_TIMEDOUT:
             raise CallTimedOutError(str(error)) from error
         raise CallLostError(str(error)) from error
--- a/src/robinthread/_internal/utils/kept_connections.py
+++ b/src/robinthread/_internal/utils/keep_alive_connections.py
@@ -8,13 +8,13 @@
 
 # Least time between two doubts of one address.  A service that is slow loses calls on
 # kept connections all the time, and must not be met by new connections alone.
-DOUBT_PERIOD_S: Final = 1.0
+RETIRE_INTERVAL_S: Final = 1.0
 # Connections idle for so long are closed, those in doubt with them: an address that is
 # doubted all the time has the idle ones of so many generations open at most.
 IDLE_MAX_S: Final = 10
 
 
-class KeptConnections:
+class KeepAliveConnections:
     """Puts the connections to an address in doubt once one of them has lost a call.
 
     Open connections may go silent for good, without a reset, all to one address at
@@ -31,11 +31,11 @@
         """Return the generation that a call to ``address`` may use now."""
         return self._generations.get(address, 0)
 
-    def doubt(self, address: str, generation: int) -> None:
+    def retire_generation(self, address: str, generation: int) -> None:
         """Note that a call was lost on a kept connection of a generation."""
         now_s = time.monotonic()
         is_news = generation == self.get_generation(address)
-        if is_news and now_s - self._doubted_at_s.get(address, -math.inf) >= DOUBT_PERIOD_S:
+        if is_news and now_s - self._doubted_at_s.get(address, -math.inf) >= RETIRE_INTERVAL_S:
             self._generations[address] = generation + 1
             self._doubted_at_s[address] = now_s
 
@@ -48,7 +48,7 @@
     what became of the first one.
     """
 
-    def __init__(self, kept: KeptConnections, address: str) -> None:
+    def __init__(self, kept: KeepAliveConnections, address: str) -> None:
         self._kept = kept
         self._address = address
         self._generation = 0
@@ -65,10 +65,10 @@
         curl.setopt(pycurl.SOCKOPTFUNCTION, self._note_opened)
         curl.setopt(pycurl.PREREQFUNCTION, self._note_sending)
 
-    def note_lost(self) -> None:
+    def record_loss(self) -> None:
         """Note that no answer came; on a new connection that tells nothing of others."""
         if not self._is_new:
-            self._kept.doubt(self._address, self._generation)
+            self._kept.retire_generation(self._address, self._generation)
 
     def _note_opened(self, _descriptor: int, _purpose: int) -> int:
         self._is_new = True
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -8,9 +8,9 @@
 from robinthread._internal.durable.errors import StoreNoAnswerError
 from robinthread._internal.platform.store import PlatformStore
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
-from robinthread._internal.utils import kept_connections
+from robinthread._internal.utils import keep_alive_connections
 from robinthread._internal.utils.http_call import CallLostError, HttpClient, call, make_client
-from robinthread._internal.utils.kept_connections import DOUBT_PERIOD_S
+from robinthread._internal.utils.keep_alive_connections import RETIRE_INTERVAL_S
 from tests.lib.silent_service import SilentService
 
 CONNECTIONS_MAX: Final = 64
@@ -73,7 +73,7 @@
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
-                for pause_s in (DOUBT_PERIOD_S, 0.0):
+                for pause_s in (RETIRE_INTERVAL_S, 0.0):
                     await _open(client, service, 5)
                     service.silence()
                     await self._lose(client, service)
@@ -165,7 +165,7 @@
 
     def test_idle_connections_to_all_addresses_are_closed(self) -> None:
         async def work() -> None:
-            self.patch(kept_connections, "IDLE_MAX_S", 1)
+            self.patch(keep_alive_connections, "IDLE_MAX_S", 1)
             async with SilentService() as idle, SilentService() as busy:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, idle, 5)
