--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -11,35 +11,35 @@
 
 from robinthread._internal.telemetry.event_log import EventLog, LineWriter
 from robinthread._internal.telemetry.gathered_lines import GatheredLines
-from robinthread._internal.telemetry.latencies import Latencies
-from robinthread._internal.telemetry.line_budget import ROUTINE_BURST, LineBudget
+from robinthread._internal.telemetry.latencies import LatencyHistogram
+from robinthread._internal.telemetry.line_rate_limiter import ROUTINE_BURST, LineRateLimiter
 
 METRICS_CODE = """
 from opentelemetry.metrics import get_meter
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 metrics = NodeMetrics(get_meter("robinthread"))
 metrics.count_event("job_ended", "succeeded")
-metrics.note_store_call("append", "ok", 0.004)
+metrics.record_store_call("append", "ok", 0.004)
 from robinthread._internal.telemetry.exporter import write_metrics
-from robinthread._internal.telemetry.node_exporter import begin_metrics
-begin_metrics(metrics)
+from robinthread._internal.telemetry.node_exporter import start_metrics_export
+start_metrics_export(metrics)
 metrics.count_event("job_ended", "succeeded")
-metrics.note_store_call("append", "ok", 0.3)
-metrics.observe("lines_lost", "by", lambda: {"slow reader": 3})
+metrics.record_store_call("append", "ok", 0.3)
+metrics.register_gauge("lines_lost", "by", lambda: {"slow reader": 3})
 print(write_metrics().decode())
 """
 
 
-class LineBudgetTest(TestCase):
+class LineRateLimiterTest(TestCase):
     def test_burst_then_rate(self) -> None:
-        budget = LineBudget()
+        budget = LineRateLimiter()
         admitted = sum(budget.admit("run_started", 0.0) for _ in range(1000))
         self.assertEqual(ROUTINE_BURST, admitted)
-        self.assertEqual({"run_started": 800}, budget.take_left_out())
+        self.assertEqual({"run_started": 800}, budget.take_suppressed())
         self.assertEqual(100, sum(budget.admit("run_started", 1.0) for _ in range(1000)))
 
     def test_refusals_have_room_of_their_own(self) -> None:
-        budget = LineBudget()
+        budget = LineRateLimiter()
         for _ in range(5000):
             budget.admit("run_started", 0.0)
         self.assertTrue(all(budget.admit("request_refused", 0.0) for _ in range(2000)))
@@ -52,7 +52,7 @@
         for number in range(1000):
             log.write("run_started", run=number)
         self.assertTrue(len(lines) <= ROUTINE_BURST + 2)
-        log._left_out_told_at_s = time.monotonic() - 2
+        log._suppressed_logged_at_s = time.monotonic() - 2
         log.write("stopping")
         told = json.loads(lines[-1])
         self.assertEqual("lines_left_out", told["event"])
@@ -115,7 +115,7 @@
         for number in range(5):
             log.gather("machine_ordered", {"outcome": "done"}, listed={"machines": f"m{number}"})
         self.assertEqual(1, len(lines))
-        log.tell_gathered(is_last=True)
+        log.flush_gathered(is_last=True)
         self.assertEqual(["m1", "m2", "m3", "m4"], json.loads(lines[1])["machines"])
 
 
@@ -152,9 +152,9 @@
         )
 
     def test_latencies_are_counted_up_to_each_bound(self) -> None:
-        latencies = Latencies("seconds", "pool")
+        latencies = LatencyHistogram("seconds", "pool")
         for took_s in (0.0, 0.02, 0.021, 0.5, 2.0, 2.1, 60.0):
             latencies.record(took_s, "press")
-        latency = latencies.kept["press",]
+        latency = latencies.by_labels["press",]
         self.assertEqual([2, 1, 1, 1, 2], latency.counts)
         self.assertAlmostEqual(64.641, latency.sum_s)
