--- a/src/robinthread/_internal/commands/demo.py
+++ b/src/robinthread/_internal/commands/demo.py
@@ -147,7 +147,7 @@
     is_kept = (
         tally.codes["RAN"] == requests
         and not tally.wrong_answers
-        and not site.ledger.iter_run_twice()
+        and not site.ledger.list_keys_run_twice()
         and held
     )
     return 0 if is_kept else 1
@@ -252,7 +252,7 @@
         ("answers owed", requests),
         ("answers received", tally.codes["RAN"]),
         ("wrong or mixed-up answers", tally.wrong_answers),
-        ("requests run twice", len(site.ledger.iter_run_twice())),
+        ("requests run twice", len(site.ledger.list_keys_run_twice())),
         ("requests cut short", site.ledger.cut_short_count),
         ("budgets held throughout", "yes" if held else "NO"),
         ("hosts rebooted", HOSTS_A_POOL),
--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -228,7 +228,7 @@
             machine_s,
             move_count,
             spent_s / spec.nodes.processor_share / took_s,
-            tuple(platform.hosts.ledger.find_breaks(math.inf)),
+            tuple(platform.hosts.ledger.find_violations(math.inf)),
             jobs,
             tuple(self._samples),
         )
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -122,7 +122,7 @@
         if not taken.fits_in(self.record.capacity) and self._checks_room():
             raise NoRoomError("room")
         if not any(taken.fits_in(room) for room in self._list_known_rooms()):
-            self._ledger.overfull.append(
+            self._ledger.over_capacity.append(
                 f"{order.task} run {order.run} on {self.record.id} takes {taken} in all"
             )
         self._begin(order, plan, is_stray)
--- a/src/robinthread/_internal/standins/ledger.py
+++ b/src/robinthread/_internal/standins/ledger.py
@@ -20,6 +20,6 @@
         self.started_after_deadline_count = 0
         self.cut_short_count = 0
 
-    def iter_run_twice(self) -> tuple[str, ...]:
+    def list_keys_run_twice(self) -> tuple[str, ...]:
         """Return the keys that were started more than once."""
         return tuple(itertools.compress(self.started, (n > 1 for n in self.started.values())))
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -19,12 +19,12 @@
 class LimitLedger:
     """Finds starts that bring a workspace over its limit.
 
-    ``workspaces`` tells whose a job is; tests fill it.  ``over`` are such starts, in words.
+    ``workspaces`` tells whose a job is; tests fill it.  ``over_limit`` are such starts, in words.
     """
 
     def __init__(self) -> None:
         self.workspaces: dict[str, str] = {}
-        self.over: list[str] = []
+        self.over_limit: list[str] = []
         self._limits: list[tuple[float, dict[str, Resources]]] = []
         self._open: dict[str, list[RunningTask]] = {}
 
@@ -50,7 +50,7 @@
             default=0.0,
         )
         if part > 1.0:
-            self.over.append(f"{workspace} has {part:.3f} of its limit at {now_s:.2f} s")
+            self.over_limit.append(f"{workspace} has {part:.3f} of its limit at {now_s:.2f} s")
 
     def _list_in_force(self, workspace: str, now_s: float) -> list[Resources]:
         """List the limits that may be in force: the last one, and those replaced of late."""
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -44,13 +44,13 @@
 class RunLedger:
     """Collects runs over all hosts and finds what breaks the promises.
 
-    ``overfull`` are starts that brought a host over its room, in words.
+    ``over_capacity`` are starts that brought a host over its room, in words.
     """
 
     def __init__(self) -> None:
         self.runs: list[LedgerRun] = []
         self.cancelled_at_s: dict[str, float] = {}
-        self.overfull: list[str] = []
+        self.over_capacity: list[str] = []
         self.limits = LimitLedger()
 
     def add(self, run: LedgerRun) -> None:
@@ -58,12 +58,12 @@
         self.runs.append(run)
         self.limits.note_begun(run.task.job_id, run, run.began_at_s)
 
-    def find_breaks(self, cancel_s: float) -> list[str]:
+    def find_violations(self, cancel_s: float) -> list[str]:
         """Return what was seen and must not be, in words."""
         by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
         for run in self.runs:
             by_task[run.task].append(run)
-        breaks = [*self.overfull, *self.limits.over]
+        breaks = [*self.over_capacity, *self.limits.over_limit]
         for all_runs in by_task.values():
             breaks += [
                 f"{run.task} run {run.number} on {run.host_id}, a stray, was not stopped"
--- a/src/robinthread/_internal/standins/wave_ledger.py
+++ b/src/robinthread/_internal/standins/wave_ledger.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self.begun: dict[int, set[str]] = {}
         self.down_peak: dict[int, int] = {}
-        self.breaks: list[str] = []
+        self.violations: list[str] = []
         self.asked: dict[int, UpkeepWave] = {}
         self._down: set[str] = set()
 
@@ -47,6 +47,6 @@
 
     def _note_break(self, text: str) -> None:
         loop = asyncio.get_running_loop()
-        self.breaks.append(f"{loop.time():.3f} s: {text}")
-        error = WaveBoundError(self.breaks[-1])
+        self.violations.append(f"{loop.time():.3f} s: {text}")
+        error = WaveBoundError(self.violations[-1])
         loop.call_exception_handler({"message": "wave over its bound", "exception": error})
--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -26,7 +26,7 @@
             )
             self.assertEqual({ResultCode.RAN}, {answer.code for answer in answers})
             self.assertEqual(1, len({answer.body for answer in answers}))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -48,7 +48,7 @@
             await asyncio.sleep(60.0)
             late = await fleet.call("matale-d0", replace(request, try_number=2))
             self.assertEqual(Family.OUTCOME_UNKNOWN, late.code.family)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -66,7 +66,7 @@
             await asyncio.sleep(15.0)
             again = await fleet.call(other, replace(request, try_number=2))
             self.assertEqual((first.code, first.body), (again.code, again.body))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -81,7 +81,7 @@
             await asyncio.sleep(15.0)
             again = await fleet.call("matale-d0", replace(request, try_number=2))
             self.assertEqual(ResultCode.HOLDER_LOST, again.code)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -118,7 +118,7 @@
             second = await own
             self.assertEqual(ResultCode.RAN, first.code)
             self.assertNotEqual(Family.DID_NOT_RUN, second.code.family)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -132,7 +132,7 @@
             ran = sum(answer.code is ResultCode.RAN for answer in answers)
             self.assertTrue(ran >= 30, ran)
             self.assertEqual(ran, len(fleet.ledger.started))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -10,7 +10,14 @@
 from robinthread._internal.models.pool_policy import PoolPolicy
 from robinthread._internal.standins import platform_standin
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import HOST_CAPACITY, POOL, QUEUE, find_breaks, plan_second, wait_until
+from tests.lib.job_platforms import (
+    HOST_CAPACITY,
+    POOL,
+    QUEUE,
+    find_violations,
+    plan_second,
+    wait_until,
+)
 from tests.lib.virtual import run_virtual
 
 NAMES = (POOL, "weave", "print", "fold", "bind", "trim")
@@ -52,7 +59,7 @@
         await asyncio.sleep(RESTART_S)
         platform.start_node(name)
         await asyncio.sleep(WATCH_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     taken = [line for line in map(json.loads, platform.events) if line["event"] == "pool_taken"]
     return max(line["token"] for line in taken) - token
 
--- a/tests/functional/test_crashing_machines.py
+++ b/tests/functional/test_crashing_machines.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.models.job_status import JobStatus
 from tests.lib.crashing import CRASH_AFTER_S, feed, make_jobs, wait_until_ended
-from tests.lib.job_platforms import find_breaks, plan_second, start_platform
+from tests.lib.job_platforms import find_violations, plan_second, start_platform
 from tests.lib.virtual import run_virtual
 
 # Jobs come for 30 s, in which it is back each 3 s and would be tried as often; tried half as
@@ -29,7 +29,7 @@
             await feed(platform, specs, JOB_PERIOD_S)
             statuses = await wait_until_ended(platform, specs, 30)
             self.assertEqual({JobStatus.SUCCEEDED}, set(statuses.values()))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             return len({run.host_id for run in platform.hosts.ledger.runs if run.end == "crashed"})
 
         self.assertLessEqual(run_virtual(work()), CRASHES_MAX)
--- a/tests/functional/test_crashing_tasks.py
+++ b/tests/functional/test_crashing_tasks.py
@@ -41,7 +41,7 @@
 )
 from tests.lib.event_lines import find_lines
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_owner,
     make_job,
     plan_second,
@@ -73,7 +73,7 @@
         await restart_owner(platform)
     await feeding
     statuses = await wait_until_ended(platform, specs, ENDED_WITHIN_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     assert not find_excess(platform), find_excess(platform)
     assert not find_given_up_early(platform, statuses)
     expected = {
@@ -123,7 +123,7 @@
             await feed(platform, specs, 0.2)
             crashing.cancel()
             statuses = await wait_until_ended(platform, specs, ENDED_WITHIN_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             return statuses
 
         for seed in range(8):
--- a/tests/functional/test_done_while_unheard.py
+++ b/tests/functional/test_done_while_unheard.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.standins.store_standin import LATENCY_S
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -42,7 +42,7 @@
             await asyncio.sleep(LAPSED_S)
             platform.hosts.cut_ways.clear()
             await wait_for_status(platform, JOB.job_id, JobStatus.SUCCEEDED, 5.0)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(TASKS, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -50,7 +50,7 @@
             await self._run_wave(fleet, "kandy-h000", 60.0)
             codes = {answer.code for answer in await asyncio.gather(*calls)}
             self.assertEqual({ResultCode.RAN}, codes)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
             self.assertEqual(1, sum(fleet.ledger.checkpointed.values()))
 
         run_virtual(work())
--- a/tests/functional/test_ended_hosts.py
+++ b/tests/functional/test_ended_hosts.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.jobs.host import Host, HostContact
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import POOL, find_breaks, get_owner, wait_until
+from tests.lib.job_platforms import POOL, find_violations, get_owner, wait_until
 from tests.lib.lasting import AGAIN_MAX_S, cut_host, get_first_host, list_runs, start_lasting
 from tests.lib.virtual import run_virtual
 
@@ -36,7 +36,7 @@
             self.assertTrue(see_host(platform, host.record.id).is_refusing)
             platform.hosts.add(host)
             await asyncio.sleep(AGAIN_MAX_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(run_count, len(list_runs(platform)))
 
         run_virtual(work())
@@ -48,7 +48,7 @@
             cut_host(platform, host)
             platform.unlist_host(host.record.id)
             await asyncio.sleep(AGAIN_MAX_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual("lapsed", list_runs(platform)[0].end)
 
         run_virtual(work())
@@ -67,7 +67,7 @@
             platform.hosts.add(host)
             await asyncio.sleep(AGAIN_MAX_S)
             self.assertIs(HostContact.ANSWERING, seen.contact)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(run_count, len(list_runs(platform)))
 
         run_virtual(work())
@@ -82,7 +82,7 @@
             platform.hosts.refused_ways |= ways
             platform.unlist_host(host.record.id)
             await asyncio.sleep(AGAIN_MAX_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual("lapsed", list_runs(platform)[0].end)
 
         run_virtual(work())
--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     hand_in,
     hand_in_all,
     make_job,
@@ -36,7 +36,7 @@
             )
             platform.hosts.cut_ways |= {(name, host.record.address) for name in platform.nodes}
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual("lapsed", run.end)
 
         run_virtual(work())
@@ -52,7 +52,7 @@
             platform.hosts.faults.lost_share = 0.0
             await wait_until_done(platform, specs)
             await asyncio.sleep(15)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -9,7 +9,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_owner,
     make_stop_budget,
     wait_until,
@@ -73,7 +73,7 @@
             await asyncio.sleep(0.5)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -88,7 +88,7 @@
             await asyncio.sleep(0.3)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -101,7 +101,7 @@
             await platform.nodes[second].assembled.node.stop(make_stop_budget(platform))
             await wait_until(lambda: owns(platform, "node2"))
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -120,6 +120,6 @@
             await asyncio.sleep(WATCH_S)
             again = max(run.began_at_s for run in list_runs(platform))
             self.assertLess(again - cut_at_s, get_lapse_time_s(LEASE_MS, AGAIN_S))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_gangs.py
+++ b/tests/functional/test_gangs.py
@@ -12,7 +12,7 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     hand_in_all,
@@ -45,7 +45,7 @@
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             self.assertEqual({1}, {run.number for run in platform.hosts.ledger.runs})
             self.assertEqual(4, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -70,7 +70,7 @@
             platform.crash_host(platform.hosts.ledger.runs[0].host_id)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED, limit_s=60)
             self.assertEqual(0, count_ends(platform, RunEnd.GANG_ALONE))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -46,7 +46,7 @@
             await wait_until(lambda: leaving not in daemon.state.hosts, 30.0)
             codes = {answer.code for answer in await asyncio.gather(*long)}
             self.assertEqual({ResultCode.RAN}, codes)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
--- a/tests/functional/test_jobs_dropped_meanwhile.py
+++ b/tests/functional/test_jobs_dropped_meanwhile.py
@@ -10,7 +10,7 @@
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -47,7 +47,7 @@
             platform.kill_node(second)
             await wait_until(lambda: get_owner(platform) == first)
             await asyncio.sleep(10)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(run_count, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
--- a/tests/functional/test_jobs_of_workspaces.py
+++ b/tests/functional/test_jobs_of_workspaces.py
@@ -15,7 +15,7 @@
 from tests.lib.job_platforms import (
     POOLS,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -113,7 +113,7 @@
             )
             platform.cut_nodes.discard(owner)
             await wait_for_status(platform, spec.job_id, JobStatus.CANCELLED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -9,7 +9,7 @@
 from tests.lib.job_platforms import (
     QUEUE,
     cancel,
-    find_breaks,
+    find_violations,
     get_status,
     hand_in,
     make_job,
@@ -32,7 +32,7 @@
                 status = await get_status(platform, name, spec.job_id)
                 self.assertEqual(JobStatus.SUCCEEDED, status)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -79,7 +79,7 @@
             self.assertTrue(set(outcomes) <= {JobRequestOutcome.DONE, JobRequestOutcome.UNKNOWN})
             await wait_until_done(platform, specs)
             self.assertEqual(30, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -12,7 +12,14 @@
 from robinthread._internal.node.peer_calls import PeerUnreachableError
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import HOST_CAPACITY, POOL, find_breaks, hand_in, make_job, wait_until
+from tests.lib.job_platforms import (
+    HOST_CAPACITY,
+    POOL,
+    find_violations,
+    hand_in,
+    make_job,
+    wait_until,
+)
 from tests.lib.lasting import (
     AGAIN_MAX_S,
     LARGE,
@@ -59,7 +66,7 @@
             platform = await start_lasting()
             await bring_about(platform)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
 
         run_virtual(work())
@@ -153,7 +160,7 @@
                 platform.cut_nodes.discard(old)
                 platform.nodes[old].assembled.node._handover._peers = _NoPeers()
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual("lapsed", list_runs(platform)[0].end)
 
         for peers_are_cut in (True, False):
@@ -179,7 +186,7 @@
             platform.crash_host(get_first_host(platform).record.id)
             await asyncio.sleep(WATCH_S)
             feeding.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
 
         run_virtual(work())
@@ -195,7 +202,7 @@
             await asyncio.sleep(LATE_RESTART_S)
             platform.start_node(owner)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
             self.assertEqual(1, platform.machines.move_count - moves_before)
 
@@ -213,7 +220,7 @@
             await asyncio.sleep(2.5)
             await lose_power(platform)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(1, platform.machines.move_count - moves_before)
 
         run_virtual(work())
@@ -232,7 +239,7 @@
             await asyncio.sleep(2.5)
             await lose_power(platform)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(1, platform.machines.move_count - moves_before)
 
         run_virtual(work())
--- a/tests/functional/test_lasting_behind_urgent.py
+++ b/tests/functional/test_lasting_behind_urgent.py
@@ -10,7 +10,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOLS,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     start_platform,
@@ -55,7 +55,7 @@
             platform.crash_host(get_first_host(platform).record.id)
             await asyncio.sleep(25)
             feeding.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
 
         run_virtual(work())
--- a/tests/functional/test_lasting_in_full_pool.py
+++ b/tests/functional/test_lasting_in_full_pool.py
@@ -12,7 +12,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOLS,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     start_platform,
@@ -82,7 +82,7 @@
             await bring_about(platform)
             await asyncio.sleep(WATCH_S)
             feeding.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertLess(get_longest_gap_s(platform), AGAIN_MAX_S)
             self.assertGreater(len(list_runs(platform)), step.task_count)
             late_s = asyncio.get_running_loop().time() - WATCH_S / 2
--- a/tests/functional/test_lost_hosts.py
+++ b/tests/functional/test_lost_hosts.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.standins.job_host_standin import JobHostStandin
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import find_breaks, get_owner, start_platform, wait_until
+from tests.lib.job_platforms import find_violations, get_owner, start_platform, wait_until
 from tests.lib.lasting import (
     cut_host,
     get_first_host,
@@ -55,7 +55,7 @@
     platform = await start_lasting(hosts=4)
     lose(platform, get_first_host(platform))
     await asyncio.sleep(15)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     return get_longest_gap_s(platform)
 
 
@@ -133,7 +133,7 @@
             for host in lost:
                 platform.crash_host(host.record.id)
             await asyncio.sleep(15)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(len(lost), platform.machines.move_count - moves_before)
             self.assertEqual([], [run for run in list_runs(platform) if run.end == "stopped"])
 
@@ -153,7 +153,7 @@
             for host in lost:
                 cut_host(platform, host)
             await asyncio.sleep(15)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(len(lost), platform.machines.move_count - moves_before)
             self.assertEqual([], [run for run in list_runs(platform) if run.end == "stopped"])
 
--- a/tests/functional/test_lost_start_answers.py
+++ b/tests/functional/test_lost_start_answers.py
@@ -8,7 +8,13 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.standins.job_host_standin import TaskPlan
-from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform, wait_for_status
+from tests.lib.job_platforms import (
+    find_violations,
+    hand_in,
+    make_job,
+    start_platform,
+    wait_for_status,
+)
 from tests.lib.virtual import run_virtual
 
 JOBS = 10
@@ -30,7 +36,7 @@
                 await hand_in(platform, "node0", make_job(number))
             for number in range(JOBS):
                 await wait_for_status(platform, f"{number:016x}", JobStatus.SUCCEEDED, 60)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -44,6 +50,6 @@
                 await asyncio.sleep(0.05)
             for number in range(JOBS):
                 await wait_for_status(platform, f"{number:016x}", JobStatus.SUCCEEDED, 60)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_loud_workspace.py
+++ b/tests/functional/test_loud_workspace.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.settings.policy_settings import PolicySettings, WorkspacePolicies
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import HOST_CAPACITY, find_breaks, get_owner, wait_until
+from tests.lib.job_platforms import HOST_CAPACITY, find_violations, get_owner, wait_until
 from tests.lib.limited import POOLS, Feeder, configure, make_workspace, plan_task
 from tests.lib.virtual import run_virtual
 
@@ -47,7 +47,7 @@
         feeder.feed(QUIET, POOLS[0], 0.9 * SHARE_PER_S, FOR_S),
     )
     await asyncio.sleep(5)
-    assert find_breaks(platform) == []
+    assert find_violations(platform) == []
     return feeder.list_done_s(began_at_s + FULL_AFTER_S)
 
 
--- a/tests/functional/test_new_steward.py
+++ b/tests/functional/test_new_steward.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from tests.functional.test_lasting_again import ALONE, WATCH_S
-from tests.lib.job_platforms import find_breaks, wait_until
+from tests.lib.job_platforms import find_violations, wait_until
 from tests.lib.lasting import get_first_host, kill_owner, start_lasting
 from tests.lib.virtual import run_virtual
 
@@ -27,7 +27,7 @@
     if kill_owner(platform) not in stewards:
         platform.kill_node(stewards[0])
     await asyncio.sleep(WATCH_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     return platform.machines.move_count - moved
 
 
--- a/tests/functional/test_owner_changes.py
+++ b/tests/functional/test_owner_changes.py
@@ -10,7 +10,7 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
     cancel,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     get_status,
@@ -39,7 +39,7 @@
             took_s = await wait_until(lambda: get_owner(platform) is not None)
             self.assertTrue(took_s < 2.5, took_s)
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(30, sum(run.end == "done" for run in platform.hosts.ledger.runs))
 
         run_virtual(work())
@@ -58,7 +58,7 @@
             platform.heal_node(old)
             await wait_until_done(platform, specs)
             await asyncio.sleep(3)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         others: list[str] = []
 
@@ -85,7 +85,7 @@
             took_s = await wait_until(lambda: get_owner(platform) not in (None, owner))
             self.assertTrue(took_s < 0.5, took_s)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(6, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
@@ -102,7 +102,7 @@
             for name in ("node0", "node1", "node2"):
                 platform.start_node(name)
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -120,6 +120,6 @@
             await asyncio.sleep(6)
             self.assertTrue(all(run.ended_at_s for run in platform.hosts.ledger.runs))
             self.assertEqual(JobStatus.CANCELLED, await get_status(platform, other, spec.job_id))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_owner_killed_while_opening.py
+++ b/tests/functional/test_owner_killed_while_opening.py
@@ -18,7 +18,7 @@
     lose_reads,
     unlist,
 )
-from tests.lib.job_platforms import POOL, find_breaks, hand_in, make_job, wait_until
+from tests.lib.job_platforms import POOL, find_violations, hand_in, make_job, wait_until
 from tests.lib.lasting import LASTING_JOB, get_first_host, start_lasting
 from tests.lib.virtual import run_virtual
 
@@ -74,6 +74,6 @@
             await asyncio.sleep(1.0)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_recorded_while_opening.py
+++ b/tests/functional/test_recorded_while_opening.py
@@ -21,7 +21,7 @@
 from robinthread._internal.standins.store_standin import CALL_TIMEOUT_S, StoreClient
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -124,7 +124,7 @@
             # From here on its reads go out on a new connection.
             del get_client(platform, new).read
             await asyncio.sleep(10)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(1, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_relief.py
@@ -15,7 +15,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -120,7 +120,7 @@
             took_s = await wait_until(lambda: get_owner(platform) not in (late, None), 5)
             self.assertLess(took_s, 2.0)
             await wait_for_status(platform, f"{1:016x}", JobStatus.SUCCEEDED, 5)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             await asyncio.sleep(10)
             self.assertEqual(0, count_owned(platform)[late])
             task.cancel()
@@ -164,6 +164,6 @@
             await asyncio.sleep(HELD_S)
             self.assertEqual("first", get_owner(platform))
             await wait_until(lambda: max(count_owned(platform).values()) == 1)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_returning_hosts.py
+++ b/tests/functional/test_returning_hosts.py
@@ -14,7 +14,7 @@
 from tests.lib.job_platforms import (
     POOLS,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -50,7 +50,7 @@
             _crash(platform, 0.2)
             await asyncio.sleep(1.0)
             await _serve(platform, 12)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(8, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
@@ -74,7 +74,7 @@
             await asyncio.sleep(1.0)
             await _serve(platform, 11)
             self.assertEqual([], await find_unused(platform))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -87,7 +87,7 @@
                 _crash(platform, 0.01)
                 await asyncio.sleep(0.02)
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -99,7 +99,7 @@
             _crash(platform, 1.5)
             platform.kill_node(get_owner(platform) or "")
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual({"crashed", "done"}, {run.end for run in platform.hosts.ledger.runs})
 
         run_virtual(work())
@@ -118,7 +118,7 @@
             _crash(platform, 0.2)
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
             self.assertLess(asked, platform.advice.call_count)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_room_on_a_host.py
+++ b/tests/functional/test_room_on_a_host.py
@@ -12,7 +12,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -115,7 +115,7 @@
             self.assertEqual(3, count_machines(platform))
             # None of the lasting tasks was moved for it.
             self.assertEqual(3, count_starts(platform, spread))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_rooms_that_change.py
+++ b/tests/functional/test_rooms_that_change.py
@@ -20,7 +20,7 @@
 from tests.lib.job_platforms import (
     HOST_CAPACITY,
     POOLS,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     start_platform,
@@ -60,7 +60,7 @@
                 await hand_in(platform, "node0", spec)
             platform.resize_host(get_host(platform).record.id, SMALL_CAPACITY)
             await wait_until_done(platform, specs, 60)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -74,7 +74,7 @@
             await asyncio.sleep(0.5)
             platform.resize_host(get_host(platform).record.id, HOST_CAPACITY)
             self.assertLess(await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED), 2.0)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -93,7 +93,7 @@
         await asyncio.sleep(KNOWN_S)
         platform.hosts.faults.lost_share = 0.0
         await asyncio.sleep(2)
-        self.assertEqual([], find_breaks(platform))
+        self.assertEqual([], find_violations(platform))
 
     def test_room_that_may_have_shrunk_unseen_is_not_used(self) -> None:
         """The entries of hosts can't be read, while the store serves all else."""
@@ -108,7 +108,7 @@
             await asyncio.sleep(3)
             platform.store.unreadable_topics.clear()
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -133,7 +133,7 @@
                 platform.resize_host(host.record.id, SMALL_CAPACITY)
             await restart_owner(platform)
             await wait_until_done(platform, specs, 60)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -159,6 +159,6 @@
             platform.hosts.faults.lost_share = 0.0
             await wait_until_done(platform, specs, 60)
             changing.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_silences_noticed.py
+++ b/tests/functional/test_silences_noticed.py
@@ -13,7 +13,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     get_status,
@@ -67,7 +67,7 @@
     )
     took_s = asyncio.get_running_loop().time() - now_s
     await asyncio.sleep(8)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     assert all(run.ended_at_s is None for run in platform.hosts.ledger.runs)
     return took_s
 
--- a/tests/functional/test_slow_appends.py
+++ b/tests/functional/test_slow_appends.py
@@ -14,7 +14,7 @@
     POOL,
     POOLS,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     get_status,
     make_job,
@@ -87,7 +87,7 @@
     platform.store.append_turn_s = 0.0
     platform.store.faults.latency_s = 0.004
     await asyncio.sleep(20)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     for number, (is_taken, _took_s) in enumerate(found):
         if is_taken and number % 10 == 0:
             status = await get_status(platform, "node3", make_job(number).job_id)
--- a/tests/functional/test_starts_under_way.py
+++ b/tests/functional/test_starts_under_way.py
@@ -11,7 +11,7 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.job_hosts_standin import ORDER_TIMEOUT_S
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform, wait_until
+from tests.lib.job_platforms import find_violations, hand_in, make_job, start_platform, wait_until
 from tests.lib.virtual import run_virtual
 
 # They end one after the other, each 0.05 s: each end has the host report what runs.
@@ -47,6 +47,6 @@
             await asyncio.sleep(ALONE_S + 1)
             self.assertEqual("done", platform.hosts.ledger.runs[-1].end)
             self.assertEqual(1, count_runs(platform))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_steward_lost_in_wave.py
+++ b/tests/functional/test_steward_lost_in_wave.py
@@ -14,7 +14,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -59,7 +59,7 @@
     if lost_after_s is not None:
         platform.kill_node(_get_steward(platform))
     await asyncio.sleep(WATCH_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     lines = [json.loads(line) for line in platform.events[before:]]
     emptied = [
         line
--- a/tests/functional/test_stop_under_way.py
+++ b/tests/functional/test_stop_under_way.py
@@ -13,7 +13,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -78,7 +78,7 @@
             taken_back = [event for event in platform.events if b'"run_not_there"' in event]
             self.assertEqual([], [event for event in taken_back if b'"stopping"' in event])
             self.assertEqual(2, len(list_runs(platform)))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -95,7 +95,7 @@
             self.assertIsNone(run.ended_at_s)
             await asyncio.sleep(3)
             self.assertEqual("stopped", run.end)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -122,7 +122,7 @@
             platform.hosts.faults.lost_share = 0.0
             await asyncio.sleep(3)
             self.assertEqual("stopped", other.end)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(4, len(list_runs(platform)))
 
         run_virtual(work())
--- a/tests/functional/test_stops_on_platform.py
+++ b/tests/functional/test_stops_on_platform.py
@@ -12,7 +12,7 @@
 from robinthread._internal.standins.node_settings_standin import BOUNDS
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -60,7 +60,7 @@
                 getattr(faults, name).clear()
             faults.lost_share = 0.0
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED, 40)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         for name, seeds in (("silent", (1,)), ("refused", (1,)), ("lost", SEEDS)):
             for seed in seeds:
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -33,7 +33,7 @@
             await asyncio.sleep(5)
             platform.store.faults.silent.clear()
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -50,7 +50,7 @@
             for number in (1, 2):
                 job_id = make_job(number).job_id
                 await wait_for_status(platform, job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_takeover_under_load.py
+++ b/tests/functional/test_takeover_under_load.py
@@ -10,7 +10,7 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -67,7 +67,7 @@
             await asyncio.sleep(SETTLE_S)
             self.assertLess(await kill_owner_while_slow(platform), OPEN_MAX_S)
             beating.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -78,6 +78,6 @@
             await asyncio.sleep(SETTLE_S)
             self.assertLess(await kill_owner_while_slow(platform), OPEN_MAX_S)
             coming.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_turned_away_nodes.py
+++ b/tests/functional/test_turned_away_nodes.py
@@ -12,7 +12,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -57,7 +57,7 @@
             spec = make_job(1)
             await hand_in(platform, get_others(platform)[0], spec)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -82,7 +82,7 @@
             took_s = await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             self.assertLess(took_s, 6.7)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -26,7 +26,7 @@
                         is_repeatable=is_repeatable,
                     )
                     self.assertEqual(ResultCode.RAN, answer.code)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
--- a/tests/functional/test_workspace_limits.py
+++ b/tests/functional/test_workspace_limits.py
@@ -7,7 +7,7 @@
 
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.resources import Resources
-from tests.lib.job_platforms import find_breaks, get_owner, wait_for_status, wait_until
+from tests.lib.job_platforms import find_violations, get_owner, wait_for_status, wait_until
 from tests.lib.limited import (
     LIMIT,
     MAPS,
@@ -41,7 +41,7 @@
             sampling = asyncio.create_task(keep_sampling(platform, MAPS, LIMIT, samples))
             await asyncio.gather(*(feeder.feed(MAPS, pool, FLOOD_PER_S, 6) for pool in POOLS))
             sampling.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             steady = [sample.part for sample in samples[20:]]
             self.assertGreater(sum(steady) / len(steady), 0.7)
 
@@ -60,7 +60,7 @@
                 reached[pool] = max(sample.by_pool[pool] for sample in samples)
                 first = min(one.at_s for one in samples if one.by_pool[pool] > 0)
                 self.assertLess(first - began_at_s, 1.0)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertGreater(min(reached.values()), 0.7)
 
         run_virtual(work())
@@ -97,7 +97,7 @@
             configure(platform, 3, LIMIT)
             await wait_until(lambda: sample_use(platform, MAPS, LIMIT).part > 0.8, WAIT_MAX_S)
             await asyncio.gather(*flood)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -117,7 +117,7 @@
             await feeder.hand_in(MAPS, pool)
             await wait_until(lambda: bool(platform.hosts.ledger.runs), WAIT_MAX_S)
             self.assertLess(platform.hosts.ledger.runs[0].began_at_s - opened_at_s, WAIT_MAX_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -148,7 +148,7 @@
             for spec in specs:
                 assert spec is not None
                 await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED, 30)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -165,7 +165,7 @@
             sampling = asyncio.create_task(keep_sampling(platform, MAPS, LIMIT, samples))
             await asyncio.gather(*flood)
             sampling.cancel()
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertGreater(samples[-1].part, 0.5)
 
         run_virtual(work())
--- a/tests/lib/back_figures.py
+++ b/tests/lib/back_figures.py
@@ -11,7 +11,7 @@
 from tests.lib.back_callers import IN_TIME_S
 from tests.lib.back_site import QUICK, Site
 from tests.lib.drawn_days import find_lost
-from tests.lib.job_platforms import find_breaks
+from tests.lib.job_platforms import find_violations
 
 # Requests sent later than this after the machines are back are to be served.
 RECOVERY_S = 12.0
@@ -76,7 +76,7 @@
         in_time=sum(job.spec.job_id in in_time for job in late),
         sent=len(late),
         lost=tuple(find_lost(site.list_lasting(), site.troubled, now_s)),
-        breaks=tuple(find_breaks(site.platform)),
+        breaks=tuple(find_violations(site.platform)),
         undone=undone,
     )
 
--- a/tests/lib/drawn_crashes.py
+++ b/tests/lib/drawn_crashes.py
@@ -20,7 +20,7 @@
     wait_until_ended,
 )
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform
+from tests.lib.job_platforms import find_violations, hand_in, make_job, start_platform
 from tests.lib.lasting import LASTING_JOB, LASTING_NUMBER, get_longest_gap_s
 from tests.lib.virtual import run_virtual
 
@@ -177,7 +177,7 @@
 def _find_breaks(platform: PlatformStandin, day: CrashDay) -> list[str]:
     """Return what the hosts saw and must never see; tasks that may have copies run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
-    return [each for each in find_breaks(platform) if not any(job in each for job in copied)]
+    return [each for each in find_violations(platform) if not any(job in each for job in copied)]
 
 
 def _is_gang(day: CrashDay, task: TaskKey) -> bool:
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -16,7 +16,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin, StartTimeSource
 from robinthread._internal.standins.run_ledger import LedgerRun
 from tests.lib.day_troubles import HOST_KINDS, HOSTS_MIN, Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import find_breaks, get_owner, get_status, hand_in, make_job
+from tests.lib.job_platforms import find_violations, get_owner, get_status, hand_in, make_job
 from tests.lib.lasting import (
     LASTING_JOB,
     LASTING_NUMBER,
@@ -165,7 +165,7 @@
     return DayFindings(
         day.seed,
         tuple(find_lost(list_runs(platform), list(itertools.chain(*spans)), loop.time())),
-        tuple(find_breaks(platform)),
+        tuple(find_violations(platform)),
         tuple(sorted(undone)),
         tuple(unserved),
         get_longest_gap_s(platform),
--- a/tests/lib/drawn_limits.py
+++ b/tests/lib/drawn_limits.py
@@ -11,7 +11,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import find_breaks, get_owner
+from tests.lib.job_platforms import find_violations, get_owner
 from tests.lib.limited import (
     LIMIT,
     MAPS,
@@ -140,7 +140,7 @@
     watching.cancel()
     return LimitFindings(
         day.seed,
-        tuple(find_breaks(platform)),
+        tuple(find_violations(platform)),
         tuple(
             f"{job} waited {wait_s:.1f} s" for job, wait_s in waits.items() if wait_s > WAIT_MAX_S
         ),
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -18,7 +18,7 @@
 from tests.lib.crashing import feed, wait_until_ended
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
 from tests.lib.drawn_days import Span
-from tests.lib.job_platforms import HOST_CAPACITY, POOLS, find_breaks, make_job, start_platform
+from tests.lib.job_platforms import HOST_CAPACITY, POOLS, find_violations, make_job, start_platform
 from tests.lib.virtual import run_virtual
 
 JOBS = 70
@@ -184,10 +184,10 @@
 def _find_breaks(platform: PlatformStandin, day: RoomDay) -> list[str]:
     """Return what the hosts saw and must never see; tasks that may have copies run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
-    over = platform.hosts.ledger.overfull
+    over = platform.hosts.ledger.over_capacity
     return [
         each
-        for each in find_breaks(platform)
+        for each in find_violations(platform)
         if each in over or not any(job in each for job in copied)
     ]
 
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -17,7 +17,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     plan_second,
@@ -152,10 +152,10 @@
     feeding.cancel()
     return WaveFindings(
         day.seed,
-        tuple(platform.machines.waves.breaks),
+        tuple(platform.machines.waves.violations),
         tuple(_find_shown_early(platform, day)),
         tuple(undone),
-        tuple(find_breaks(platform)),
+        tuple(find_violations(platform)),
     )
 
 
--- a/tests/lib/job_platforms.py
+++ b/tests/lib/job_platforms.py
@@ -142,6 +142,6 @@
     return loop.time() - began_at_s
 
 
-def find_breaks(platform: PlatformStandin) -> list[str]:
+def find_violations(platform: PlatformStandin) -> list[str]:
     """Return what the hosts saw and must never see."""
-    return platform.hosts.ledger.find_breaks(CANCEL_S)
+    return platform.hosts.ledger.find_violations(CANCEL_S)
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -14,7 +14,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin, StartTimeSource
 from tests.lib.crashing import feed, wait_until_ended
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform
+from tests.lib.job_platforms import find_violations, hand_in, make_job, start_platform
 from tests.lib.lasting import LASTING_JOB, LASTING_NUMBER
 from tests.lib.virtual import run_virtual
 
@@ -209,7 +209,7 @@
 def _find_breaks(platform: PlatformStandin, day: ReturnDay) -> list[str]:
     """Return what the hosts saw and must never see; tasks that may have copies run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
-    return [each for each in find_breaks(platform) if not any(job in each for job in copied)]
+    return [each for each in find_violations(platform) if not any(job in each for job in copied)]
 
 
 def _is_undone(status: JobStatus | None) -> bool:
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -182,7 +182,7 @@
         # A host that did not run could not end what it was to end.
         if run.end == "lapsed" and run.ended_at_s is not None:
             run.ended_at_s -= min(lag_s, run.ended_at_s - run.began_at_s)
-    return [*ledger.find_breaks(CANCEL_S), *world.machines.waves.breaks]
+    return [*ledger.find_violations(CANCEL_S), *world.machines.waves.violations]
 
 
 async def _wait_for_lasting(world: SoakWorld) -> list[str]:
--- a/tests/unit/test_noted_ends.py
+++ b/tests/unit/test_noted_ends.py
@@ -34,7 +34,7 @@
             host.look(1, 1, 3 * LEASE_MS)
             host.start(StartOrder(TASK, 2, "", 3 * LEASE_MS, 1))
             await asyncio.sleep(WORK_S)
-            return len(ledger.find_breaks(0))
+            return len(ledger.find_violations(0))
 
         return run_virtual(work())
 
