--- a/src/robinthread/_internal/standins/gang_board.py
+++ b/src/robinthread/_internal/standins/gang_registry.py
@@ -23,7 +23,7 @@
     end: Callable[[RunEnd], None]
 
 
-class GangBoard:
+class GangRegistry:
     """The members of each gang that are present, by the run they share."""
 
     def __init__(self) -> None:
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -17,7 +17,7 @@
 from robinthread._internal.models.start_order import StartOrder
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.standins.gang_board import GangBoard, GangMember
+from robinthread._internal.standins.gang_registry import GangMember, GangRegistry
 from robinthread._internal.standins.run_ledger import STRAYS_FOR_S, LedgerRun, RunLedger
 from robinthread._internal.utils.waiting import wait_for_event
 
@@ -26,7 +26,7 @@
 LEASE_MAX_MS: Final = 10_000
 # A room that has shrunk is to be known so long after: what an entry host may take to hear of
 # anything, and a heartbeat.
-ROOM_KNOWN_AFTER_S: Final = 4.5
+CAPACITY_KNOWN_AFTER_S: Final = 4.5
 
 
 @dataclass(frozen=True)
@@ -63,8 +63,8 @@
         record: UpstreamHost,
         ledger: RunLedger,
         plan_task: Callable[[TaskKey], TaskPlan],
-        gangs: GangBoard,
-        takes_ticket: Callable[[StartOrder], bool] = lambda order: True,
+        gangs: GangRegistry,
+        accepts_ticket: Callable[[StartOrder], bool] = lambda order: True,
         checks_room: Callable[[], bool] = lambda: True,
         take_down: Callable[[str], None] = lambda host_id: None,
         host_started_at_ms: int | None = None,
@@ -73,7 +73,7 @@
         self._host_started_at_ms = host_started_at_ms
         self._take_down = take_down
         self._gangs = gangs
-        self._takes_ticket = takes_ticket
+        self._takes_ticket = accepts_ticket
         self._checks_room = checks_room
         self._earlier_rooms: list[tuple[float, Resources]] = []
         self.is_up = True
@@ -143,7 +143,7 @@
         """Accept an order on pace, which changes nothing here."""
         self._check_token(token)
 
-    def look(
+    def poll(
         self, token: int, acknowledged: int, lease_until_ms: int | None, listed_above: int = 0
     ) -> HostReport:
         """Acknowledge ends, extend the lease and report; only ends ``listed_above`` a number."""
@@ -152,7 +152,7 @@
             self._heard_at_s = asyncio.get_running_loop().time()
         for end in self._ended:
             if end.number <= acknowledged:
-                self._ledger_ends[end.number].is_noted = end.number > self._lapsed_ends
+                self._ledger_ends[end.number].is_acknowledged = end.number > self._lapsed_ends
         self._ended = [end for end in self._ended if end.number > acknowledged]
         if lease_until_ms is not None:
             self._extend(lease_until_ms)
@@ -180,7 +180,7 @@
 
     def _list_known_rooms(self) -> list[Resources]:
         """Return the rooms that whoever orders here may believe in: the last ones, and now's."""
-        since_s = asyncio.get_running_loop().time() - ROOM_KNOWN_AFTER_S
+        since_s = asyncio.get_running_loop().time() - CAPACITY_KNOWN_AFTER_S
         return [
             self.record.capacity,
             *(room for at_s, room in self._earlier_rooms if at_s > since_s),
@@ -230,7 +230,7 @@
             self._work(present)
 
     def _crash_under(self, present: _Present) -> None:
-        present.ledger_run.is_cause = True
+        present.ledger_run.crashed_its_host = True
         self._take_down(self.record.id)
 
     def _work(self, present: _Present) -> None:
--- a/src/robinthread/_internal/standins/job_hosts_standin.py
+++ b/src/robinthread/_internal/standins/job_hosts_standin.py
@@ -20,7 +20,7 @@
     CallRefusedError,
     CallUnansweredError,
 )
-from robinthread._internal.standins.gang_board import GangBoard
+from robinthread._internal.standins.gang_registry import GangRegistry
 from robinthread._internal.standins.job_host_standin import JobHostStandin
 from robinthread._internal.standins.run_ledger import RunLedger
 
@@ -31,7 +31,7 @@
 
 
 class JobHostsStandin:
-    """All hosts by address, with faults of the ways to them; ``looks`` counts looks by host.
+    """All hosts by address, with faults of the ways to them; ``poll_counts`` counts looks by host.
 
     ``late_callers`` are so late themselves that no answer reaches them in time.
     """
@@ -39,12 +39,12 @@
     def __init__(self, seed: int = 1) -> None:
         self.faults = CallFaults(seed, LATENCY_S)
         self.ledger = RunLedger()
-        self.gangs = GangBoard()
+        self.gangs = GangRegistry()
         self.hosts: dict[str, JobHostStandin] = {}
-        self.cut_ways: set[tuple[str, str]] = set()
-        self.refused_ways: set[tuple[str, str]] = set()
+        self.cut_routes: set[tuple[str, str]] = set()
+        self.refused_routes: set[tuple[str, str]] = set()
         self.late_callers: set[str] = set()
-        self.looks: Counter[str] = Counter()
+        self.poll_counts: Counter[str] = Counter()
 
     def connect(self, caller: str) -> "JobHostsClient":
         """Return the hosts as one caller reaches them."""
@@ -71,11 +71,11 @@
         wait_s: float,
     ) -> HostReport:
         """Ask what runs, waiting for an end."""
-        self._standin.looks[host.id] += 1
+        self._standin.poll_counts[host.id] += 1
         connections = self._standin.faults.connections
         began_silences = connections.silences
         report = await self._call(
-            host, lambda life: life.look(token, acknowledged, lease_until_ms), is_order=False
+            host, lambda life: life.poll(token, acknowledged, lease_until_ms), is_order=False
         )
         if wait_s <= 0 or report.ended:
             return report
@@ -85,7 +85,7 @@
             connections.note_lost(self._caller, host.address)
             raise HostNoAnswerError("silent")
         # What is acknowledged was so when the call came; an end of a later life is not listed.
-        return await self._call(host, lambda life: life.look(token, 0, None, acknowledged), False)
+        return await self._call(host, lambda life: life.poll(token, 0, None, acknowledged), False)
 
     async def start(self, host: UpstreamHost, order: StartOrder) -> int:
         """Start a run."""
@@ -105,9 +105,9 @@
     async def _call(
         self, host: UpstreamHost, work: Callable[[JobHostStandin], T], is_order: bool = True
     ) -> T:
-        if (self._caller, host.address) in self._standin.refused_ways:
+        if (self._caller, host.address) in self._standin.refused_routes:
             raise HostRefusedError("cut off by refusals")
-        if (self._caller, host.address) in self._standin.cut_ways:
+        if (self._caller, host.address) in self._standin.cut_routes:
             await asyncio.sleep(ORDER_TIMEOUT_S)
             raise HostNoAnswerError("cut")
         if self._caller in self._standin.late_callers:
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -6,7 +6,7 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
 # Whoever orders may go by limits that were replaced so long ago.
-KNOWN_WITHIN_S: Final = 2.0
+LIMITS_KNOWN_AFTER_S: Final = 2.0
 
 
 class RunningTask(Protocol):
@@ -58,5 +58,5 @@
         return [
             limits.get(workspace, NO_RESOURCES)
             for (_at_s, limits), until_s in zip(self._limits, replaced_at_s, strict=True)
-            if until_s > now_s - KNOWN_WITHIN_S
+            if until_s > now_s - LIMITS_KNOWN_AFTER_S
         ]
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -185,7 +185,7 @@
         hosts = platform.hosts
         platform.advice.begin_life(host_id)
 
-        def takes_ticket(order: StartOrder) -> bool:
+        def accepts_ticket(order: StartOrder) -> bool:
             if not platform.asks_for_tickets:
                 return True
             return platform.advice.accepts(order.task.step_key, record.id, order.ticket)
@@ -195,7 +195,7 @@
             hosts.ledger,
             platform.plan_task,
             hosts.gangs,
-            takes_ticket,
+            accepts_ticket,
             lambda: platform.hosts_check_room,
             platform.crash_for_a_while,
             host_started_at_ms if StartTimeSource.REPORT in platform.start_time_sources else None,
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -23,8 +23,8 @@
 class LedgerRun:
     """A run as the hosts saw it; times are of the event loop's clock.
 
-    ``is_noted`` tells that note was taken of its end, and before its host's lease lapsed,
-    ``is_cause`` that it took its host down.  One that ``is_stray`` began on an order that
+    ``is_acknowledged`` tells that note was taken of its end, and before its host's lease lapsed,
+    ``crashed_its_host`` that it took its host down.  One that ``is_stray`` began on an order that
     was meant for the life before, until ``STRAYS_FOR_S`` after its host was first heard: no order
     of ours can prevent that, only end it.
     """
@@ -35,8 +35,8 @@
     began_at_s: float
     ended_at_s: float | None = None
     end: str = ""
-    is_noted: bool = False
-    is_cause: bool = False
+    is_acknowledged: bool = False
+    crashed_its_host: bool = False
     is_stray: bool = False
     resources: Resources = NO_RESOURCES
 
@@ -105,7 +105,7 @@
         and (
             run.ended_at_s is None
             or run.ended_at_s > stray.began_at_s + STRAY_MAX_S
-            or (run.end == "done" and run.is_noted)
+            or (run.end == "done" and run.is_acknowledged)
         )
         and run.began_at_s < (stray.ended_at_s or math.inf)
         for run in runs
@@ -119,6 +119,6 @@
             f"{earlier.task} runs {earlier.number} on {earlier.host_id} and {later.number} on "
             f"{later.host_id} overlap at {later.began_at_s:.3f} s"
         ]
-    if earlier.end == "done" and earlier.is_noted:
+    if earlier.end == "done" and earlier.is_acknowledged:
         return [f"{later.task} run {later.number} began after run {earlier.number} was done"]
     return []
--- a/tests/functional/test_crashing_tasks.py
+++ b/tests/functional/test_crashing_tasks.py
@@ -158,7 +158,7 @@
             await feed(platform, specs)
             await wait_until_ended(platform, specs, ENDED_WITHIN_S)
             (line,) = find_lines(platform, "task_given_up")
-            causes = {run.host_id for run in platform.hosts.ledger.runs if run.is_cause}
+            causes = {run.host_id for run in platform.hosts.ledger.runs if run.crashed_its_host}
             self.assertEqual(causes, set(line["hosts"]))
             self.assertEqual(
                 (specs[0].job_id, "0.0.0", 3), (line["job"], line["task"], line["run"])
--- a/tests/functional/test_done_while_unheard.py
+++ b/tests/functional/test_done_while_unheard.py
@@ -40,7 +40,7 @@
             await asyncio.sleep(0.5)
             cut_host(platform, get_first_host(platform))
             await asyncio.sleep(LAPSED_S)
-            platform.hosts.cut_ways.clear()
+            platform.hosts.cut_routes.clear()
             await wait_for_status(platform, JOB.job_id, JobStatus.SUCCEEDED, 5.0)
             self.assertEqual([], find_violations(platform))
             self.assertEqual(TASKS, len(platform.hosts.ledger.runs))
--- a/tests/functional/test_ended_hosts.py
+++ b/tests/functional/test_ended_hosts.py
@@ -79,7 +79,7 @@
             platform = await start_lasting()
             host = get_first_host(platform)
             ways = {(name, host.record.address) for name in platform.nodes}
-            platform.hosts.refused_ways |= ways
+            platform.hosts.refused_routes |= ways
             platform.unlist_host(host.record.id)
             await asyncio.sleep(AGAIN_MAX_S)
             self.assertEqual([], find_violations(platform))
--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -34,7 +34,7 @@
             host = next(
                 host for host in platform.hosts.hosts.values() if host.record.id == run.host_id
             )
-            platform.hosts.cut_ways |= {(name, host.record.address) for name in platform.nodes}
+            platform.hosts.cut_routes |= {(name, host.record.address) for name in platform.nodes}
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
             self.assertEqual([], find_violations(platform))
             self.assertEqual("lapsed", run.end)
--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -41,9 +41,9 @@
     host = get_first_host(platform)
     old = next(name for name in platform.nodes if owns(platform, name))
     others = [name for name in NAMES if name != old]
-    platform.hosts.cut_ways |= {(name, host.record.address) for name in others}
+    platform.hosts.cut_routes |= {(name, host.record.address) for name in others}
     away = platform.hosts.hosts.keys() - {host.record.address}
-    platform.hosts.cut_ways |= {(old, address) for address in away}
+    platform.hosts.cut_routes |= {(old, address) for address in away}
     platform.store.faults.silent.add(old)
     platform.cut_nodes.add(old)
     return old
--- a/tests/functional/test_lasting_again.py
+++ b/tests/functional/test_lasting_again.py
@@ -148,10 +148,10 @@
             host = get_first_host(platform)
             old = next(name for name in platform.nodes if _owns(platform, name))
             others = [name for name in platform.nodes if name != old]
-            platform.hosts.cut_ways |= {(name, host.record.address) for name in others}
+            platform.hosts.cut_routes |= {(name, host.record.address) for name in others}
             # Any other host would tell it of the next owner.
             away = platform.hosts.hosts.keys() - {host.record.address}
-            platform.hosts.cut_ways |= {(old, address) for address in away}
+            platform.hosts.cut_routes |= {(old, address) for address in away}
             platform.store.faults.silent.add(old)
             platform.cut_nodes.add(old)
             await wait_until(lambda: any(_owns(platform, name) for name in others))
--- a/tests/functional/test_lost_hosts.py
+++ b/tests/functional/test_lost_hosts.py
@@ -43,11 +43,11 @@
 async def count_looks(platform: PlatformStandin, host_id: str) -> int:
     """Count the looks at a host that refuses connections from now on, while it is listed."""
     host = next(host for host in platform.hosts.hosts.values() if host.record.id == host_id)
-    platform.hosts.refused_ways |= {(name, host.record.address) for name in platform.nodes}
+    platform.hosts.refused_routes |= {(name, host.record.address) for name in platform.nodes}
     await asyncio.sleep(0.1)
-    platform.hosts.looks.clear()
+    platform.hosts.poll_counts.clear()
     await asyncio.sleep(LISTED_FOR_S)
-    return platform.hosts.looks[host_id]
+    return platform.hosts.poll_counts[host_id]
 
 
 async def lose_task(lose: Callable[[PlatformStandin, JobHostStandin], None]) -> float:
@@ -97,12 +97,12 @@
             owner = get_owner(platform)
             assert owner is not None
             way = (owner, host.record.address)
-            platform.hosts.cut_ways.add(way)
+            platform.hosts.cut_routes.add(way)
             await asyncio.sleep(5)
-            platform.hosts.cut_ways.discard(way)
-            platform.hosts.looks.clear()
+            platform.hosts.cut_routes.discard(way)
+            platform.hosts.poll_counts.clear()
             await asyncio.sleep(BACK_MAX_S)
-            self.assertGreater(platform.hosts.looks[host.record.id], 0)
+            self.assertGreater(platform.hosts.poll_counts[host.record.id], 0)
             self.assertEqual(0, len(list_runs(platform)))
 
         run_virtual(work())
--- a/tests/functional/test_owner_killed_while_opening.py
+++ b/tests/functional/test_owner_killed_while_opening.py
@@ -54,9 +54,9 @@
             old = find_owner(platform, NAMES)
             assert old is not None
             names = [name for name in NAMES if name != old]
-            platform.hosts.cut_ways |= {(name, host.record.address) for name in names}
+            platform.hosts.cut_routes |= {(name, host.record.address) for name in names}
             away = platform.hosts.hosts.keys() - {host.record.address}
-            platform.hosts.cut_ways |= {(old, address) for address in away}
+            platform.hosts.cut_routes |= {(old, address) for address in away}
             lose_reads(get_client(platform, old), OWNERS_PARTITION)
             # The read that is under way is the last one that is answered.
             await asyncio.sleep(FOLLOW_WAIT_S + 0.1)
--- a/tests/functional/test_relief.py
+++ b/tests/functional/test_relief.py
@@ -157,10 +157,10 @@
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 4)
             run = platform.hosts.ledger.runs[0]
             host = next(h for h in platform.hosts.hosts.values() if h.record.id == run.host_id)
-            platform.hosts.cut_ways.add(("first", host.record.address))
+            platform.hosts.cut_routes.add(("first", host.record.address))
             for number in range(5):
                 platform.start_node(f"later{number}")
-                platform.hosts.cut_ways.add((f"later{number}", host.record.address))
+                platform.hosts.cut_routes.add((f"later{number}", host.record.address))
             await asyncio.sleep(HELD_S)
             self.assertEqual("first", get_owner(platform))
             await wait_until(lambda: max(count_owned(platform).values()) == 1)
--- a/tests/functional/test_stop_under_way.py
+++ b/tests/functional/test_stop_under_way.py
@@ -110,14 +110,14 @@
             failing, other = list_runs(platform)
             host, away = hosts[failing.host_id], hosts[other.host_id]
             ways = {(name, away.record.address) for name in platform.nodes}
-            platform.hosts.cut_ways |= ways
+            platform.hosts.cut_routes |= ways
             kill_owner(platform)
             host._end((failing.task, failing.number), RunEnd.FAILED)
             await wait_until(lambda: count_stopping(platform) == 1)
             # Orders are carried out later than what settles a run by time alone.
             platform.hosts.faults.lost_share = 1.0
             platform.hosts.faults.late_s = (LATE_S, LATE_S)
-            platform.hosts.cut_ways -= ways
+            platform.hosts.cut_routes -= ways
             await wait_until(lambda: any(run.is_stopping for run in away._present.values()))
             platform.hosts.faults.lost_share = 0.0
             await asyncio.sleep(3)
--- a/tests/lib/back_troubles.py
+++ b/tests/lib/back_troubles.py
@@ -212,12 +212,12 @@
 
 
 def _cut(site: Site, host: JobHostStandin) -> None:
-    site.platform.hosts.cut_ways |= {(name, host.record.address) for name in site.names}
+    site.platform.hosts.cut_routes |= {(name, host.record.address) for name in site.names}
 
 
 def _heal(site: Site, host: JobHostStandin) -> None:
     ways = {(name, host.record.address) for name in site.names}
-    site.platform.hosts.cut_ways.difference_update(ways)
+    site.platform.hosts.cut_routes.difference_update(ways)
 
 
 def draw_troubles(seed: int) -> dict[str, Trouble]:
--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -128,7 +128,7 @@
     return [
         f"{task}: {len(causes)} hosts taken down, {len(after)} starts after the third"
         for task, runs in by_task.items()
-        if len(causes := [run for run in runs if run.is_cause]) >= CRASHES
+        if len(causes := [run for run in runs if run.crashed_its_host]) >= CRASHES
         and len(after := [run for run in runs if run.began_at_s > _get_third_s(causes)])
         > STARTS_AFTER_MAX
     ]
@@ -156,13 +156,13 @@
 
 def count_causes(platform: PlatformStandin) -> int:
     """Return how many hosts tasks have taken down."""
-    return sum(run.is_cause for run in platform.hosts.ledger.runs)
+    return sum(run.crashed_its_host for run in platform.hosts.ledger.runs)
 
 
 def count_lost_beside(platform: PlatformStandin) -> int:
     """Return how many runs of other tasks were lost with hosts that a task took down."""
-    hosts = {run.host_id for run in platform.hosts.ledger.runs if run.is_cause}
+    hosts = {run.host_id for run in platform.hosts.ledger.runs if run.crashed_its_host}
     return sum(
-        run.host_id in hosts and run.end == "crashed" and not run.is_cause
+        run.host_id in hosts and run.end == "crashed" and not run.crashed_its_host
         for run in platform.hosts.ledger.runs
     )
--- a/tests/lib/day_troubles.py
+++ b/tests/lib/day_troubles.py
@@ -180,8 +180,8 @@
 
 def _cut_host(platform: PlatformStandin, host: JobHostStandin) -> Undo:
     ways = {(f"node{number}", host.record.address) for number in range(99)}
-    platform.hosts.cut_ways |= ways
-    return lambda: platform.hosts.cut_ways.difference_update(ways)
+    platform.hosts.cut_routes |= ways
+    return lambda: platform.hosts.cut_routes.difference_update(ways)
 
 
 async def _lose_host(platform: PlatformStandin, trouble: Trouble) -> Undo | None:
--- a/tests/lib/drawn_crashes.py
+++ b/tests/lib/drawn_crashes.py
@@ -158,7 +158,7 @@
         ),
         tuple(_find_breaks(platform, day)),
         tuple(undone),
-        sum(run.is_cause for run in platform.hosts.ledger.runs),
+        sum(run.crashed_its_host for run in platform.hosts.ledger.runs),
         get_longest_gap_s(platform),
     )
 
--- a/tests/lib/lasting.py
+++ b/tests/lib/lasting.py
@@ -71,7 +71,7 @@
 
 def cut_host(platform: PlatformStandin, host: JobHostStandin) -> None:
     """Cut a host off from all nodes, those too that begin later."""
-    platform.hosts.cut_ways |= {(f"node{number}", host.record.address) for number in range(9)}
+    platform.hosts.cut_routes |= {(f"node{number}", host.record.address) for number in range(9)}
 
 
 def kill_owner(platform: PlatformStandin) -> str:
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -218,10 +218,10 @@
     async def _watch(
         self, life: JobHostStandin, token: int, body: dict[str, Any]
     ) -> dict[str, Any]:
-        report = life.look(token, body["observed"], body.get("deadline_ms"))
+        report = life.poll(token, body["observed"], body.get("deadline_ms"))
         if body.get("wait_ms") and not report.ended:
             await life.wait_for_end(body["wait_ms"] / 1000)
-            report = life.look(token, 0, None, body["observed"])
+            report = life.poll(token, 0, None, body["observed"])
         return _encode_report(report)
 
 
--- a/tests/unit/test_noted_ends.py
+++ b/tests/unit/test_noted_ends.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.start_order import StartOrder
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
-from robinthread._internal.standins.gang_board import GangBoard
+from robinthread._internal.standins.gang_registry import GangRegistry
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.run_ledger import RunLedger
 from tests.lib.virtual import run_virtual
@@ -28,10 +28,10 @@
             record = UpstreamHost(
                 "i-1", "m-1", "press", "m-1:80", "", "r0", HOST_CAPACITY, frozenset()
             )
-            host = JobHostStandin(record, ledger, lambda task: TaskPlan(WORK_S), GangBoard())
+            host = JobHostStandin(record, ledger, lambda task: TaskPlan(WORK_S), GangRegistry())
             host.start(StartOrder(TASK, 1, "", LEASE_MS, 1))
             await asyncio.sleep(noted_at_s)
-            host.look(1, 1, 3 * LEASE_MS)
+            host.poll(1, 1, 3 * LEASE_MS)
             host.start(StartOrder(TASK, 2, "", 3 * LEASE_MS, 1))
             await asyncio.sleep(WORK_S)
             return len(ledger.find_violations(0))
