--- a/src/robinthread/_internal/experiments/troubles.py
+++ b/src/robinthread/_internal/experiments/troubles.py
@@ -59,10 +59,10 @@
 
 
 def _crash_hosts(platform: PlatformStandin, trouble: TroubleSpec, drawn: random.Random) -> None:
-    platform.host_back_s = trouble.for_s
+    platform.host_replacement_s = trouble.for_s
     up = [host.record.id for host in platform.hosts.hosts.values() if host.is_up]
     for host_id in _pick(up, trouble, drawn):
-        platform.crash_for_a_while(host_id)
+        platform.crash_and_replace_host(host_id)
 
 
 async def _slow_store(platform: PlatformStandin, trouble: TroubleSpec) -> None:
--- a/src/robinthread/_internal/standins/advice_standin.py
+++ b/src/robinthread/_internal/standins/advice_standin.py
@@ -20,7 +20,7 @@
         self._until_s: dict[tuple[StepKey, str], float] = {}
         self._lives: Counter[str] = Counter()
 
-    def begin_life(self, host_id: str) -> None:
+    def start_incarnation(self, host_id: str) -> None:
         """Have tickets for a host's earlier lives hold no more."""
         self._lives[host_id] += 1
 
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -41,7 +41,7 @@
     holder: str = ""
 
 
-class LifeKeeper(Protocol):
+class HostLifecycle(Protocol):
     """Begins and ends the lives of hosts; ``MachinesStandin`` calls it."""
 
     def begin(self, machine: str, pool: str, rack: str, capacity: Resources) -> str:
@@ -55,15 +55,15 @@
     """Machines by name; ``reserve`` is the pool whose machines are off.
 
     A machine's host comes ``host_late_s`` after its move or upkeep should be over; the list
-    shows the machine as ``shown_early`` until then.
+    shows the machine as ``state_before_host`` until then.
     """
 
-    def __init__(self, reserve: str, lives: LifeKeeper, seed: int = 1) -> None:
+    def __init__(self, reserve: str, lives: HostLifecycle, seed: int = 1) -> None:
         self.faults = CallFaults(seed, LATENCY_S)
         self.machines: dict[str, _MachineRecord] = {}
         self.waves = WaveLedger()
         self.host_late_s = 0.0
-        self.shown_early = MachineState.UP
+        self.state_before_host = MachineState.UP
         self._list_lag_s = 0.0
         self.move_count = 0
         self._lists: deque[tuple[float, tuple[Machine, ...]]] = deque()
@@ -173,7 +173,7 @@
 
     def _show_early(self, record: _MachineRecord) -> None:
         """Show a machine before its host has come."""
-        record.state = self.shown_early
+        record.state = self.state_before_host
         self._note_changed()
         asyncio.get_running_loop().call_later(self.host_late_s, self._come_up, record)
 
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -34,7 +34,7 @@
 from robinthread._internal.standins.call_faults import Charge
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.job_hosts_standin import JobHostsStandin
-from robinthread._internal.standins.machines_standin import LifeKeeper, MachinesStandin
+from robinthread._internal.standins.machines_standin import HostLifecycle, MachinesStandin
 from robinthread._internal.standins.node_settings_standin import make_settings
 from robinthread._internal.standins.open_connections import OpenConnections
 from robinthread._internal.standins.store_standin import StoreStandin
@@ -52,9 +52,9 @@
 # The time of day of hosts at the loop's zero.
 EPOCH_MS: Final = 1_700_000_000_000
 # After a host's last word its entry stays so long: three heartbeats of 1.5 s.
-ENTRY_LAPSES_S: Final = 4.5
+ENTRY_EXPIRES_AFTER_S: Final = 4.5
 # From a crash of a host until its machine has another one.
-HOST_BACK_S: Final = 3.0
+HOST_REPLACEMENT_S: Final = 3.0
 
 T = TypeVar("T")
 
@@ -155,7 +155,7 @@
     REPORT = "report"
 
 
-class _Lives(LifeKeeper):
+class _Lives(HostLifecycle):
     """Lives of hosts: an address, an entry in the store, and an end."""
 
     def __init__(self, platform: "PlatformStandin") -> None:
@@ -183,10 +183,10 @@
             else None,
         )
         hosts = platform.hosts
-        platform.advice.begin_life(host_id)
+        platform.advice.start_incarnation(host_id)
 
         def accepts_ticket(order: StartOrder) -> bool:
-            if not platform.asks_for_tickets:
+            if not platform.requires_tickets:
                 return True
             return platform.advice.accepts(order.task.step_key, record.id, order.ticket)
 
@@ -197,7 +197,7 @@
             hosts.gangs,
             accepts_ticket,
             lambda: platform.hosts_check_room,
-            platform.crash_for_a_while,
+            platform.crash_and_replace_host,
             host_started_at_ms if StartTimeSource.REPORT in platform.start_time_sources else None,
         )
         host.crashes_all_after_s = platform.crashing_machines.get(machine)
@@ -225,8 +225,8 @@
         self.hosts = JobHostsStandin(seed)
         self.machines = MachinesStandin(RESERVE, _Lives(self), seed)
         self.advice = AdviceStandin()
-        self.asks_for_tickets = False
-        self.host_back_s = HOST_BACK_S
+        self.requires_tickets = False
+        self.host_replacement_s = HOST_REPLACEMENT_S
         self.keeps_host_ids = False
         self.start_time_sources: Collection[StartTimeSource] = ()
         self.clock_back_ms = 0
@@ -268,7 +268,7 @@
         """Have the store list a host."""
         self.store.put(HOSTS, record.id, msgspec.msgpack.encode(record))
 
-    async def keep_heartbeats(self, period_s: float) -> None:
+    async def send_heartbeats(self, period_s: float) -> None:
         """Have each listed host renew its entry every ``period_s``, in turn, until cancelled."""
         while True:
             entries = self.store.get_newest(HOSTS)
@@ -291,7 +291,7 @@
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 host.crash()
-        asyncio.get_running_loop().call_later(ENTRY_LAPSES_S, self._lapse_entry, host_id)
+        asyncio.get_running_loop().call_later(ENTRY_EXPIRES_AFTER_S, self._lapse_entry, host_id)
 
     def _lapse_entry(self, host_id: str) -> None:
         """Drop the entry of a host, unless it lives again under its id."""
@@ -306,11 +306,11 @@
                 host.resize(replace(host.record, capacity=capacity))
                 self.list_host(host.record)
 
-    def crash_for_a_while(self, host_id: str) -> None:
-        """End a host's life; its machine has another one ``host_back_s`` later."""
+    def crash_and_replace_host(self, host_id: str) -> None:
+        """End a host's life; its machine has another one ``host_replacement_s`` later."""
         self.crash_host(host_id)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.host_back_s, self.machines.restart, host_id)
+        loop.call_later(self.host_replacement_s, self.machines.restart, host_id)
 
     def start_node(
         self, name: str, capacity_millicores: int = 1000, policy: PolicySettings | None = None
--- a/src/robinthread/_internal/standins/worker_standin.py
+++ b/src/robinthread/_internal/standins/worker_standin.py
@@ -56,7 +56,7 @@
         self.starts_count = 0
         self.connections_in_use = 0
         self.connections_peak = 0
-        self.returns = True
+        self.returns_after_reboot = True
         self._is_crashed = False
         self._slots = slots
         self._ledger = ledger
@@ -163,7 +163,7 @@
             return make_reply(ReplyStatus.RAN, "another-task", b"another answer")
         return reply
 
-    def list_left_s(self) -> tuple[float, ...]:
+    def list_remaining_s(self) -> tuple[float, ...]:
         """Return the true times left of the running tasks, in seconds."""
         return tuple(
             running.run_s - running.done_before_s - _get_elapsed_s(running)
@@ -202,7 +202,7 @@
     async def _come_back(self) -> None:
         await asyncio.sleep(self.reboot_s)
         self.boots_count += 1
-        if self.returns:
+        if self.returns_after_reboot:
             self.mode = WorkerMode.NORMAL
 
     def _check_up(self) -> None:
--- a/tests/functional/test_advice.py
+++ b/tests/functional/test_advice.py
@@ -26,7 +26,7 @@
 async def start_advised_platform() -> PlatformStandin:
     """Start a platform whose hosts take no start without a ticket."""
     platform = await start_platform()
-    platform.asks_for_tickets = True
+    platform.requires_tickets = True
     queue = dataclasses.replace(QUEUE, advice=AdvicePolicy(10, 1, 3000))
     platform.configure(2, (queue,), POOLS)
     await asyncio.sleep(0.5)
--- a/tests/functional/test_crashing_machines.py
+++ b/tests/functional/test_crashing_machines.py
@@ -23,7 +23,7 @@
         async def work() -> int:
             platform = await start_platform(plan_second, hosts=8)
             platform.crashing_machines["m-0"] = CRASH_AFTER_S
-            platform.crash_for_a_while(platform.machines.machines["m-0"].host_id)
+            platform.crash_and_replace_host(platform.machines.machines["m-0"].host_id)
             await asyncio.sleep(5)
             specs = make_jobs(JOBS)
             await feed(platform, specs, JOB_PERIOD_S)
--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -113,7 +113,7 @@
             waves = replace(SETTINGS.waves, return_timeout_s=20.0)
             fleet = await start_fleet(ONE_HALL, settings=replace(SETTINGS, waves=waves))
             daemon = get_daemon(fleet)
-            fleet.workers["kandy-h000:80"].returns = False
+            fleet.workers["kandy-h000:80"].returns_after_reboot = False
             await publish(daemon, WaveCreated("w", "r", WaveKind.REBOOT, ("kandy-h000",)))
             await wait_until(lambda: daemon.state.hosts["kandy-h000"].phase.value == "failed")
             self.assertIs(WaveState.RUNNING, daemon.state.waves["w"].state)
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -31,7 +31,7 @@
                 for n in range(6)
             ]
             await asyncio.sleep(1.0)
-            self.assertTrue(worker.list_left_s())
+            self.assertTrue(worker.list_remaining_s())
             listed = await fleet.host_list.list_hosts()
             fleet.host_list.set_hosts(
                 tuple(replace(host, is_leaving=host.name == leaving) for host in listed)
@@ -41,7 +41,7 @@
             for number in range(40):
                 await serve(daemon, number, is_repeatable=True)
             self.assertEqual(started, worker.starts_count)
-            await wait_until(lambda: not worker.list_left_s(), 30.0)
+            await wait_until(lambda: not worker.list_remaining_s(), 30.0)
             fleet.host_list.set_hosts(tuple(host for host in listed if host.name != leaving))
             await wait_until(lambda: leaving not in daemon.state.hosts, 30.0)
             codes = {answer.code for answer in await asyncio.gather(*long)}
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -71,7 +71,7 @@
             started_at_s = loop.time()
             await serve(daemon, "other", team="modest", run_s=1.0)
             self.assertTrue(loop.time() - started_at_s < 1.5)
-            self.assertEqual(2, sum(len(w.list_left_s()) for w in fleet.workers.values()))
+            self.assertEqual(2, sum(len(w.list_remaining_s()) for w in fleet.workers.values()))
             await asyncio.gather(*greedy)
 
         run_virtual(work())
--- a/tests/functional/test_returning_hosts.py
+++ b/tests/functional/test_returning_hosts.py
@@ -37,9 +37,9 @@
 
 
 def _crash(platform: PlatformStandin, back_s: float) -> None:
-    platform.host_back_s = back_s
+    platform.host_replacement_s = back_s
     for host in list(platform.hosts.hosts.values()):
-        platform.crash_for_a_while(host.record.id)
+        platform.crash_and_replace_host(host.record.id)
 
 
 class ReturningHostsTest(TestCase):
@@ -107,7 +107,7 @@
     def test_ticket_of_the_last_life_is_asked_for_anew(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=2)
-            platform.asks_for_tickets = True
+            platform.requires_tickets = True
             platform.advice.valid_s = 60.0
             queue = replace(QUEUE, advice=AdvicePolicy(10, 1, 60_000))
             platform.configure(2, (queue,), POOLS)
--- a/tests/functional/test_takeover_under_load.py
+++ b/tests/functional/test_takeover_under_load.py
@@ -63,7 +63,7 @@
         async def work() -> None:
             platform = await start_platform(plan_task, nodes=4, hosts=HOSTS)
             await hand_in(platform, "node0", make_job(0, LASTING))
-            beating = asyncio.create_task(platform.keep_heartbeats(HEARTBEAT_S))
+            beating = asyncio.create_task(platform.send_heartbeats(HEARTBEAT_S))
             await asyncio.sleep(SETTLE_S)
             self.assertLess(await kill_owner_while_slow(platform), OPEN_MAX_S)
             beating.cancel()
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -50,7 +50,7 @@
     """Return how many machines were down at once, and how many had their upkeep in time."""
     platform = await _start(at_once_max, keeps_host_ids)
     platform.machines.host_late_s = host_late_s
-    platform.machines.shown_early = shown_early
+    platform.machines.state_before_host = shown_early
     if list_lag_s:
         platform.machines.delay_lists(list_lag_s)
     await asyncio.sleep(DURATION_S)
--- a/tests/lib/back_at_size.py
+++ b/tests/lib/back_at_size.py
@@ -23,7 +23,7 @@
 async def play_at(site: Site, troubles: Sequence[Trouble] = ()) -> BackFigures:
     """Play a loss of power beside troubles, and measure from when the machines are back."""
     loop = asyncio.get_running_loop()
-    beating = asyncio.create_task(site.platform.keep_heartbeats(site.size.heartbeat_s))
+    beating = asyncio.create_task(site.platform.send_heartbeats(site.size.heartbeat_s))
     jobs: list[asyncio.Task[None]] = []
     feeding = asyncio.create_task(feed(site, jobs))
     lost_at_s = loop.time() + site.size.settle_s
--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -80,7 +80,7 @@
         await asyncio.sleep(drawn.expovariate(per_s))
         up = [host for host in platform.hosts.hosts.values() if host.is_up]
         if len(up) > 1:
-            platform.crash_for_a_while(drawn.choice(up).record.id)
+            platform.crash_and_replace_host(drawn.choice(up).record.id)
 
 
 async def _hand_in_somewhere(platform: PlatformStandin, spec: JobSpec) -> None:
--- a/tests/lib/drawn_crashes.py
+++ b/tests/lib/drawn_crashes.py
@@ -132,7 +132,7 @@
         )
 
     platform = await start_platform(plan, hosts=day.hosts, reserve=day.hosts, seed=day.seed)
-    platform.host_back_s = day.host_back_s
+    platform.host_replacement_s = day.host_back_s
     lasting = make_job(LASTING_NUMBER, LASTING)
     await hand_in(platform, "node0", lasting)
     crashing = asyncio.create_task(crash_hosts(platform, day.own_crashes_per_s, day.seed))
--- a/tests/lib/drawn_rooms.py
+++ b/tests/lib/drawn_rooms.py
@@ -218,7 +218,7 @@
 
 async def _keep_heartbeats(platform: PlatformStandin, period_s: float) -> None:
     if period_s:
-        await platform.keep_heartbeats(period_s)
+        await platform.send_heartbeats(period_s)
 
 
 async def _play_trouble(platform: PlatformStandin, trouble: Trouble) -> None:
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -214,7 +214,7 @@
             machines.delay_lists((0.2, 0.5, 1.5)[event.draw % 3])
         case WaveTrouble.HOSTS_LATE:
             machines.host_late_s = (0.3, 1.0, 4.0)[event.draw % 3]
-            machines.shown_early = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
+            machines.state_before_host = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
         case WaveTrouble.WAVE_AGAIN:
             names = sorted(machines.machines)
             platform.ask_for_wave(_draw_wave(random.Random(event.draw), 1, names))
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -192,12 +192,12 @@
         if len(up) < 2:
             continue
         struck = drawn.choice(up)
-        platform.host_back_s = drawn.choice(day.back_s)
+        platform.host_replacement_s = drawn.choice(day.back_s)
         platform.clock_back_ms += day.clock_back_ms
         for host in up:
             is_of_rack = day.racks_at_once and host.record.rack == struck.record.rack
             if host is struck or is_of_rack:
-                platform.crash_for_a_while(host.record.id)
+                platform.crash_and_replace_host(host.record.id)
 
 
 def _draw_troubles(drawn: random.Random) -> Iterator[Trouble]:
--- a/tests/lib/soak/troubles.py
+++ b/tests/lib/soak/troubles.py
@@ -96,7 +96,7 @@
         case SoakKind.HOST_CRASH:
             up = [host for host in world.hosts.hosts.values() if host.is_up]
             if up:
-                world.crash_for_a_while(up[trouble.target % len(up)].record.id)
+                world.crash_and_replace_host(up[trouble.target % len(up)].record.id)
         case _:
             await _trouble_way(_pick_way(world, node, trouble), trouble)
 
