--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -224,7 +224,7 @@
             return
         for record in folded:
             self._note_folded(record)
-        self.measures.note_state(self.state)
+        self.measures.record_state(self.state)
         self._adopt_changes()
         if not self.is_member and not self.is_stopping:
             self._ensure_joined()
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -28,7 +28,7 @@
         self._limits: list[tuple[float, dict[str, Resources]]] = []
         self._open: dict[str, list[RunningTask]] = {}
 
-    def take_limits(self, limits: dict[str, Resources], now_s: float) -> None:
+    def record_limits(self, limits: dict[str, Resources], now_s: float) -> None:
         """Note the limits that are in force from now on."""
         self._limits.append((now_s, limits))
 
@@ -38,7 +38,7 @@
         self._open[workspace] = running
         return sum((run.resources for run in running), start=NO_RESOURCES)
 
-    def note_begun(self, job_id: str, run: RunningTask, now_s: float) -> None:
+    def record_start(self, job_id: str, run: RunningTask, now_s: float) -> None:
         """Note a run that begins, and whether it may."""
         workspace = self.workspaces.get(job_id)
         if workspace is None:
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -79,7 +79,7 @@
         self._come_up(record)
         return name
 
-    def note_crashed(self, host_id: str) -> None:
+    def record_crash(self, host_id: str) -> None:
         """Show the machine of a host that has crashed as down."""
         for record in self.machines.values():
             if record.host_id == host_id:
@@ -112,7 +112,7 @@
         if self.waves.has_begun(machine, wave):
             return
         self._check_up(record)
-        self.waves.note_begun(machine, wave, holder)
+        self.waves.record_start(machine, wave, holder)
         self._go_down(record, MachineState.UPKEEP, UPKEEP_S)
 
     def delay_lists(self, lag_s: float) -> None:
@@ -183,7 +183,7 @@
             record.host_id = self._lives.begin(
                 record.name, record.pool, record.rack, record.capacity
             )
-        self.waves.note_back(record.name)
+        self.waves.record_return(record.name)
         self._note_changed()
 
 
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -254,14 +254,14 @@
         """Publish a configuration."""
         value = msgspec.msgpack.encode(_WireConfig(version, queues, pools, workspaces))
         self.store.put(OPERATORS, CONFIG_KEY, value)
-        self.hosts.ledger.limits.take_limits(
+        self.hosts.ledger.limits.record_limits(
             {workspace.name: workspace.limit for workspace in workspaces},
             asyncio.get_running_loop().time(),
         )
 
-    def ask_for_wave(self, wave: UpkeepWave) -> None:
+    def request_wave(self, wave: UpkeepWave) -> None:
         """Ask for a maintenance wave, whose bound is judged from now on."""
-        self.machines.waves.ask_for(wave)
+        self.machines.waves.record_request(wave)
         self.store.put(OPERATORS, f"{WAVE_PREFIX}{wave.number}", msgspec.msgpack.encode(wave))
 
     def list_host(self, record: UpstreamHost) -> None:
@@ -287,7 +287,7 @@
 
     def crash_host(self, host_id: str) -> None:
         """End a host's life; its entry goes later, as if its heartbeats stopped."""
-        self.machines.note_crashed(host_id)
+        self.machines.record_crash(host_id)
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 host.crash()
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -56,7 +56,7 @@
     def add(self, run: LedgerRun) -> None:
         """Note a run that began."""
         self.runs.append(run)
-        self.limits.note_begun(run.task.job_id, run, run.began_at_s)
+        self.limits.record_start(run.task.job_id, run, run.began_at_s)
 
     def find_violations(self, cancel_s: float) -> list[str]:
         """Return what was seen and must not be, in words."""
--- a/src/robinthread/_internal/standins/wave_ledger.py
+++ b/src/robinthread/_internal/standins/wave_ledger.py
@@ -19,21 +19,21 @@
         self.begun: dict[int, set[str]] = {}
         self.down_peak: dict[int, int] = {}
         self.violations: list[str] = []
-        self.asked: dict[int, UpkeepWave] = {}
+        self.requested: dict[int, UpkeepWave] = {}
         self._down: set[str] = set()
 
-    def ask_for(self, wave: UpkeepWave) -> None:
+    def record_request(self, wave: UpkeepWave) -> None:
         """Take in a wave as the operators ask for it now."""
-        self.asked[wave.number] = wave
+        self.requested[wave.number] = wave
 
     def has_begun(self, machine: str, wave: int) -> bool:
         """Tell whether a machine's upkeep for a wave has begun."""
         return machine in self.begun.get(wave, ())
 
-    def note_begun(self, machine: str, number: int, holder: str) -> None:
+    def record_start(self, machine: str, number: int, holder: str) -> None:
         """Take in an upkeep that begins, and judge it by all waves that the machine is in."""
         self.begun.setdefault(number, set()).add(machine)
-        wave = self.asked.get(number)
+        wave = self.requested.get(number)
         members = self.begun[number] if wave is None else set(wave.machines)
         down = len(self._down & members)
         self._down.add(machine)
@@ -41,7 +41,7 @@
         if wave is not None and down >= wave.at_once_max:
             self._note_break(f"{machine} by {holder}: {down} of wave {number} are down")
 
-    def note_back(self, machine: str) -> None:
+    def record_return(self, machine: str) -> None:
         """Take in that a machine's host is back, or that the machine has come into the reserve."""
         self._down.discard(machine)
 
--- a/src/robinthread/_internal/waves/host_maintenance.py
+++ b/src/robinthread/_internal/waves/host_maintenance.py
@@ -61,7 +61,7 @@
         """Let the permit be known, then start; a permit taken back voids the record."""
         idle = host.slots - self._count_in_use(host)
         await asyncio.sleep(self._settings.permit_effect_s)
-        self._context.measures.note_held_back(idle, self._settings.permit_effect_s)
+        self._context.measures.record_held_back(idle, self._settings.permit_effect_s)
         return await self._publish_step(DrainStarted(host.name, host.token))
 
     async def _drain(self, host: Host) -> bool:
@@ -74,7 +74,7 @@
                 return False
             idle = host.slots - self._count_in_use(host)
             await asyncio.sleep(DRAINED_CHECK_S)
-            self._context.measures.note_held_back(idle, DRAINED_CHECK_S)
+            self._context.measures.record_held_back(idle, DRAINED_CHECK_S)
         self._context.events.note("drained", host.name, host.wave)
         boot_id = await read_boot_id(self._context, host)
         return await self._publish_step(HostDrained(host.name, host.token, boot_id))
@@ -94,7 +94,7 @@
                 self._context.counters.add("hosts_not_returned")
                 return await self._publish_step(HostFailed(host.name, host.token))
             await asyncio.sleep(RETURN_CHECK_S)
-            self._context.measures.note_held_back(host.slots, RETURN_CHECK_S)
+            self._context.measures.record_held_back(host.slots, RETURN_CHECK_S)
         return False
 
     async def _publish_step(self, body: object) -> bool:
--- a/src/robinthread/_internal/waves/measures.py
+++ b/src/robinthread/_internal/waves/measures.py
@@ -20,15 +20,15 @@
         self._seen_at_s = 0.0
         self._has_wave = False
 
-    def note_move(self) -> None:
+    def record_move(self) -> None:
         """Count a task that is moved."""
         self.moves += 1
 
-    def note_held_back(self, slots: int, elapsed_s: float) -> None:
+    def record_held_back(self, slots: int, elapsed_s: float) -> None:
         """Account for slots that idled for ``elapsed_s``."""
         self.buffer_slot_s += slots * elapsed_s
 
-    def note_state(self, state: FleetState) -> None:
+    def record_state(self, state: FleetState) -> None:
         """Account for the time since the last state, then take up ``state``."""
         now_s = asyncio.get_running_loop().time()
         if self._has_wave:
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -232,7 +232,7 @@
         """Ask a task's holder to checkpoint it and place it elsewhere."""
         if not lease.is_preempted:
             slots.mark_preempted(lease.id)
-            self._context.measures.note_move()
+            self._context.measures.record_move()
             self._context.events.note("move", lease.id, slots.host.name)
             self._context.tell_holder(lease.holder_address, Preempt(lease.id))
 
--- a/tests/functional/test_late_upkeep_orders.py
+++ b/tests/functional/test_late_upkeep_orders.py
@@ -37,7 +37,7 @@
     await wait_until(lambda: get_owner(platform) is not None)
     await wait_until(lambda: _get_steward(platform) is not None)
     await asyncio.sleep(2)
-    platform.ask_for_wave(UpkeepWave(WAVE, due, 60, AT_ONCE_MAX))
+    platform.request_wave(UpkeepWave(WAVE, due, 60, AT_ONCE_MAX))
     return platform
 
 
--- a/tests/functional/test_room_and_spread.py
+++ b/tests/functional/test_room_and_spread.py
@@ -67,7 +67,7 @@
                 for host in platform.hosts.hosts.values()
                 if host.record.pool == POOL
             )
-            platform.ask_for_wave(UpkeepWave(1, machines, 26.0, 1))
+            platform.request_wave(UpkeepWave(1, machines, 26.0, 1))
             await wait_until(
                 lambda: platform.store.get_newest(STATUS).get("wave/1") == b"done", limit_s=26
             )
--- a/tests/functional/test_steward_lost_in_wave.py
+++ b/tests/functional/test_steward_lost_in_wave.py
@@ -49,7 +49,7 @@
     await asyncio.sleep(2)
     assert _get_steward(platform) != get_owner(platform)
     machine = platform.machines.machines["m-0"]
-    platform.ask_for_wave(UpkeepWave(WAVE, (machine.name,), 60, 1))
+    platform.request_wave(UpkeepWave(WAVE, (machine.name,), 60, 1))
     await wait_until(lambda: bool(platform.machines.waves.begun.get(WAVE)))
     await wait_until(lambda: machine.state is MachineState.UP)
     await asyncio.sleep(COMES_UP_S)
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -36,7 +36,7 @@
         platform.start_node(f"node{number}")
     await wait_until(lambda: get_owner(platform) is not None)
     await asyncio.sleep(4)
-    platform.ask_for_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
+    platform.request_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
     return platform
 
 
--- a/tests/functional/test_wave_short_of_time.py
+++ b/tests/functional/test_wave_short_of_time.py
@@ -42,7 +42,7 @@
     await asyncio.sleep(2)
     feeding = asyncio.create_task(feed_in_turns(platform, JOB_PERIOD_S))
     await asyncio.sleep(4)
-    platform.ask_for_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
+    platform.request_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
     await asyncio.sleep(DURATION_S)
     feeding.cancel()
     waves = platform.machines.waves
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -161,7 +161,7 @@
 
 async def _ask(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
     await asyncio.sleep(at_s)
-    platform.ask_for_wave(wave)
+    platform.request_wave(wave)
 
 
 async def feed_in_turns(platform: PlatformStandin, period_s: float) -> None:
@@ -217,7 +217,7 @@
             machines.state_before_host = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
         case WaveTrouble.WAVE_AGAIN:
             names = sorted(machines.machines)
-            platform.ask_for_wave(_draw_wave(random.Random(event.draw), 1, names))
+            platform.request_wave(_draw_wave(random.Random(event.draw), 1, names))
 
 
 def get_steward(platform: PlatformStandin) -> str | None:
@@ -240,7 +240,7 @@
     return [
         f"{machine} of wave {wave.number}"
         for _at_s, asked in day.waves
-        for wave in [waves.asked[asked.number]]
+        for wave in [waves.requested[asked.number]]
         for machine in wave.machines
         if not waves.has_begun(machine, wave.number)
     ]
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -103,7 +103,7 @@
         numbers = itertools.count(2**32)
         working = [asyncio.create_task(_work(caller, numbers)) for caller in callers]
         if day.wave is not None:
-            world.ask_for_wave(day.wave)
+            world.request_wave(day.wave)
         await asyncio.gather(*(bring_about(world, nodes, each) for each in day.troubles))
         await asyncio.sleep(max(0.0, day.length_s - _get_end_s(day)))
         for task in working:
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -110,9 +110,9 @@
         for proxy in self.host_proxies.values():
             proxy.refuse()
 
-    def ask_for_wave(self, wave: UpkeepWave) -> None:
+    def request_wave(self, wave: UpkeepWave) -> None:
         """Ask for a maintenance wave as operators do."""
-        self.machines.waves.ask_for(wave)
+        self.machines.waves.record_request(wave)
         value = {
             "wave": wave.number,
             "machines": wave.machines,
