--- a/src/robinthread/_internal/experiments/processors.py
+++ b/src/robinthread/_internal/experiments/processors.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 
 from robinthread._internal.experiments.deployment import US_IN_S, CostsSpec
-from robinthread._internal.standins.call_faults import Charge
+from robinthread._internal.standins.call_faults import ProcessorCharge
 from robinthread._internal.standins.platform_standin import PlatformStandin
 
 
@@ -30,10 +30,10 @@
 def charge_calls(platform: PlatformStandin, processors: Processors, costs: CostsSpec) -> None:
     """Have all calls of a platform's nodes cost their processors."""
 
-    def make_charge(cost_us: float) -> Charge:
+    def make_charge(cost_us: float) -> ProcessorCharge:
         return lambda node: processors.spend(node, cost_us * US_IN_S)
 
-    platform.store.faults.charge = make_charge(costs.store_call_us)
-    platform.hosts.faults.charge = make_charge(costs.host_call_us)
-    platform.machines.faults.charge = make_charge(costs.machine_call_us)
-    platform.charge_question = make_charge(costs.node_call_us)
+    platform.store.faults.charge_processor = make_charge(costs.store_call_us)
+    platform.hosts.faults.charge_processor = make_charge(costs.host_call_us)
+    platform.machines.faults.charge_processor = make_charge(costs.machine_call_us)
+    platform.charge_request = make_charge(costs.node_call_us)
--- a/src/robinthread/_internal/standins/call_faults.py
+++ b/src/robinthread/_internal/standins/call_faults.py
@@ -8,7 +8,7 @@
 from robinthread._internal.standins.open_connections import OpenConnections
 
 # Has a caller's processor do what a call costs it.
-Charge = Callable[[str], Awaitable[None]]
+ProcessorCharge = Callable[[str], Awaitable[None]]
 T = TypeVar("T")
 
 
@@ -28,7 +28,7 @@
     answer, and where ``late_s`` is set only after up to so many seconds.  Each call takes
     ``latency_s``, give or take a share of up to ``latency_spread`` of it.  Calls on
     ``connections`` that have gone silent get no answer; only what was sent before is done.
-    Where ``charge`` is set, a call begins once its caller's processor has done its part.
+    Where ``charge_processor`` is set, a call begins once its caller's processor has done its part.
     """
 
     def __init__(self, seed: int, latency_s: float) -> None:
@@ -40,7 +40,7 @@
         self.lost_share = 0.0
         self.late_s: tuple[float, float] = (0.0, 0.0)
         self.connections = OpenConnections()
-        self.charge: Charge | None = None
+        self.charge_processor: ProcessorCharge | None = None
 
     async def carry_out(
         self,
@@ -51,8 +51,8 @@
         target: str = "",
     ) -> T:
         """Do ``work`` as the faults let it, and return its result to the caller."""
-        if self.charge is not None:
-            await self.charge(caller)
+        if self.charge_processor is not None:
+            await self.charge_processor(caller)
         began_silences = self.connections.silences
         if self.connections.use(caller, target):
             await self._lose_in_silence(caller, target, timeout_s)
@@ -60,7 +60,7 @@
         is_heard = not self._covers(self.refused, caller) and not self._covers(self.silent, caller)
         if self.connections.silences > began_silences:
             if is_heard:
-                do_unheard(work)
+                run_discarding_result(work)
             await self._lose_in_silence(caller, target, timeout_s)
         if self._covers(self.refused, caller):
             raise CallRefusedError
@@ -75,7 +75,7 @@
 
     async def _lose_in_silence(self, caller: str, target: str, timeout_s: float) -> NoReturn:
         await asyncio.sleep(timeout_s)
-        self.connections.note_lost(caller, target)
+        self.connections.replace_silent(caller, target)
         raise CallUnansweredError
 
     def _draw_latency_s(self) -> float:
@@ -85,13 +85,13 @@
 
     def _do_later(self, work: Callable[[], object]) -> None:
         delay_s = self._random.uniform(*self.late_s)
-        asyncio.get_running_loop().call_later(delay_s, do_unheard, work)
+        asyncio.get_running_loop().call_later(delay_s, run_discarding_result, work)
 
     def _covers(self, names: set[str], caller: str) -> bool:
         return caller in names or "*" in names
 
 
-def do_unheard(work: Callable[[], object]) -> None:
+def run_discarding_result(work: Callable[[], object]) -> None:
     """Do work whose outcome nobody hears."""
     try:
         work()
--- a/src/robinthread/_internal/standins/gate.py
+++ b/src/robinthread/_internal/standins/gate.py
@@ -31,7 +31,7 @@
         """Wait until open."""
         await self._open.wait()
 
-    def pass_on(self, send: Callable[[], None]) -> None:
+    def send_when_open(self, send: Callable[[], None]) -> None:
         """Send now, or when the gate opens."""
         if self._open.is_set():
             send()
--- a/src/robinthread/_internal/standins/job_hosts_standin.py
+++ b/src/robinthread/_internal/standins/job_hosts_standin.py
@@ -82,7 +82,7 @@
         await self._find(host).wait_for_end(wait_s)
         if connections.silences > began_silences:
             await asyncio.sleep(ORDER_TIMEOUT_S)
-            connections.note_lost(self._caller, host.address)
+            connections.replace_silent(self._caller, host.address)
             raise HostNoAnswerError("silent")
         # What is acknowledged was so when the call came; an end of a later life is not listed.
         return await self._call(host, lambda life: life.poll(token, 0, None, acknowledged), False)
--- a/src/robinthread/_internal/standins/member_group.py
+++ b/src/robinthread/_internal/standins/member_group.py
@@ -43,7 +43,7 @@
         if self._members.pop(member, None) is not None:
             self._deal()
 
-    def drop_lapsed(self) -> None:
+    def remove_expired(self) -> None:
         """Drop the members that have been silent for longer than they may."""
         now_s = asyncio.get_running_loop().time()
         lapsed = [
--- a/src/robinthread/_internal/standins/open_connections.py
+++ b/src/robinthread/_internal/standins/open_connections.py
@@ -34,7 +34,7 @@
         self.silences += 1
         self._silent |= self._used_at_s.keys()
 
-    def note_lost(self, caller: str, target: str) -> None:
+    def replace_silent(self, caller: str, target: str) -> None:
         """Note that a caller has lost a call in silence: it opens a new connection next."""
         self._silent.discard((caller, target))
 
--- a/src/robinthread/_internal/standins/peer_network.py
+++ b/src/robinthread/_internal/standins/peer_network.py
@@ -32,7 +32,7 @@
         self._inboxes[address] = inbox
 
         def send(target: str, data: bytes) -> None:
-            gate.pass_on(lambda: self._send(address, target, data))
+            gate.send_when_open(lambda: self._send(address, target, data))
 
         async def receive() -> bytes:
             data = await inbox.get()
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -31,7 +31,7 @@
 from robinthread._internal.node.settings_holder import SettingsHolder
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.standins.advice_standin import AdviceStandin
-from robinthread._internal.standins.call_faults import Charge
+from robinthread._internal.standins.call_faults import ProcessorCharge
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.job_hosts_standin import JobHostsStandin
 from robinthread._internal.standins.machines_standin import HostLifecycle, MachinesStandin
@@ -111,9 +111,9 @@
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
         """Ask a node."""
-        self._platform.questions[address] += 1
-        if self._platform.charge_question is not None:
-            await self._platform.charge_question(self._caller)
+        self._platform.request_counts[address] += 1
+        if self._platform.charge_request is not None:
+            await self._platform.charge_request(self._caller)
         await asyncio.sleep(PEER_LATENCY_S)
         peer = self._platform.nodes.get(address)
         if peer is None or {self._caller, address} & self._platform.cut_nodes:
@@ -125,13 +125,13 @@
             async with asyncio.timeout(timeout_s):
                 if is_silent:
                     await _wait_for_ever()
-                if self._platform.charge_question is not None:
-                    await self._platform.charge_question(address)
+                if self._platform.charge_request is not None:
+                    await self._platform.charge_request(address)
                 answer = await peer.assembled.request_handler.handle(request)
                 if connections.silences > began_silences:
                     await _wait_for_ever()
         except TimeoutError as error:
-            connections.note_lost(self._caller, address)
+            connections.replace_silent(self._caller, address)
             raise PeerUnreachableError(address) from error
         return answer  # type: ignore[return-value]
 
@@ -212,9 +212,9 @@
 class PlatformStandin:
     """Store, hosts, machines and nodes; ``plan_task`` tells how tasks behave.
 
-    ``questions`` counts what nodes were asked by others, by node.  The hosts of
+    ``request_counts`` counts what nodes were asked by others, by node.  The hosts of
     ``crashing_machines`` crash so many seconds after whatever they begin.  Where
-    ``charge_question`` is set, a question costs the processors of both nodes.  Where
+    ``charge_request`` is set, a question costs the processors of both nodes.  Where
     ``keeps_host_ids`` a machine's next host has the id of the last one, and ``start_time_sources``
     tells its lives apart; their time of day is ``clock_back_ms`` behind.
     """
@@ -235,8 +235,8 @@
         self.nodes: dict[str, RunningNode] = {}
         self.cut_nodes: set[str] = set()
         self.peer_connections = OpenConnections()
-        self.questions: Counter[str] = Counter()
-        self.charge_question: Charge | None = None
+        self.request_counts: Counter[str] = Counter()
+        self.charge_request: ProcessorCharge | None = None
         self.events: list[bytes] = []
         self._lives = itertools.count(1)
 
--- a/src/robinthread/_internal/standins/store_standin.py
+++ b/src/robinthread/_internal/standins/store_standin.py
@@ -27,7 +27,7 @@
     CallFaults,
     CallRefusedError,
     CallUnansweredError,
-    do_unheard,
+    run_discarding_result,
 )
 from robinthread._internal.standins.member_group import MemberGroup
 from robinthread._internal.utils.waiting import wait_for_event
@@ -36,7 +36,7 @@
 LATENCY_S: Final = 0.004
 # What a client that has seen quick answers gives a read.
 READ_TIMEOUT_S: Final = 0.3
-ANSWERS_KEPT: Final = 5
+RESPONSES_RETAINED: Final = 5
 TURN_WAIT_MAX_S: Final = 2.0
 PAGE_RECORDS_MAX: Final = 500
 
@@ -92,7 +92,7 @@
             raise StoreSequenceError(writer.sequence + 1)
         writer.sequence = stamp.sequence
         answer = writer.answers[stamp.sequence] = self.append(records)
-        writer.answers.pop(stamp.sequence - ANSWERS_KEPT, None)
+        writer.answers.pop(stamp.sequence - RESPONSES_RETAINED, None)
         return answer
 
     def expire(self) -> None:
@@ -107,7 +107,7 @@
     ``link_bytes_per_s`` is what the links of some callers carry of records that they read;
     members that are ``unlisted`` hold no partition, for whatever reason.  ``reads`` counts
     reads by caller and topic, or group.  A partition takes its appends in turn, each in
-    ``append_turn_s``, and turns away what would wait for over 2 s.
+    ``append_duration_s``, and turns away what would wait for over 2 s.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -118,27 +118,27 @@
         self.unlisted: set[str] = set()
         self.unreadable_topics: set[str] = set()
         self.reads: Counter[tuple[str, str]] = Counter()
-        self.append_turn_s = 0.0
+        self.append_duration_s = 0.0
         self._turns_over_at_s: dict[Partition, float] = {}
 
     def connect(self, caller: str) -> "StoreClient":
         """Return the store as one caller sees it."""
         return StoreClient(self, caller)
 
-    async def take_turn(self, partition: Partition, work: Callable[[], object]) -> None:
+    async def wait_for_append_turn(self, partition: Partition, work: Callable[[], object]) -> None:
         """Wait for an append's turn; where that takes too long, it is done unheard."""
-        if not self.append_turn_s:
+        if not self.append_duration_s:
             return
         loop = asyncio.get_running_loop()
         begins_in_s = max(0.0, self._turns_over_at_s.get(partition, 0.0) - loop.time())
         if begins_in_s > TURN_WAIT_MAX_S:
             raise StoreRefusedError("too many wait")
-        takes_s = begins_in_s + self.append_turn_s
+        takes_s = begins_in_s + self.append_duration_s
         self._turns_over_at_s[partition] = loop.time() + takes_s
         if takes_s <= CALL_TIMEOUT_S:
             await asyncio.sleep(takes_s)
             return
-        loop.call_later(takes_s, do_unheard, work)
+        loop.call_later(takes_s, run_discarding_result, work)
         await asyncio.sleep(CALL_TIMEOUT_S)
         raise StoreNoAnswerError("its turn has not come")
 
@@ -172,7 +172,7 @@
     def get_group(self, name: str) -> MemberGroup:
         """Return a group without the members that have lapsed."""
         group = self._groups[name]
-        group.drop_lapsed()
+        group.remove_expired()
         return group
 
 
@@ -200,7 +200,7 @@
                 raise StoreConditionError(log.end)
             return log.append(kept) if stamp is None else log.append_stamped(kept, stamp)
 
-        await self._standin.take_turn(partition, work)
+        await self._standin.wait_for_append_turn(partition, work)
         return await self._call(work)
 
     async def read(
@@ -233,7 +233,7 @@
         is_grown = await wait_for_event(log.grown, wait_s)
         if connections.silences > began_silences:
             await asyncio.sleep(CALL_TIMEOUT_S)
-            connections.note_lost(self._caller, "")
+            connections.replace_silent(self._caller, "")
             raise StoreNoAnswerError("silent")
         return await self._call(work, is_change=False) if is_grown else page
 
--- a/tests/functional/test_many_nodes.py
+++ b/tests/functional/test_many_nodes.py
@@ -107,11 +107,11 @@
             platform = await start_platform(nodes=NODES)
             owner = await unlist_owner(platform)
             await asyncio.sleep(3)
-            platform.questions.clear()
+            platform.request_counts.clear()
             platform.store.reads.clear()
             await asyncio.sleep(10)
             self.assertEqual(owner, get_owner(platform))
-            self.assertTrue(10 < platform.questions[owner] <= 10 * QUESTIONS_MAX_PER_S)
+            self.assertTrue(10 < platform.request_counts[owner] <= 10 * QUESTIONS_MAX_PER_S)
             lists = sum(
                 count for (_who, what), count in platform.store.reads.items() if what == GROUP
             )
@@ -158,10 +158,10 @@
             platform.kill_node(owner)
             await wait_until(lambda: get_owner(platform) is not None, 10)
             await asyncio.sleep(1)
-            platform.questions.clear()
+            platform.request_counts.clear()
             platform.store.reads.clear()
             await asyncio.sleep(10)
-            self.assertNotIn(owner, platform.questions)
+            self.assertNotIn(owner, platform.request_counts)
             self.assertEqual([], [caller for caller, what in platform.store.reads if what == GROUP])
 
         run_virtual(work())
