--- a/src/robinthread/_internal/experiments/day.py
+++ b/src/robinthread/_internal/experiments/day.py
@@ -236,7 +236,7 @@
             machine_s,
             move_count,
             spent_s / deployment.nodes.processor_share / elapsed_s,
-            tuple(platform.hosts.ledger.find_breaks(math.inf)),
+            tuple(platform.hosts.ledger.find_violations(math.inf)),
             jobs,
             tuple(self._samples),
         )
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -6,7 +6,7 @@
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
 # Whoever orders may go by limits that were replaced so long ago.
-KNOWN_WITHIN_S: Final = 2.0
+LIMITS_KNOWN_AFTER_S: Final = 2.0
 
 
 class RunningTask(Protocol):
@@ -19,16 +19,16 @@
 class LimitLedger:
     """Finds starts that bring a workspace over its limit.
 
-    ``workspaces`` tells whose a job is; tests fill it.  ``over`` are such starts, in words.
+    ``workspaces`` tells whose a job is; tests fill it.  ``over_limit`` are such starts, in words.
     """
 
     def __init__(self) -> None:
         self.workspaces: dict[str, str] = {}
-        self.over: list[str] = []
+        self.over_limit: list[str] = []
         self._limits: list[tuple[float, dict[str, Resources]]] = []
         self._open: dict[str, list[RunningTask]] = {}
 
-    def take_limits(self, limits: dict[str, Resources], now_s: float) -> None:
+    def record_limits(self, limits: dict[str, Resources], now_s: float) -> None:
         """Note the limits that are in force from now on."""
         self._limits.append((now_s, limits))
 
@@ -38,7 +38,7 @@
         self._open[workspace] = running
         return sum((run.resources for run in running), start=NO_RESOURCES)
 
-    def note_begun(self, job_id: str, run: RunningTask, now_s: float) -> None:
+    def record_start(self, job_id: str, run: RunningTask, now_s: float) -> None:
         """Note a run that begins, and whether it may."""
         workspace = self.workspaces.get(job_id)
         if workspace is None:
@@ -50,7 +50,7 @@
             default=0.0,
         )
         if part > 1.0:
-            self.over.append(f"{workspace} has {part:.3f} of its limit at {now_s:.2f} s")
+            self.over_limit.append(f"{workspace} has {part:.3f} of its limit at {now_s:.2f} s")
 
     def _list_in_force(self, workspace: str, now_s: float) -> list[Resources]:
         """List the limits that may be in force: the last one, and those replaced of late."""
@@ -58,5 +58,5 @@
         return [
             limits.get(workspace, NO_RESOURCES)
             for (_at_s, limits), until_s in zip(self._limits, replaced_at_s, strict=True)
-            if until_s > now_s - KNOWN_WITHIN_S
+            if until_s > now_s - LIMITS_KNOWN_AFTER_S
         ]
--- a/tests/functional/test_crashing_tasks.py
+++ b/tests/functional/test_crashing_tasks.py
@@ -35,7 +35,7 @@
 )
 from tests.lib.event_lines import find_lines
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_owner,
     make_job,
     plan_second,
@@ -67,7 +67,7 @@
         await restart_owner(platform)
     await feeding
     statuses = await wait_until_ended(platform, specs, ENDED_WITHIN_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     assert not find_excess(platform), find_excess(platform)
     assert not find_given_up_early(platform, statuses)
     expected = {
@@ -117,7 +117,7 @@
             await feed(platform, specs, 0.2)
             crashing.cancel()
             statuses = await wait_until_ended(platform, specs, ENDED_WITHIN_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             return statuses
 
         for seed in range(8):
@@ -152,7 +152,7 @@
             await feed(platform, specs)
             await wait_until_ended(platform, specs, ENDED_WITHIN_S)
             (line,) = find_lines(platform, "task_given_up")
-            causes = {run.host_id for run in platform.hosts.ledger.runs if run.is_cause}
+            causes = {run.host_id for run in platform.hosts.ledger.runs if run.crashed_its_host}
             self.assertEqual(causes, set(line["hosts"]))
             self.assertEqual(
                 (specs[0].job_id, "0.0.0", 3), (line["job"], line["task"], line["run"])
--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -50,7 +50,7 @@
             await self._run_wave(fleet, "kandy-h000", 60.0)
             codes = {answer.code for answer in await asyncio.gather(*calls)}
             self.assertEqual({ResultCode.RAN}, codes)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
             self.assertEqual(1, sum(fleet.ledger.checkpointed.values()))
 
         run_virtual(work())
@@ -113,7 +113,7 @@
             waves = replace(SETTINGS.waves, return_timeout_s=20.0)
             fleet = await start_fleet(ONE_HALL, settings=replace(SETTINGS, waves=waves))
             daemon = get_daemon(fleet)
-            fleet.workers["kandy-h000:80"].returns = False
+            fleet.workers["kandy-h000:80"].returns_after_reboot = False
             await publish(daemon, WaveCreated("w", "r", WaveKind.REBOOT, ("kandy-h000",)))
             await wait_until(lambda: daemon.state.hosts["kandy-h000"].phase.value == "failed")
             self.assertIs(WaveState.RUNNING, daemon.state.waves["w"].state)
--- a/tests/functional/test_forgotten_owners.py
+++ b/tests/functional/test_forgotten_owners.py
@@ -9,7 +9,7 @@
 from robinthread._internal.standins.platform_standin import PlatformStandin
 from tests.lib.job_platforms import (
     POOL,
-    find_breaks,
+    find_violations,
     get_owner,
     make_stop_budget,
     wait_until,
@@ -41,9 +41,9 @@
     host = get_first_host(platform)
     old = next(name for name in platform.nodes if owns(platform, name))
     others = [name for name in NAMES if name != old]
-    platform.hosts.cut_ways |= {(name, host.record.address) for name in others}
+    platform.hosts.cut_routes |= {(name, host.record.address) for name in others}
     unreachable = platform.hosts.hosts.keys() - {host.record.address}
-    platform.hosts.cut_ways |= {(old, address) for address in unreachable}
+    platform.hosts.cut_routes |= {(old, address) for address in unreachable}
     platform.store.faults.silent.add(old)
     platform.cut_nodes.add(old)
     return old
@@ -76,7 +76,7 @@
             await asyncio.sleep(0.5)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -91,7 +91,7 @@
             await asyncio.sleep(0.3)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -104,7 +104,7 @@
             await platform.nodes[second].assembled.node.stop(make_stop_budget(platform))
             await wait_until(lambda: owns(platform, "node2"))
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -123,6 +123,6 @@
             await asyncio.sleep(WATCH_S)
             restarted_at_s = max(run.began_at_s for run in list_runs(platform))
             self.assertLess(restarted_at_s - cut_at_s, get_lapse_time_s(LEASE_MS, RESTART_S))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_owner_killed_while_opening.py
+++ b/tests/functional/test_owner_killed_while_opening.py
@@ -18,7 +18,7 @@
     lose_reads,
     unlist,
 )
-from tests.lib.job_platforms import POOL, find_breaks, hand_in, make_job, wait_until
+from tests.lib.job_platforms import POOL, find_violations, hand_in, make_job, wait_until
 from tests.lib.lasting import LASTING_JOB, get_first_host, start_lasting
 from tests.lib.virtual import run_virtual
 
@@ -54,9 +54,9 @@
             old = find_owner(platform, NAMES)
             assert old is not None
             names = [name for name in NAMES if name != old]
-            platform.hosts.cut_ways |= {(name, host.record.address) for name in names}
+            platform.hosts.cut_routes |= {(name, host.record.address) for name in names}
             away = platform.hosts.hosts.keys() - {host.record.address}
-            platform.hosts.cut_ways |= {(old, address) for address in away}
+            platform.hosts.cut_routes |= {(old, address) for address in away}
             lose_reads(get_client(platform, old), OWNERS_PARTITION)
             # The read that is under way is the last one that is answered.
             await asyncio.sleep(FOLLOW_WAIT_S + 0.1)
@@ -74,6 +74,6 @@
             await asyncio.sleep(1.0)
             platform.start_node(second)
             await asyncio.sleep(WATCH_S)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_returning_hosts.py
+++ b/tests/functional/test_returning_hosts.py
@@ -14,7 +14,7 @@
 from tests.lib.job_platforms import (
     POOLS,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -37,9 +37,9 @@
 
 
 def _crash(platform: PlatformStandin, back_s: float) -> None:
-    platform.host_back_s = back_s
+    platform.host_replacement_s = back_s
     for host in list(platform.hosts.hosts.values()):
-        platform.crash_for_a_while(host.record.id)
+        platform.crash_and_replace_host(host.record.id)
 
 
 class ReturningHostsTest(TestCase):
@@ -50,7 +50,7 @@
             _crash(platform, 0.2)
             await asyncio.sleep(1.0)
             await _serve(platform, 12)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(8, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
@@ -74,7 +74,7 @@
             await asyncio.sleep(1.0)
             await _serve(platform, 11)
             self.assertEqual([], await find_unused(platform))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -87,7 +87,7 @@
                 _crash(platform, 0.01)
                 await asyncio.sleep(0.02)
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -99,7 +99,7 @@
             _crash(platform, 1.5)
             platform.kill_node(get_owner(platform) or "")
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual({"crashed", "done"}, {run.end for run in platform.hosts.ledger.runs})
 
         run_virtual(work())
@@ -107,7 +107,7 @@
     def test_ticket_of_the_last_life_is_asked_for_anew(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=2)
-            platform.asks_for_tickets = True
+            platform.requires_tickets = True
             platform.advice.valid_s = 60.0
             queue = replace(QUEUE, advice=AdvicePolicy(10, 1, 60_000))
             platform.configure(2, (queue,), POOLS)
@@ -118,7 +118,7 @@
             _crash(platform, 0.2)
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
             self.assertLess(asked, platform.advice.call_count)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
--- a/tests/functional/test_slow_appends.py
+++ b/tests/functional/test_slow_appends.py
@@ -18,7 +18,7 @@
     POOL,
     POOLS,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     get_status,
     make_job,
@@ -81,17 +81,17 @@
         # No node can reach it any more or get a refusal from it.
         platform.cut_node(steward)
         asyncio.get_running_loop().call_later(FOR_S, platform.heal_node, steward)
-    platform.store.append_turn_s = TURN_S
+    platform.store.append_duration_s = TURN_S
     platform.store.faults.latency_s = LATENCY_S
     calls = []
     for number in range(round(FOR_S * JOBS_PER_S)):
         calls.append(asyncio.ensure_future(_submit(platform, number)))
         await asyncio.sleep(1 / JOBS_PER_S)
     found = await asyncio.gather(*calls)
-    platform.store.append_turn_s = 0.0
+    platform.store.append_duration_s = 0.0
     platform.store.faults.latency_s = 0.004
     await asyncio.sleep(20)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     for number, (is_accepted, _took_s) in enumerate(found):
         if is_accepted and number % 10 == 0:
             status = await get_status(platform, "node3", make_job(number).job_id)
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -17,7 +17,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     plan_second,
@@ -152,16 +152,16 @@
     feeding.cancel()
     return WaveFindings(
         day.seed,
-        tuple(platform.machines.waves.breaks),
+        tuple(platform.machines.waves.violations),
         tuple(_find_shown_early(platform, day)),
         tuple(undone),
-        tuple(find_breaks(platform)),
+        tuple(find_violations(platform)),
     )
 
 
 async def _ask(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
     await asyncio.sleep(at_s)
-    platform.ask_for_wave(wave)
+    platform.request_wave(wave)
 
 
 async def feed_in_turns(platform: PlatformStandin, period_s: float) -> None:
@@ -214,10 +214,10 @@
             machines.delay_lists((0.2, 0.5, 1.5)[event.draw % 3])
         case WaveTrouble.HOSTS_LATE:
             machines.host_late_s = (0.3, 1.0, 4.0)[event.draw % 3]
-            machines.shown_early = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
+            machines.state_before_host = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
         case WaveTrouble.WAVE_AGAIN:
             names = sorted(machines.machines)
-            platform.ask_for_wave(_draw_wave(random.Random(event.draw), 1, names))
+            platform.request_wave(_draw_wave(random.Random(event.draw), 1, names))
 
 
 def get_steward(platform: PlatformStandin) -> str | None:
@@ -240,7 +240,7 @@
     return [
         f"{machine} of wave {wave.number}"
         for _at_s, asked in day.waves
-        for wave in [waves.asked[asked.number]]
+        for wave in [waves.requested[asked.number]]
         for machine in wave.machines
         if not waves.has_begun(machine, wave.number)
     ]
