--- a/src/robinthread/_internal/results.py
+++ b/src/robinthread/_internal/results.py
@@ -175,9 +175,9 @@
         return f"[{self.code.value} {self.code.name}] {self.message}"
 
 
-def make_fault(code: ResultCode, what: str = "") -> Fault:
+def make_fault(code: ResultCode, detail: str = "") -> Fault:
     """Make a fault whose message joins what happened and the code's meaning."""
-    return Fault(code, f"{what}. {MEANINGS[code]}" if what else MEANINGS[code])
+    return Fault(code, f"{detail}. {MEANINGS[code]}" if detail else MEANINGS[code])
 
 
 class FaultError(Exception):
--- a/src/robinthread/_internal/settings/check.py
+++ b/src/robinthread/_internal/settings/check.py
@@ -41,7 +41,7 @@
 
 def iter_conflicts(settings: DaemonSettings) -> Iterator[Conflict]:
     """Iterate over all conflicts."""
-    yield from _iter_empty(settings)
+    yield from _iter_missing(settings)
     yield from _iter_out_of_range(settings, ())
     yield from _iter_addresses(settings)
     yield from _iter_combinations(settings)
@@ -56,13 +56,13 @@
         "workspaces.kept_share": (policy.workspaces.kept_share, 1.0),
     }
     return (
-        Conflict(key, f"is {value}, expected at least 0 and at most {most}")
-        for key, (value, most) in bounds.items()
-        if not 0 <= value <= most
+        Conflict(key, f"is {value}, expected at least 0 and at most {maximum}")
+        for key, (value, maximum) in bounds.items()
+        if not 0 <= value <= maximum
     )
 
 
-def _iter_empty(settings: DaemonSettings) -> Iterator[Conflict]:
+def _iter_missing(settings: DaemonSettings) -> Iterator[Conflict]:
     required = {
         "name": settings.name,
         "hall": settings.hall,
@@ -71,16 +71,16 @@
     return (Conflict(key, "is missing") for key, value in required.items() if not value)
 
 
-def _iter_out_of_range(part: Any, path: tuple[str, ...]) -> Iterator[Conflict]:
-    for field in dataclasses.fields(part):
-        value = getattr(part, field.name)
+def _iter_out_of_range(section: Any, path: tuple[str, ...]) -> Iterator[Conflict]:
+    for field in dataclasses.fields(section):
+        value = getattr(section, field.name)
         name = ".".join((*path, field.name))
         if dataclasses.is_dataclass(value):
             yield from _iter_out_of_range(value, (*path, field.name))
         elif isinstance(value, int | float) and not isinstance(value, bool):
-            least_is_zero = field.name in MAY_BE_ZERO
-            if value < 0 or (value == 0 and not least_is_zero):
-                bound = "at least 0" if least_is_zero else "more than 0"
+            zero_is_allowed = field.name in MAY_BE_ZERO
+            if value < 0 or (value == 0 and not zero_is_allowed):
+                bound = "at least 0" if zero_is_allowed else "more than 0"
                 yield Conflict(name, f"is {value}, expected {bound}")
 
 
@@ -95,8 +95,8 @@
     for key, address in addresses.items():
         if not _is_address(address):
             yield Conflict(key, f"is {address!r}, expected an IP number, a colon and a port")
-    taken = [address for address in addresses.values() if not address.endswith(":0")]
-    if len(set(taken)) < len(taken):
+    fixed_addresses = [address for address in addresses.values() if not address.endswith(":0")]
+    if len(set(fixed_addresses)) < len(fixed_addresses):
         yield Conflict("listen", "two listeners have the same address")
 
 
--- a/src/robinthread/_internal/settings/parse.py
+++ b/src/robinthread/_internal/settings/parse.py
@@ -21,7 +21,7 @@
 from robinthread._internal.settings.policy_settings import PolicySettings
 
 UNITS: Final = ("_s", "_ms", "_min", "_bytes", "_mb")
-CLOSE_MATCH: Final = 0.6
+CLOSE_MATCH_CUTOFF: Final = 0.6
 
 T = TypeVar("T")
 
@@ -35,8 +35,8 @@
     text: str
 
     def __str__(self) -> str:
-        where = f"line {self.line}: " if self.line else ""
-        return f"{where}{self.key}: {self.text}"
+        location = f"line {self.line}: " if self.line else ""
+        return f"{location}{self.key}: {self.text}"
 
 
 def parse_settings(text: str, path: str) -> Result[DaemonSettings, Fault]:
@@ -50,7 +50,7 @@
 
 
 def parse_file(
-    kind: type[T], text: str, path: str, iter_conflicts: Callable[[T], Iterable[Conflict]]
+    settings_type: type[T], text: str, path: str, iter_conflicts: Callable[[T], Iterable[Conflict]]
 ) -> Result[T, Fault]:
     """Parse a file of one kind and check it; the fault names every problem.
 
@@ -60,13 +60,13 @@
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Failure(Fault(ResultCode.BAD_SETTINGS, f"{path} is not valid TOML: {error}."))
-    problems = list(_iter_problems(kind, raw, ()))
-    misread = frozenset(problem.key for problem in problems)
-    settings: T = _make(kind, _leave_out(raw, misread, ()))
+    problems = list(_iter_problems(settings_type, raw, ()))
+    invalid_keys = frozenset(problem.key for problem in problems)
+    settings: T = _make(settings_type, _drop_keys(raw, invalid_keys, ()))
     problems += [
         SettingsProblem(conflict.key, 0, conflict.text)
         for conflict in iter_conflicts(settings)
-        if conflict.key not in misread
+        if conflict.key not in invalid_keys
     ]
     if problems:
         lines = _find_lines(text)
@@ -77,9 +77,9 @@
 
 
 def _iter_problems(
-    kind: type, raw: dict[str, Any], path: tuple[str, ...]
+    settings_type: type, raw: dict[str, Any], path: tuple[str, ...]
 ) -> Iterator[SettingsProblem]:
-    hints = typing.get_type_hints(kind)
+    hints = typing.get_type_hints(settings_type)
     for key, value in raw.items():
         name = ".".join((*path, key))
         if key not in hints:
@@ -88,8 +88,8 @@
             yield from _iter_problems_by_name(hints[key], value, (*path, key))
         elif dataclasses.is_dataclass(hints[key]):
             yield from _iter_table_problems(hints[key], value, (*path, key))
-        elif not _fits(hints[key], value):
-            expected = _name_type(hints[key])
+        elif not _has_type(hints[key], value):
+            expected = _describe_type(hints[key])
             yield SettingsProblem(name, 0, f"is {value!r}, expected {expected}")
 
 
@@ -103,21 +103,25 @@
         yield from _iter_table_problems(typing.get_args(hint)[1], table, (*path, name))
 
 
-def _iter_table_problems(kind: Any, value: Any, path: tuple[str, ...]) -> Iterator[SettingsProblem]:
+def _iter_table_problems(
+    settings_type: Any, value: Any, path: tuple[str, ...]
+) -> Iterator[SettingsProblem]:
     if isinstance(value, dict):
-        yield from _iter_problems(kind, value, path)
+        yield from _iter_problems(settings_type, value, path)
     else:
         yield SettingsProblem(".".join(path), 0, "is a value, expected a table")
 
 
-def _leave_out(
-    raw: dict[str, Any], misread: Collection[str], path: tuple[str, ...]
+def _drop_keys(
+    raw: dict[str, Any], invalid_keys: Collection[str], path: tuple[str, ...]
 ) -> dict[str, Any]:
     """Return what is left without the keys that cannot be read: it is checked all the same."""
-    kept = {key: value for key, value in raw.items() if ".".join((*path, key)) not in misread}
+    remaining = {
+        key: value for key, value in raw.items() if ".".join((*path, key)) not in invalid_keys
+    }
     return {
-        key: _leave_out(value, misread, (*path, key)) if isinstance(value, dict) else value
-        for key, value in kept.items()
+        key: _drop_keys(value, invalid_keys, (*path, key)) if isinstance(value, dict) else value
+        for key, value in remaining.items()
     }
 
 
@@ -126,11 +130,11 @@
     for known in hints:
         if known != key and any(known == f"{stem}{unit}" for unit in ("", *UNITS)):
             return f"has the wrong unit, expected {known}"
-    close = difflib.get_close_matches(key, hints, 1, CLOSE_MATCH)
+    close = difflib.get_close_matches(key, hints, 1, CLOSE_MATCH_CUTOFF)
     return f"is unknown, did you mean {close[0]}?" if close else "is unknown"
 
 
-def _fits(hint: Any, value: Any) -> bool:
+def _has_type(hint: Any, value: Any) -> bool:
     if hint is float:
         return isinstance(value, int | float) and not isinstance(value, bool)
     if hint is int:
@@ -140,22 +144,22 @@
     return isinstance(value, hint)
 
 
-def _name_type(hint: Any) -> str:
+def _describe_type(hint: Any) -> str:
     names = {float: "a number", int: "a whole number", str: "a text", bool: "true or false"}
     return names.get(hint, "a list of texts")
 
 
-def _make(kind: type, raw: dict[str, Any]) -> Any:
-    hints = typing.get_type_hints(kind)
-    return kind(**{key: _convert(hints[key], value) for key, value in raw.items()})
+def _make(settings_type: type, raw: dict[str, Any]) -> Any:
+    hints = typing.get_type_hints(settings_type)
+    return settings_type(**{key: _convert(hints[key], value) for key, value in raw.items()})
 
 
 def _convert(hint: Any, value: Any) -> Any:
     if dataclasses.is_dataclass(hint):
         return _make(hint, value)  # type: ignore[arg-type]
     if typing.get_origin(hint) is dict:
-        kind = typing.get_args(hint)[1]
-        return {name: _make(kind, table) for name, table in value.items()}
+        settings_type = typing.get_args(hint)[1]
+        return {name: _make(settings_type, table) for name, table in value.items()}
     if hint is float:
         return float(value)
     return tuple(value) if isinstance(value, list) else value
@@ -166,13 +170,13 @@
     lines: dict[str, int] = {}
     table = ""
     for number, line in enumerate(text.splitlines(), 1):
-        header = re.match(r"\s*\[([\w.]+)\]", line)
-        entry = re.match(r"\s*([\w.]+)\s*=", line)
-        if header:
-            table = header[1]
+        table_header = re.match(r"\s*\[([\w.]+)\]", line)
+        assignment = re.match(r"\s*([\w.]+)\s*=", line)
+        if table_header:
+            table = table_header[1]
             lines.setdefault(table, number)
-        elif entry:
-            lines.setdefault(f"{table}.{entry[1]}" if table else entry[1], number)
+        elif assignment:
+            lines.setdefault(f"{table}.{assignment[1]}" if table else assignment[1], number)
     return lines
 
 
--- a/src/robinthread/_internal/telemetry/call_timer.py
+++ b/src/robinthread/_internal/telemetry/call_timer.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-NoteCall = Callable[[str, str, float], None]
+RecordCall = Callable[[str, str, float], None]
 
 
 @contextmanager
-def timed_call(note: NoteCall, kind: str) -> Iterator[None]:
+def timed_call(record_call: RecordCall, kind: str) -> Iterator[None]:
     """Note how long a call takes, and "ok" or the name of the error that it raises."""
     began_at_s = time.monotonic()
     outcome = "ok"
@@ -18,4 +18,4 @@
         outcome = type(error).__name__
         raise
     finally:
-        note(kind, outcome, time.monotonic() - began_at_s)
+        record_call(kind, outcome, time.monotonic() - began_at_s)
--- a/src/robinthread/_internal/telemetry/counters.py
+++ b/src/robinthread/_internal/telemetry/counters.py
@@ -1,6 +1,6 @@
 """Counters and gauges of a process, by OpenTelemetry."""
 
-from collections import Counter as TallyOf
+from collections import Counter
 from collections.abc import Callable
 
 from opentelemetry.metrics import CallbackOptions, Meter, NoOpMeterProvider, Observation
@@ -13,7 +13,7 @@
     """
 
     def __init__(self, meter: Meter | None = None) -> None:
-        self.tally: TallyOf[str] = TallyOf()
+        self.tally: Counter[str] = Counter()
         self._meter = meter or NoOpMeterProvider().get_meter("robinthread")
         self._counters = {}  # type: ignore[var-annotated]
 
--- a/src/robinthread/_internal/telemetry/event_log.py
+++ b/src/robinthread/_internal/telemetry/event_log.py
@@ -15,11 +15,11 @@
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 
 # How often a line tells how many others were left out.
-LEFT_OUT_PERIOD_S: Final = 1.0
+SUPPRESSED_INTERVAL_S: Final = 1.0
 # Lines kept for a reader that is slow; more are lost and counted.  A line has
 # some 200 bytes, so this is about 400 KB.
-LINES_KEPT_MAX: Final = 2000
-NOTHING: Final[Mapping[str, str]] = {}
+BUFFERED_LINES_MAX: Final = 2000
+EMPTY: Final[Mapping[str, str]] = {}
 STANDARD_OUTPUT: Final = 1
 
 
@@ -40,7 +40,7 @@
         self._write = write
         self.metrics = metrics or NodeMetrics()
         self._encoder = msgspec.json.Encoder(enc_hook=str)
-        self._budget = LineRateLimiter()
+        self._rate_limiter = LineRateLimiter()
         self._gathered = GatheredLines()
         self._suppressed_logged_at_s = 0.0
         self._began_at_s = time.monotonic()
@@ -54,19 +54,19 @@
         """Write a line if its kind's budget allows; never wait."""
         self.metrics.count_event(event, str(fields.get("outcome", "")))
         now_s = time.monotonic()
-        if self._budget.admit(event, now_s):
+        if self._rate_limiter.admit(event, now_s):
             self._write_line(event, fields)
-        if now_s - self._suppressed_logged_at_s >= LEFT_OUT_PERIOD_S:
+        if now_s - self._suppressed_logged_at_s >= SUPPRESSED_INTERVAL_S:
             self._suppressed_logged_at_s = now_s
-            if left_out := self._budget.take_suppressed():
-                self._write_line("lines_left_out", {"counts": left_out})
+            if suppressed := self._rate_limiter.take_suppressed():
+                self._write_line("lines_left_out", {"counts": suppressed})
 
     def gather(
         self,
         event: str,
-        by: Mapping[str, Any] = NOTHING,
+        by: Mapping[str, Any] = EMPTY,
         counted_by: str = "",
-        listed: Mapping[str, str] = NOTHING,
+        listed: Mapping[str, str] = EMPTY,
         **newest: Any,
     ) -> None:
         """Have an event told with others, in one line a second at most; never wait.
@@ -101,38 +101,38 @@
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT) -> None:
         self._descriptor = descriptor
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._lost_unreported = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._unreported_lost_count = 0
         self.lost_count = 0
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
         """Write a line, or lose it; never wait."""
-        if len(self._waiting) >= LINES_KEPT_MAX:
+        if len(self._buffer) >= BUFFERED_LINES_MAX:
             self.lost_count += 1
-            self._lost_unreported += 1
+            self._unreported_lost_count += 1
         else:
-            if self._lost_unreported:
-                lost = {"event": "lines_lost", "count": self._lost_unreported}
-                self._waiting.append(msgspec.json.encode(lost) + b"\n")
-                self._lost_unreported = 0
-            self._waiting.append(line)
+            if self._unreported_lost_count:
+                lost = {"event": "lines_lost", "count": self._unreported_lost_count}
+                self._buffer.append(msgspec.json.encode(lost) + b"\n")
+                self._unreported_lost_count = 0
+            self._buffer.append(line)
         self._flush()
 
     def _flush(self) -> None:
         """Write what the reader takes now."""
-        while self._waiting:
-            line = self._waiting[0]
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
                 # The reader is gone: nobody can be told, and work goes on.
-                self.lost_count += len(self._waiting)
-                self._waiting.clear()
+                self.lost_count += len(self._buffer)
+                self._buffer.clear()
                 return
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
--- a/src/robinthread/_internal/telemetry/gathered_lines.py
+++ b/src/robinthread/_internal/telemetry/gathered_lines.py
@@ -6,7 +6,7 @@
 from typing import Any, Final
 
 # Least time between two lines of one kind and group.
-GATHER_S: Final = 1.0
+GATHER_INTERVAL_S: Final = 1.0
 # Names that a line tells of those that it counts: some 150 bytes beside 100 to 200.
 LISTED_NAMES_MAX: Final = 10
 
@@ -82,5 +82,5 @@
                 continue
             lines.append((event, dict(by) | group.make_fields()))
             group.clear()
-            group.due_at_s = now_s + GATHER_S
+            group.due_at_s = now_s + GATHER_INTERVAL_S
         return lines
--- a/src/robinthread/_internal/telemetry/latencies.py
+++ b/src/robinthread/_internal/telemetry/latencies.py
@@ -41,8 +41,8 @@
 
     def record(self, took_s: float, *values: str) -> None:
         """Record a latency under the values of the labels."""
-        latency = self._by_labels.get(values)
-        if latency is None:
-            latency = self._by_labels[values] = LatencyCounts()
-        latency.counts[bisect_left(LATENCY_BOUNDS_S, took_s)] += 1
-        latency.sum_s += took_s
+        entry = self._by_labels.get(values)
+        if entry is None:
+            entry = self._by_labels[values] = LatencyCounts()
+        entry.counts[bisect_left(LATENCY_BOUNDS_S, took_s)] += 1
+        entry.sum_s += took_s
--- a/src/robinthread/_internal/telemetry/line_rate_limiter.py
+++ b/src/robinthread/_internal/telemetry/line_rate_limiter.py
@@ -23,24 +23,24 @@
     """
 
     def __init__(self) -> None:
-        self._levels: dict[str, tuple[float, float]] = {}
-        self._left_out: Counter[str] = Counter()
+        self._buckets: dict[str, tuple[float, float]] = {}
+        self._suppressed: Counter[str] = Counter()
 
     def admit(self, kind: str, now_s: float) -> bool:
         """Tell whether a line of a kind may be written now."""
         is_failure = kind in FAILURE_KINDS
         rate_per_s = FAILURE_PER_S if is_failure else ROUTINE_PER_S
         burst = FAILURE_BURST if is_failure else ROUTINE_BURST
-        level, at_s = self._levels.get(kind, (burst, now_s))
-        level = min(burst, level + rate_per_s * (now_s - at_s))
-        is_admitted = level >= 1
-        self._levels[kind] = (level - is_admitted, now_s)
+        tokens, updated_at_s = self._buckets.get(kind, (burst, now_s))
+        tokens = min(burst, tokens + rate_per_s * (now_s - updated_at_s))
+        is_admitted = tokens >= 1
+        self._buckets[kind] = (tokens - is_admitted, now_s)
         if not is_admitted:
-            self._left_out[kind] += 1
+            self._suppressed[kind] += 1
         return is_admitted
 
     def take_suppressed(self) -> dict[str, int]:
         """Return how many lines of each kind were turned away since the last call."""
-        left_out = dict(self._left_out)
-        self._left_out.clear()
-        return left_out
+        suppressed = dict(self._suppressed)
+        self._suppressed.clear()
+        return suppressed
--- a/src/robinthread/_internal/telemetry/node_exporter.py
+++ b/src/robinthread/_internal/telemetry/node_exporter.py
@@ -23,14 +23,16 @@
 
     def collect(self) -> Iterator[Metric]:
         """Iterate over the latencies that have values."""
-        yield from (_make_family(found) for found in self._metrics.latencies if found.by_labels)
+        yield from (
+            _make_family(histogram) for histogram in self._metrics.latencies if histogram.by_labels
+        )
 
 
-def _make_family(latencies: LatencyHistogram) -> HistogramMetricFamily:
-    family = HistogramMetricFamily(latencies.name, "", labels=latencies.labels)
-    for values, latency in latencies.by_labels.items():
-        counts = map(float, accumulate(latency.counts))
-        family.add_metric(values, list(zip(BOUND_LABELS, counts, strict=True)), latency.sum_s)
+def _make_family(histogram: LatencyHistogram) -> HistogramMetricFamily:
+    family = HistogramMetricFamily(histogram.name, "", labels=histogram.labels)
+    for values, entry in histogram.by_labels.items():
+        counts = map(float, accumulate(entry.counts))
+        family.add_metric(values, list(zip(BOUND_LABELS, counts, strict=True)), entry.sum_s)
     return family
 
 
--- a/src/robinthread/_internal/utils/event_loop.py
+++ b/src/robinthread/_internal/utils/event_loop.py
@@ -39,12 +39,12 @@
     def __init__(
         self, clocks: Clocks | None = None, selector: selectors.BaseSelector | None = None
     ) -> None:
-        self._read_s = (clocks or Clocks()).read_elapsed_s
+        self._read_elapsed_s = (clocks or Clocks()).read_elapsed_s
         super().__init__(selector)
 
     def time(self) -> float:
         """Return the clock's time, in seconds."""
-        return self._read_s()
+        return self._read_elapsed_s()
 
 
 def run_process(main: Coroutine[Any, Any, T]) -> T:
--- a/src/robinthread/_internal/utils/fetcher.py
+++ b/src/robinthread/_internal/utils/fetcher.py
@@ -44,7 +44,7 @@
         curl.setopt(pycurl.PROXY, "")
         curl.setopt(pycurl.MAXFILESIZE, BODY_MAX_BYTES)
         curl.setopt(pycurl.URL, request.url)
-        curl.setopt(pycurl.HTTPHEADER, _make_lines(request.headers))
+        curl.setopt(pycurl.HTTPHEADER, _format_headers(request.headers))
         curl.setopt(pycurl.WRITEFUNCTION, buffer.write)
         curl.setopt(pycurl.CONNECTTIMEOUT_MS, int(1000 * (request.connect_timeout or 0)))
         curl.setopt(pycurl.TIMEOUT_MS, int(1000 * (request.request_timeout or 0)))
@@ -81,7 +81,7 @@
             self.handle_callback_exception(info["callback"])
 
 
-def _make_lines(headers: HTTPHeaders) -> list[bytes]:
+def _format_headers(headers: HTTPHeaders) -> list[bytes]:
     """Return the lines of a request's headers; raise ``ValueError`` where one would be two."""
     lines = [f"{name}: {value}".encode("latin1") for name, value in headers.get_all()]
     if any(b"\r" in line or b"\n" in line for line in lines):
--- a/src/robinthread/_internal/utils/keep_alive_connections.py
+++ b/src/robinthread/_internal/utils/keep_alive_connections.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self._generations: dict[str, int] = {}
-        self._doubted_at_s: dict[str, float] = {}
+        self._retired_at_s: dict[str, float] = {}
 
     def get_generation(self, address: str) -> int:
         """Return the generation that a call to ``address`` may use now."""
@@ -34,10 +34,10 @@
     def retire_generation(self, address: str, generation: int) -> None:
         """Note that a call was lost on a kept connection of a generation."""
         now_s = time.monotonic()
-        is_news = generation == self.get_generation(address)
-        if is_news and now_s - self._doubted_at_s.get(address, -math.inf) >= RETIRE_INTERVAL_S:
+        is_current = generation == self.get_generation(address)
+        if is_current and now_s - self._retired_at_s.get(address, -math.inf) >= RETIRE_INTERVAL_S:
             self._generations[address] = generation + 1
-            self._doubted_at_s[address] = now_s
+            self._retired_at_s[address] = now_s
 
 
 class ConnectionUse:
@@ -48,8 +48,8 @@
     what became of the first one.
     """
 
-    def __init__(self, kept: KeepAliveConnections, address: str) -> None:
-        self._kept = kept
+    def __init__(self, connections: KeepAliveConnections, address: str) -> None:
+        self._connections = connections
         self._address = address
         self._generation = 0
         self._is_new = False
@@ -57,23 +57,23 @@
 
     def prepare(self, curl: pycurl.Curl) -> None:
         """Have a call go out on a connection that is not in doubt."""
-        self._generation = self._kept.get_generation(self._address)
+        self._generation = self._connections.get_generation(self._address)
         # Which scope an IPv6 address is in; has no effect on IPv4, which is all that our
         # platform speaks, but a connection is used again for calls of its own scope only.
         curl.setopt(pycurl.ADDRESS_SCOPE, self._generation)
         curl.setopt(pycurl.MAXAGE_CONN, IDLE_MAX_S)
-        curl.setopt(pycurl.SOCKOPTFUNCTION, self._note_opened)
-        curl.setopt(pycurl.PREREQFUNCTION, self._note_sending)
+        curl.setopt(pycurl.SOCKOPTFUNCTION, self._record_opening)
+        curl.setopt(pycurl.PREREQFUNCTION, self._record_sending)
 
     def record_loss(self) -> None:
         """Note that no answer came; on a new connection that tells nothing of others."""
         if not self._is_new:
-            self._kept.retire_generation(self._address, self._generation)
+            self._connections.retire_generation(self._address, self._generation)
 
-    def _note_opened(self, _descriptor: int, _purpose: int) -> int:
+    def _record_opening(self, _descriptor: int, _purpose: int) -> int:
         self._is_new = True
         return pycurl.SOCKOPT_OK
 
-    def _note_sending(self, *_addresses: object) -> int:
+    def _record_sending(self, *_addresses: object) -> int:
         self.sent_count += 1
         return pycurl.PREREQFUNC_OK
--- a/src/robinthread/_internal/utils/listener.py
+++ b/src/robinthread/_internal/utils/listener.py
@@ -15,7 +15,7 @@
 # thousand descriptors.
 PROBES_MAX: Final = 3
 # Accepted connections have these from their listener.
-_OPTIONS: Final = (
+_KEEP_ALIVE_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
@@ -28,7 +28,7 @@
     host, _, port = address.rpartition(":")
     sockets = bind_sockets(int(port), host)
     for listener in sockets:
-        for option in _OPTIONS:
+        for option in _KEEP_ALIVE_OPTIONS:
             listener.setsockopt(*option)
     server = HTTPServer(application)
     server.add_sockets(sockets)
