--- a/src/robinthread/_internal/telemetry/__init__.py
+++ b/src/robinthread/_internal/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counters and gauges."""
+"""Structured log lines, metrics and their export."""
--- a/src/robinthread/_internal/telemetry/call_timer.py
+++ b/src/robinthread/_internal/telemetry/call_timer.py
@@ -1,4 +1,4 @@
-"""Timing calls to the outside."""
+"""Timing of calls to other services."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -9,7 +9,10 @@
 
 @contextmanager
 def timed_call(record_call: RecordCall, kind: str) -> Iterator[None]:
-    """Note how long a call takes, and "ok" or the name of the error that it raises."""
+    """Time a call; pass ``record_call`` its kind, its outcome and its duration in seconds.
+
+    The outcome is "ok" or the class name of the exception that the call raises.
+    """
     began_at_s = time.monotonic()
     outcome = "ok"
     try:
--- a/src/robinthread/_internal/telemetry/counters.py
+++ b/src/robinthread/_internal/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""Counters and gauges of a process, by OpenTelemetry."""
+"""Counters and gauges of a process, exported through OpenTelemetry."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 
 
 class Counters:
-    """Named counters, kept once for the exporter and once for ``status``.
+    """Named counters, exported through a meter and also summed in ``tally`` for ``status``.
 
-    ``NoOpMeterProvider`` serves where nothing scrapes, as in tests.
+    Without a meter, as in tests, a no-op meter takes its place.
     """
 
     def __init__(self, meter: Meter | None = None) -> None:
@@ -26,7 +26,7 @@
         counter.add(amount)
 
     def register_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Publish a gauge whose value ``read`` returns."""
+        """Register a gauge whose value ``read`` returns at each collection."""
 
         def callback(options: CallbackOptions) -> list[Observation]:
             return [Observation(read())]
--- a/src/robinthread/_internal/telemetry/event_log.py
+++ b/src/robinthread/_internal/telemetry/event_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on a descriptor that may never delay the process."""
+"""Structured log lines, written to a descriptor without blocking the process."""
 
 import collections
 import math
@@ -14,23 +14,24 @@
 from robinthread._internal.telemetry.line_rate_limiter import LineRateLimiter
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 
-# How often a line tells how many others were left out.
+# Minimum interval between two "lines_left_out" lines, which report the suppressed ones.
 SUPPRESSED_INTERVAL_S: Final = 1.0
-# Lines kept for a reader that is slow; more are lost and counted.  A line has
-# some 200 bytes, so this is about 400 KB.
+# Lines buffered for a slow reader; further lines are dropped and counted.  A line has
+# about 200 bytes, so a full buffer has about 400 KB.
 BUFFERED_LINES_MAX: Final = 2000
 EMPTY: Final[Mapping[str, str]] = {}
 STANDARD_OUTPUT: Final = 1
 
 
 class EventLog:
-    """Writes one JSON line for each event to ``write``, which must not wait.
+    """Writes one JSON line for each event to ``write``, which must not block.
 
-    A line that tells a failure or a change has a ``level``, see ``levels``.
+    Lines about failures and changes of state have a ``level``, see ``levels``.
 
-    Every event is counted.  Of one kind only so many lines a second are written;
-    a line each second tells how many were left out.  Of gathered ones a line a second
-    tells how many there were; ``flush_gathered`` must be called now and then for these.
+    Every event is counted in ``metrics``.  Lines are limited in rate by event name; at most
+    once a second, a "lines_left_out" line reports how many were suppressed.  Gathered events
+    share a line a second, which has their count; ``flush_gathered`` must be called
+    periodically to write it.
     """
 
     def __init__(
@@ -47,11 +48,11 @@
 
     @property
     def up_s(self) -> float:
-        """Return for how long the process has been logging, to the millisecond."""
+        """Return the seconds since this log was created, rounded to milliseconds."""
         return round(time.monotonic() - self._began_at_s, 3)
 
     def write(self, event: str, **fields: Any) -> None:
-        """Write a line if its kind's budget allows; never wait."""
+        """Write a line unless the rate limit of its event suppresses it; never block."""
         self.metrics.count_event(event, str(fields.get("outcome", "")))
         now_s = time.monotonic()
         if self._rate_limiter.admit(event, now_s):
@@ -69,18 +70,18 @@
         listed: Mapping[str, str] = EMPTY,
         **newest: Any,
     ) -> None:
-        """Have an event told with others, in one line a second at most; never wait.
+        """Add an event to a line that is written at most once a second; never block.
 
-        There is a line for each value of ``by``.  It has the ``count`` of its events, their
-        ``counts`` by ``counted_by``, the first names of those ``listed`` under a field, and
-        all other fields as the newest event has them.
+        There is one line for each combination of event and ``by``.  It has the ``count`` of its
+        events, their ``counts`` by ``counted_by``, the first names that events ``listed`` under
+        each field, and all other fields as in the newest event.
         """
         self.metrics.count_event(event, str(by.get("outcome", "")))
         self._gathered.add(event, by, counted_by, listed, newest)
         self.flush_gathered()
 
     def flush_gathered(self, is_last: bool = False) -> None:
-        """Write the gathered lines that are due, or all of them."""
+        """Write the gathered lines that are due, or all of them if ``is_last``."""
         for event, fields in self._gathered.take_due(math.inf if is_last else time.monotonic()):
             self._write_line(event, fields)
 
@@ -93,10 +94,10 @@
 
 
 class LineWriter:
-    """Writes lines to a descriptor as fast as its reader takes them.
+    """Writes lines to a non-blocking descriptor as fast as its reader consumes them.
 
-    Lines wait in memory while the reader is slow.  What does not fit is lost,
-    and the next line that is kept comes after one that says how many were.
+    Lines are buffered in memory while the reader is slow.  Lines that exceed the buffer are
+    dropped; a "lines_lost" line with their number precedes the next line that is buffered.
     """
 
     def __init__(self, descriptor: int = STANDARD_OUTPUT) -> None:
@@ -107,7 +108,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Write a line, or lose it; never wait."""
+        """Buffer a line, or drop it if the buffer is full, then write without blocking."""
         if len(self._buffer) >= BUFFERED_LINES_MAX:
             self.lost_count += 1
             self._unreported_lost_count += 1
@@ -120,7 +121,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write buffered lines until the descriptor would block."""
         while self._buffer:
             line = self._buffer[0]
             try:
@@ -128,7 +129,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone: nobody can be told, and work goes on.
+                # The reader has closed its end: drop the lines and keep the process running.
                 self.lost_count += len(self._buffer)
                 self._buffer.clear()
                 return
--- a/src/robinthread/_internal/telemetry/exporter.py
+++ b/src/robinthread/_internal/telemetry/exporter.py
@@ -1,4 +1,4 @@
-"""Metrics for the usual scraper."""
+"""Prometheus metrics of a process and the application that serves them."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -11,15 +11,16 @@
 from prometheus_client.registry import CollectorRegistry
 from tornado.web import Application, RequestHandler
 
-# What a scrape begins with: few lines that tell how a node stands.
+# Order of metric types in a scrape.  Gauges come first: they take few lines and show the status of
+# a node, and collectors may keep only the beginning of a scrape.
 TYPE_ORDER: Final = ("gauge", "counter", "histogram")
 
 
 class OrderedRegistry(CollectorRegistry):
-    """Metrics of this process alone, without those of its interpreter; short ones first."""
+    """Registry of the project's own metrics, without those of the interpreter, in type order."""
 
     def collect(self) -> Iterable[Metric]:
-        """Iterate over the metrics in the order of their types."""
+        """Return the metrics in the order of ``TYPE_ORDER``."""
         return sorted(super().collect(), key=lambda metric: TYPE_ORDER.index(metric.type))
 
 
@@ -27,12 +28,12 @@
 
 
 def make_meter() -> Meter:
-    """Make the meter whose instruments the scraper reads."""
+    """Return a meter whose instruments are exported from ``METRICS_REGISTRY``."""
     return make_meter_provider().get_meter("robinthread")
 
 
 def make_meter_provider() -> MeterProvider:
-    """Make what hands the scraper the instruments of its meters."""
+    """Return a meter provider whose meters are exported from ``METRICS_REGISTRY``."""
     reader = PrometheusMetricReader(
         disable_target_info=True, scope_info_enabled=False, registry=METRICS_REGISTRY
     )
@@ -40,19 +41,19 @@
 
 
 def write_metrics() -> bytes:
-    """Return all instruments in the scraper's text form."""
+    """Return all metrics in the Prometheus text format."""
     return generate_latest(METRICS_REGISTRY)
 
 
 class MetricsHandler(RequestHandler):
-    """Write all instruments in the scraper's text form."""
+    """Serves all metrics in the Prometheus text format."""
 
     def get(self) -> None:
-        """Answer a scrape."""
+        """Respond to a scrape."""
         self.set_header("Content-Type", CONTENT_TYPE_LATEST)
         self.finish(write_metrics())
 
 
 def make_metrics_application() -> Application:
-    """Make the scraper's listener."""
+    """Return the application that serves ``/metrics``."""
     return Application([(r"/metrics", MetricsHandler)], log_function=lambda handler: None)
--- a/src/robinthread/_internal/telemetry/gathered_lines.py
+++ b/src/robinthread/_internal/telemetry/gathered_lines.py
@@ -1,44 +1,45 @@
-"""Events of one kind told together, in one line a second at most."""
+"""Aggregation of events into log lines, at most one a second for each event and group."""
 
 import math
 from collections import Counter
 from collections.abc import Mapping
 from typing import Any, Final
 
-# Least time between two lines of one kind and group.
+# Minimum interval between two lines of the same event and group.
 GATHER_INTERVAL_S: Final = 1.0
-# Names that a line tells of those that it counts: some 150 bytes beside 100 to 200.
+# Maximum number of names that a line lists under one field: about 150 bytes, besides the 100 to
+# 200 bytes of its other fields.
 LISTED_NAMES_MAX: Final = 10
 
 Line = tuple[str, dict[str, Any]]
 
 
 class _Group:
-    """What was gathered since the last line of one kind and group."""
+    """Events of one group since its last line."""
 
     def __init__(self) -> None:
         self.due_at_s = -math.inf
         self.clear()
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Reset the counts, names and fields."""
         self.count = 0
         self.counts: Counter[str] = Counter()
         self.names: dict[str, dict[str, None]] = {}
         self.newest: Mapping[str, Any] = {}
 
     def make_fields(self) -> dict[str, Any]:
-        """Return what the line tells beside its group."""
+        """Return the fields of the line, without those that identify the group."""
         counts = {"counts": dict(self.counts)} if self.counts else {}
         names = {field: list(found) for field, found in self.names.items()}
         return {**self.newest, "count": self.count, **counts, **names}
 
 
 class GatheredLines:
-    """Makes one line a second at most of the events of one kind and group.
+    """Aggregates the events of each group into at most one line a second.
 
-    The first event of a group is due at once, those of the second after it together.
-    Times are of any one steady clock, in seconds.
+    The first event of a group is due at once; the events of the second after it are due
+    together.  Times are in seconds of any monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -53,7 +54,7 @@
         listed: Mapping[str, str],
         newest: Mapping[str, Any],
     ) -> None:
-        """Gather an event, see ``EventLog.gather``."""
+        """Add an event to its group, see ``EventLog.gather``."""
         key = (event, *by.items())
         group = self._groups.get(key)
         if group is None:
@@ -69,7 +70,7 @@
         self._next_due_s = min(self._next_due_s, group.due_at_s)
 
     def take_due(self, now_s: float) -> list[Line]:
-        """Return the events and fields of the lines to write now."""
+        """Return the event name and fields of each line that is due, and reset its group."""
         if now_s < self._next_due_s:
             return []
         lines = []
--- a/src/robinthread/_internal/telemetry/latencies.py
+++ b/src/robinthread/_internal/telemetry/latencies.py
@@ -1,19 +1,20 @@
-"""Latency histograms that cost next to nothing to keep."""
+"""Latency histograms with a low cost per record."""
 
 from bisect import bisect_left
 from collections.abc import Mapping
 from typing import Final
 
-# Upper bounds: what a call takes that finds no queue, the lag at which pools are passed on,
-# the longest time-out of most calls, and what callers bear.  Each costs a line for each set
-# of labels, and collectors may keep only a scrape's first 4,000 bytes.
+# Upper bounds of the buckets: the duration of a call that is not queued, the event-loop lag at
+# which a node hands over its pools, the longest timeout of most calls, and the longest delay that
+# callers accept.  Each bucket adds a line for each set of label values, and collectors may keep
+# only the first 4,000 bytes of a scrape.
 LATENCY_BOUNDS_S: Final = (0.02, 0.1, 0.5, 2.0)
 
 Labels = tuple[str, ...]
 
 
 class LatencyCounts:
-    """How many latencies lie up to each bound and beyond the last, and their sum."""
+    """Number of latencies in each bucket, the last of which has no bound, and their sum."""
 
     __slots__ = ("counts", "sum_s")
 
@@ -23,10 +24,10 @@
 
 
 class LatencyHistogram:
-    """Latencies of one name by the values of its labels.
+    """Latencies of one metric by the values of its labels.
 
-    A record takes 0.5 us, one of the library's instruments 14 us; a busy owner makes some
-    hundred calls a second and more.
+    A record takes 0.5 us, with an instrument of the OpenTelemetry library 14 us; a busy owner
+    makes a hundred calls a second or more.
     """
 
     def __init__(self, name: str, *labels: str) -> None:
@@ -36,11 +37,11 @@
 
     @property
     def by_labels(self) -> Mapping[Labels, LatencyCounts]:
-        """Return what was recorded, by the labels' values."""
+        """Return the recorded counts by label values."""
         return self._by_labels
 
     def record(self, took_s: float, *values: str) -> None:
-        """Record a latency under the values of the labels."""
+        """Record a latency in seconds under the given label values."""
         entry = self._by_labels.get(values)
         if entry is None:
             entry = self._by_labels[values] = LatencyCounts()
--- a/src/robinthread/_internal/telemetry/levels.py
+++ b/src/robinthread/_internal/telemetry/levels.py
@@ -1,11 +1,14 @@
-"""How much a line matters to who reads only some: a failure, a change, or routine."""
+"""Levels of log lines, by which readers filter them: failures and changes of state.
+
+Routine lines have no level.
+"""
 
 from typing import Final
 
 WARNING: Final = "warning"
 CHANGE: Final = "change"
 
-# Something failed, or a bound that must hold does not.
+# Something failed, or a required bound is violated.
 _WARNINGS: Final = (
     "end_forced",
     "host_lapsed",
@@ -35,7 +38,8 @@
     "unready",
     "wave_over_bound",
 )
-# Who owns what, what is in force, and what is ordered for the machines.
+# Changes of ownership, of a process's state and of the configuration in force, and orders for
+# machines.
 _CHANGES: Final = (
     "config_in_force",
     "fleet_taken",
--- a/src/robinthread/_internal/telemetry/line_rate_limiter.py
+++ b/src/robinthread/_internal/telemetry/line_rate_limiter.py
@@ -1,14 +1,13 @@
-"""How many log lines of each kind may be written."""
+"""Rate limits of log lines."""
 
 from collections import Counter
 from typing import Final
 
-# Lines a second of one kind, and how many may come at once.  A busy owner writes some
-# 60 starts and as many ends a second; a line takes some 30 us and 250 bytes.
+# Lines per second and burst size of each kind of line.  A busy owner writes about 60 starts and
+# as many ends a second; a line takes about 30 us and 250 bytes.
 ROUTINE_PER_S: Final = 100.0
 ROUTINE_BURST: Final = 200.0
-# The same for lines that tell a refusal or a failure: several times what the platform's
-# store takes in a second.
+# The same for refusals and failures: several times the rate that the platform's store can handle.
 FAILURE_PER_S: Final = 1000.0
 FAILURE_BURST: Final = 2000.0
 FAILURE_KINDS: Final = frozenset(
@@ -17,9 +16,9 @@
 
 
 class LineRateLimiter:
-    """A token bucket for each kind of line; counts what it turns away.
+    """A token bucket for each kind of line; counts the lines that it suppresses.
 
-    Times are of any one steady clock, in seconds.
+    Times are in seconds of any monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -27,7 +26,7 @@
         self._suppressed: Counter[str] = Counter()
 
     def admit(self, kind: str, now_s: float) -> bool:
-        """Tell whether a line of a kind may be written now."""
+        """Return whether a line of a kind may be written now, and count it if it may not."""
         is_failure = kind in FAILURE_KINDS
         rate_per_s = FAILURE_PER_S if is_failure else ROUTINE_PER_S
         burst = FAILURE_BURST if is_failure else ROUTINE_BURST
@@ -40,7 +39,7 @@
         return is_admitted
 
     def take_suppressed(self) -> dict[str, int]:
-        """Return how many lines of each kind were turned away since the last call."""
+        """Return the number of suppressed lines of each kind since the last call."""
         suppressed = dict(self._suppressed)
         self._suppressed.clear()
         return suppressed
--- a/src/robinthread/_internal/telemetry/log_bridge.py
+++ b/src/robinthread/_internal/telemetry/log_bridge.py
@@ -1,4 +1,4 @@
-"""Messages of libraries as structured log lines."""
+"""Messages of the standard ``logging`` module as structured log lines."""
 
 import logging
 
@@ -6,14 +6,14 @@
 
 
 class EventLogHandler(logging.Handler):
-    """Writes each message of the standard logging module as an event."""
+    """Writes each message of level WARNING or above as an event."""
 
     def __init__(self, events: EventLog) -> None:
         super().__init__(logging.WARNING)
         self._events = events
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one message, with the type and text of its exception."""
+        """Write a message, with the type and text of its exception if it has one."""
         error = record.exc_info[1] if record.exc_info else None
         self._events.write(
             "library_message",
@@ -25,5 +25,5 @@
 
 
 def bridge_libraries(events: EventLog) -> None:
-    """Have all libraries' messages written as events, and nowhere else."""
+    """Write the messages of all libraries as events, and remove all other log handlers."""
     logging.basicConfig(handlers=[EventLogHandler(events)], level=logging.WARNING, force=True)
--- a/src/robinthread/_internal/telemetry/node_exporter.py
+++ b/src/robinthread/_internal/telemetry/node_exporter.py
@@ -1,4 +1,4 @@
-"""What a node has counted and timed, for the usual scraper."""
+"""Export of a node's metrics to Prometheus."""
 
 from collections.abc import Iterator
 from itertools import accumulate
@@ -16,13 +16,13 @@
 
 
 class LatencyCollector(Collector):
-    """Hands the scraper what a node has timed."""
+    """Exports the latency histograms of a node."""
 
     def __init__(self, metrics: NodeMetrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Iterate over the latencies that have values."""
+        """Iterate over the histograms that have values."""
         yield from (
             _make_family(histogram) for histogram in self._metrics.latencies if histogram.by_labels
         )
@@ -37,6 +37,6 @@
 
 
 def start_metrics_export(metrics: NodeMetrics) -> None:
-    """Have what a node has counted and timed since its start served, and its gauges."""
+    """Export a node's gauges and all that it has counted and timed since its start."""
     set_meter_provider(make_meter_provider())
     METRICS_REGISTRY.register(LatencyCollector(metrics))
--- a/src/robinthread/_internal/telemetry/node_metrics.py
+++ b/src/robinthread/_internal/telemetry/node_metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts and times, kept plainly, and its gauges."""
+"""Event counts, latencies and gauges of a node, recorded without the exporter."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -11,9 +11,9 @@
 
 
 class NodeMetrics:
-    """What a node counts and times from its start; an exporter that is loaded later reads it.
+    """Event counts and latencies of a node since its start; an exporter loaded later reads them.
 
-    Latencies are in seconds.  An outcome is a word or the name of an error.
+    Latencies are in seconds.  An outcome is a word, such as "ok", or the class name of an error.
     """
 
     def __init__(self, meter: Meter | None = None) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def latencies(self) -> tuple[LatencyHistogram, ...]:
-        """Return all latencies, those first that tell most of how callers fare."""
+        """Return all histograms, those that best show the service callers get first."""
         return (
             self._starts,
             self._jobs,
@@ -43,35 +43,35 @@
         )
 
     def count_event(self, event: str, outcome: str) -> None:
-        """Count a log line, written or left out."""
+        """Count an event, whether its line is written or suppressed."""
         self._events[event, outcome] += 1
 
     def record_request(self, kind: str, code: int, took_s: float) -> None:
-        """Note a caller's request and the number of its result code."""
+        """Record the latency of a caller's request, by kind and number of its result code."""
         self._requests.record(took_s, kind, str(code))
 
     def record_store_call(self, kind: str, outcome: str, took_s: float) -> None:
-        """Note a call to the store."""
+        """Record the latency of a call to the store."""
         self._store_calls.record(took_s, kind, outcome)
 
     def record_host_call(self, kind: str, outcome: str, took_s: float) -> None:
-        """Note an order to a job host."""
+        """Record the latency of an order to a job host."""
         self._host_calls.record(took_s, kind, outcome)
 
     def record_machine_call(self, kind: str, outcome: str, took_s: float) -> None:
-        """Note a call about the fleet's machines."""
+        """Record the latency of a call about the fleet's machines."""
         self._machine_calls.record(took_s, kind, outcome)
 
     def record_run_start(self, pool: str, since_accepted_s: float) -> None:
-        """Note a run's start."""
+        """Record the time from a job's acceptance to the start of a run."""
         self._starts.record(max(0.0, since_accepted_s), pool)
 
     def record_job_end(self, pool: str, status: str, since_accepted_s: float) -> None:
-        """Note a job's end."""
+        """Record the time from a job's acceptance to its end."""
         self._jobs.record(max(0.0, since_accepted_s), pool, status)
 
     def register_gauge(self, name: str, label: str, read: ReadGauge) -> None:
-        """Publish a gauge; ``read`` returns its values by label."""
+        """Register a gauge; ``read`` returns its values by the value of ``label``."""
 
         def callback(options: CallbackOptions) -> Iterable[Observation]:
             return [Observation(value, {label: key}) for key, value in read().items()]
