--- a/src/robinthread/_internal/results.py
+++ b/src/robinthread/_internal/results.py
@@ -1,7 +1,7 @@
 """Numbered result codes, shared by every layer.
 
 The hundreds digit of a code is its family.  Families 2 to 4 are the three
-truths about a request: it ran, it did not run, or its outcome is unknown.
+outcomes of a request: it ran, it did not run, or its outcome is unknown.
 """
 
 import enum
@@ -92,7 +92,7 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell whether the code stands for a success."""
+        """Return whether the code stands for a success."""
         return self.family in (Family.SUCCESS, Family.RAN) and self is not ResultCode.RAN_FAILED
 
 
@@ -163,9 +163,9 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """A failure as a person or a caller sees it.
+    """A failure as reported to an operator or a caller.
 
-    ``message`` says what happened, then what to do.
+    ``message`` states what happened, then what to do.
     """
 
     code: ResultCode
@@ -176,12 +176,12 @@
 
 
 def make_fault(code: ResultCode, detail: str = "") -> Fault:
-    """Make a fault whose message joins what happened and the code's meaning."""
+    """Return a fault whose message joins ``detail`` and the code's meaning."""
     return Fault(code, f"{detail}. {MEANINGS[code]}" if detail else MEANINGS[code])
 
 
 class FaultError(Exception):
-    """Carry a fault through code that raises."""
+    """An exception that carries a fault."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
--- a/src/robinthread/_internal/utils/__init__.py
+++ b/src/robinthread/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Odds and ends that belong to no other package."""
+"""Helpers shared by several packages: HTTP calls, the event loop, files and memory."""
--- a/src/robinthread/_internal/utils/call_timeout.py
+++ b/src/robinthread/_internal/utils/call_timeout.py
@@ -1,19 +1,20 @@
-"""How long to wait for an answer, learnt from the answers that came."""
+"""Timeout of a call, estimated from earlier response times."""
 
 from typing import Final
 
-# Weights of a new answer in the mean and in its spread, as usual for retransmission.
+# Weights of a new response time in the mean and in the mean deviation, as is usual for
+# retransmission timeouts.
 MEAN_WEIGHT: Final = 0.125
 DEVIATION_WEIGHT: Final = 0.25
-# So many spreads beyond the mean an answer is taken as lost.
+# Number of mean deviations above the mean after which a response counts as lost.
 DEVIATION_FACTOR: Final = 4
 
 
 class CallTimeout:
-    """A timeout that follows the time that answers take.
+    """A timeout that adapts to the observed response times.
 
-    It doubles with each answer that does not come, so that a service that has
-    become slow is heard again.
+    It doubles with each lost response, so that it grows beyond the response time of a service
+    that has become slow.
     """
 
     def __init__(self, min_s: float, max_s: float) -> None:
@@ -25,18 +26,18 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long to wait for an answer now."""
+        """Return the current timeout in seconds."""
         expected_s = self._mean_s + DEVIATION_FACTOR * self._mean_deviation_s
         return min(self._max_s, max(self._min_s, expected_s) * self._backoff_factor)
 
     def record_response(self, took_s: float) -> None:
-        """Note how long an answer took."""
+        """Record a response time in seconds and reset the back-off."""
         deviation_s = abs(took_s - self._mean_s)
         self._mean_deviation_s += DEVIATION_WEIGHT * (deviation_s - self._mean_deviation_s)
         self._mean_s += MEAN_WEIGHT * (took_s - self._mean_s)
         self._backoff_factor = 1
 
     def record_loss(self) -> None:
-        """Note an answer that did not come in time."""
+        """Record a lost response: double the timeout, up to its maximum."""
         if self.seconds < self._max_s:
             self._backoff_factor *= 2
--- a/src/robinthread/_internal/utils/event_loop.py
+++ b/src/robinthread/_internal/utils/event_loop.py
@@ -1,9 +1,9 @@
-"""The event loop of a process, and the one clock that all of its times are of.
+"""The event loop of a process, whose clock gives all of the process's times.
 
-What a node may do rests on how long ago something was so: that the store confirmed an owner, that
-a lease was granted, that a list was read.  Others count that time also while the node's machine
-is suspended, so the loop's clock counts it as well.  A suspension is then like any other time in
-which the process did not run: timers that came due meanwhile go off at once.
+What a node may do depends on the time since an event: since the store confirmed an owner, a lease
+was granted or a list was read.  Other nodes count that time even while this node's machine is
+suspended, so the loop's clock includes suspended time.  A suspension is then like any other time
+in which the process did not run: timers that expired during it fire at once.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 
 
 def read_elapsed_s() -> float:
-    """Return the time since the machine was started, suspended or not.
+    """Return the seconds since the machine was started, including suspended time.
 
-    Where the system has no such clock, it is that of the time that the machine was awake.
+    On systems without such a clock, return a monotonic time without suspended time.
     """
     if not hasattr(time, "CLOCK_BOOTTIME"):
         return time.monotonic()
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True)
 class Clocks:
-    """The clock of a process, in seconds, which never goes back."""
+    """The monotonic clock of a process, in seconds."""
 
     read_elapsed_s: Callable[[], float] = read_elapsed_s
 
 
 class ProcessLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while its machine is suspended."""
+    """An event loop whose clock advances while its machine is suspended."""
 
     def __init__(
         self, clocks: Clocks | None = None, selector: selectors.BaseSelector | None = None
@@ -43,11 +43,11 @@
         super().__init__(selector)
 
     def time(self) -> float:
-        """Return the clock's time, in seconds."""
+        """Return the loop's time in seconds."""
         return self._read_elapsed_s()
 
 
 def run_process(main: Coroutine[Any, Any, T]) -> T:
-    """Run a process's main coroutine to its end."""
+    """Run a process's main coroutine to completion and return its result."""
     with asyncio.Runner(loop_factory=ProcessLoop) as runner:
         return runner.run(main)
--- a/src/robinthread/_internal/utils/fetcher.py
+++ b/src/robinthread/_internal/utils/fetcher.py
@@ -1,4 +1,4 @@
-"""An HTTP fetcher that does for a call no more than our services need."""
+"""An HTTP client on libcurl, reduced to what calls between services need."""
 
 import asyncio
 import errno
@@ -10,25 +10,25 @@
 from tornado.httpclient import HTTPRequest, HTTPResponse
 from tornado.httputil import HTTPHeaders
 
-# Stands for a refused connection among libcurl's codes, which are never negative.
+# Error code of a refused connection.  libcurl's own codes are never negative.
 REFUSED_CODE: Final = -errno.ECONNREFUSED
-# Longest body of an answer: the store's pages have 1 MB at most.
+# Maximum size of a response body.  The store's pages have at most 1 MB.
 BODY_MAX_BYTES: Final = 64 * 1024 * 1024
 
 
 class Fetcher(CurlAsyncHTTPClient):
-    """Makes GET and POST calls, of whose answers it tells the status and the body alone.
+    """Makes GET and POST calls and returns only the status and the body of the response.
 
-    An order to a host is a call, and so is each look at one: at 100 starts a second they are
-    most of an owner's work.  Headers of answers, timings, redirects and proxies, which nobody
-    here asks for, take half of a call: 0.28 ms with them, 0.14 ms without (processor time, median
+    Each order to a host and each poll of a host is a call: at 100 starts a second, calls are
+    most of an owner's work.  Response headers, timings, redirects and proxies, which no caller
+    uses, take half of a call: 0.28 ms with them, 0.14 ms without (processor time, median
     of 8 runs of 2,000 calls, 20 at once, over loopback).
 
-    Refused connections are told from those that found no way, which libcurl does not.
+    Unlike libcurl, it distinguishes a refused connection from an unreachable address.
     """
 
     def _set_timeout(self, msecs: int) -> None:
-        """Have libcurl look after its calls in so many ms; negative: not at all."""
+        """Run libcurl's timeout handling in ``msecs`` milliseconds; cancel it if negative."""
         if self._timeout is not None:
             self.io_loop.remove_timeout(self._timeout)
         self._timeout = None
@@ -39,7 +39,7 @@
     def _curl_setup_request(
         self, curl: pycurl.Curl, request: HTTPRequest, buffer: BytesIO, headers: HTTPHeaders
     ) -> None:
-        # The handle was reset after its last call: all but these options are as libcurl has them.
+        # The handle was reset after its last call: all other options have libcurl's defaults.
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.PROXY, "")
         curl.setopt(pycurl.MAXFILESIZE, BODY_MAX_BYTES)
@@ -64,7 +64,7 @@
         self._multi.remove_handle(curl)
         request = info["request"]
         if curl_error:
-            # The handle carries another call, perhaps, before whoever made this one goes on.
+            # Read now: the handle may serve another call before the caller of this one resumes.
             is_refused = (
                 curl_error == pycurl.E_COULDNT_CONNECT
                 and curl.getinfo(pycurl.OS_ERRNO) == errno.ECONNREFUSED
@@ -82,9 +82,9 @@
 
 
 def _format_headers(headers: HTTPHeaders) -> list[bytes]:
-    """Return the lines of a request's headers; raise ``ValueError`` where one would be two."""
+    """Return the header lines of a request; raise ``ValueError`` if one has a line break."""
     lines = [f"{name}: {value}".encode("latin1") for name, value in headers.get_all()]
     if any(b"\r" in line or b"\n" in line for line in lines):
-        raise ValueError("a header has a line end in it")
-    # libcurl would else ask whether it may send a long body, and wait for the answer.
+        raise ValueError("a request header contains a line break")
+    # Without this line, libcurl asks for permission to send a long body and awaits the response.
     return [*lines, b"Expect:"]
--- a/src/robinthread/_internal/utils/files.py
+++ b/src/robinthread/_internal/utils/files.py
@@ -1,4 +1,4 @@
-"""Files that operators name."""
+"""Reading of files whose paths operators give."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 def read_text(path: str) -> str:
-    """Read an operator's file; raise ``FaultError``."""
+    """Return the text of an operator's file; raise ``FaultError`` if it cannot be read."""
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/robinthread/_internal/utils/http_call.py
+++ b/src/robinthread/_internal/utils/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call, and what is known of it where it fails."""
+"""HTTP calls, whose errors show whether the request may have been sent."""
 
 from dataclasses import dataclass, field
 from typing import Final, TypeVar
@@ -13,15 +13,15 @@
 from robinthread._internal.utils.keep_alive_connections import ConnectionUse, KeepAliveConnections
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
-# Longest wait for a connection.  A lost SYN is sent again after a second; every
-# peer of ours is within some milliseconds.
+# Maximum time to connect.  A lost SYN is sent again after a second, and every peer is within a
+# few milliseconds.
 CONNECT_TIMEOUT_S: Final = 1.0
 
 T = TypeVar("T")
 
 
 class CallUnsentError(Exception):
-    """The connection could not be made, so nothing was sent."""
+    """The connection could not be established, so no byte of the request was sent."""
 
 
 class NobodyListensError(CallUnsentError):
@@ -29,23 +29,23 @@
 
 
 class CallLostError(Exception):
-    """The request was sent, at least in part, and no whole answer came."""
+    """At least part of the request was sent, and no complete response was received."""
 
 
 class CallTimedOutError(CallLostError):
-    """The time for the call was over; its connection had not broken."""
+    """The call timed out while its connection was open."""
 
 
 @dataclass(frozen=True)
 class HttpClient:
-    """An HTTP client, and what it knows of the connections that it keeps open."""
+    """An HTTP client and the state of its keep-alive connections."""
 
     fetcher: AsyncHTTPClient
     keep_alive: KeepAliveConnections = field(default_factory=KeepAliveConnections)
 
 
 def make_client(connections_max: int) -> HttpClient:
-    """Make an HTTP client that keeps up to ``connections_max`` connections open."""
+    """Return an HTTP client with up to ``connections_max`` calls and open connections."""
     fetcher = Fetcher(force_instance=True, max_clients=connections_max)
     fetcher._multi.setopt(pycurl.M_MAXCONNECTS, connections_max)
     return HttpClient(fetcher)
@@ -59,11 +59,11 @@
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
 ) -> HTTPResponse:
-    """Make one call: POST where there is a body, else GET.
+    """Make one call: POST if there is a body, else GET.
 
-    Returns the answer whatever its status.  Raises ``CallUnsentError``, of which
-    ``NobodyListensError`` is one, or ``CallLostError``; the connection of a lost call is
-    not used again, and if it was a kept one, none that was open to that address then.
+    Returns the response whatever its status.  Raises ``CallUnsentError``, whose subclass is
+    ``NobodyListensError``, or ``CallLostError``.  The connection of a lost call is not reused;
+    if it was a keep-alive connection, neither are the others open to that address at that time.
     """
     use = ConnectionUse(client.keep_alive, urlsplit(url).netloc)
     request = HTTPRequest(
@@ -88,14 +88,14 @@
             raise CallTimedOutError(str(error)) from error
         raise CallLostError(str(error)) from error
     if use.sent_count > 1 and response.code != 200:
-        # A refusal of the repeat says nothing of the first one, which may have been read.
-        raise CallLostError(f"status {response.code} to a request that was sent twice")
+        # The status of the repeated request does not show whether the first one was processed.
+        raise CallLostError(f"HTTP status {response.code} for a request that was sent again")
     return response
 
 
 def decode(body: bytes, type_: type[T]) -> T:
-    """Decode an answer's body; raise ``CallLostError`` where it is malformed."""
+    """Decode a JSON response body; raise ``CallLostError`` if it is malformed."""
     try:
         return msgspec.json.decode(body, type=type_)
     except msgspec.MsgspecError as error:
-        raise CallLostError(f"malformed answer: {error}") from error
+        raise CallLostError(f"malformed response: {error}") from error
--- a/src/robinthread/_internal/utils/http_errors.py
+++ b/src/robinthread/_internal/utils/http_errors.py
@@ -1,4 +1,4 @@
-"""What an HTTP client's error tells about the request."""
+"""Classification of an HTTP client's errors."""
 
 import pycurl
 from tornado.curl_httpclient import CurlError
@@ -9,5 +9,5 @@
 
 
 def was_never_sent(error: BaseException) -> bool:
-    """Tell whether the error proves that no byte of the request was sent."""
+    """Return whether the error proves that no byte of the request was sent."""
     return isinstance(error, CurlError) and error.errno in _UNSENT_ERRNOS
--- a/src/robinthread/_internal/utils/keep_alive_connections.py
+++ b/src/robinthread/_internal/utils/keep_alive_connections.py
@@ -1,4 +1,4 @@
-"""Which of the connections kept open to an address may carry another call."""
+"""Decides which keep-alive connections to an address may carry another call."""
 
 import math
 import time
@@ -6,21 +6,22 @@
 
 import pycurl
 
-# Least time between two doubts of one address.  A service that is slow loses calls on
-# kept connections all the time, and must not be met by new connections alone.
+# Minimum interval between two retirements for one address.  Calls to a slow service are lost on
+# keep-alive connections all the time and must not open a new connection each.
 RETIRE_INTERVAL_S: Final = 1.0
-# Connections idle for so long are closed, those in doubt with them: an address that is
-# doubted all the time has the idle ones of so many generations open at most.
+# Idle time after which connections, including retired ones, are closed.  An address with a
+# retirement every RETIRE_INTERVAL_S has the idle connections of at most
+# IDLE_MAX_S / RETIRE_INTERVAL_S generations open.
 IDLE_MAX_S: Final = 10
 
 
 class KeepAliveConnections:
-    """Puts the connections to an address in doubt once one of them has lost a call.
+    """Retires the open connections to an address once one of them has lost a call.
 
-    Open connections may go silent for good, without a reset, all to one address at
-    once.  libcurl closes that of a lost call only, and takes the one opened first for
-    the next: 20 kept connections would lose 20 calls in a row.  So connections belong
-    to generations; a loss begins the next one, and older ones carry no new call.
+    All open connections to an address may become unresponsive at once and permanently, without
+    a reset.  libcurl closes only the connection of a lost call and uses the oldest one for the
+    next call: 20 keep-alive connections would lose 20 calls in a row.  So connections belong
+    to generations; a loss starts the next generation, and older ones carry no new calls.
     """
 
     def __init__(self) -> None:
@@ -28,11 +29,15 @@
         self._retired_at_s: dict[str, float] = {}
 
     def get_generation(self, address: str) -> int:
-        """Return the generation that a call to ``address`` may use now."""
+        """Return the generation of connections that a new call to ``address`` uses."""
         return self._generations.get(address, 0)
 
     def retire_generation(self, address: str, generation: int) -> None:
-        """Note that a call was lost on a kept connection of a generation."""
+        """Start the next generation after a call was lost on a keep-alive connection.
+
+        There is no effect if ``generation`` is not the current one, or if the last retirement
+        for the address was less than RETIRE_INTERVAL_S ago.
+        """
         now_s = time.monotonic()
         is_current = generation == self.get_generation(address)
         if is_current and now_s - self._retired_at_s.get(address, -math.inf) >= RETIRE_INTERVAL_S:
@@ -41,11 +46,11 @@
 
 
 class ConnectionUse:
-    """The use that one call makes of a connection.
+    """Tracks the connection that one call uses and how often its request is sent.
 
-    ``sent_count`` is how often its request was begun to be sent.  libcurl sends it again by
-    itself where a kept connection ends, so neither its last error nor the last answer tells
-    what became of the first one.
+    ``sent_count`` is the number of times that sending the request began.  libcurl sends it again
+    by itself if a keep-alive connection ends, so neither the last error nor the last response
+    shows the outcome of the first attempt.
     """
 
     def __init__(self, connections: KeepAliveConnections, address: str) -> None:
@@ -56,17 +61,17 @@
         self.sent_count = 0
 
     def prepare(self, curl: pycurl.Curl) -> None:
-        """Have a call go out on a connection that is not in doubt."""
+        """Restrict a call to connections of the current generation."""
         self._generation = self._connections.get_generation(self._address)
-        # Which scope an IPv6 address is in; has no effect on IPv4, which is all that our
-        # platform speaks, but a connection is used again for calls of its own scope only.
+        # The scope of an IPv6 address.  It has no effect on IPv4, the only protocol of the
+        # platform, but libcurl reuses a connection only for calls of the same scope.
         curl.setopt(pycurl.ADDRESS_SCOPE, self._generation)
         curl.setopt(pycurl.MAXAGE_CONN, IDLE_MAX_S)
         curl.setopt(pycurl.SOCKOPTFUNCTION, self._record_opening)
         curl.setopt(pycurl.PREREQFUNCTION, self._record_sending)
 
     def record_loss(self) -> None:
-        """Note that no answer came; on a new connection that tells nothing of others."""
+        """Record a lost response; on a new connection, it says nothing about the others."""
         if not self._is_new:
             self._connections.retire_generation(self._address, self._generation)
 
--- a/src/robinthread/_internal/utils/listener.py
+++ b/src/robinthread/_internal/utils/listener.py
@@ -1,4 +1,4 @@
-"""Serving HTTP on an address, without keeping connections whose other end is gone."""
+"""HTTP server on an address, which closes connections whose other end is unreachable."""
 
 import socket
 from typing import Final
@@ -7,14 +7,14 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application
 
-# A connection that was quiet for so long is probed.  Peers ask each other more often.
+# Idle time after which a connection is probed.  Peers send requests more often.
 PROBE_AFTER_S: Final = 10
-# One that does not answer is probed again every so often, ...
+# Interval between probes that are not acknowledged.
 PROBE_INTERVAL_S: Final = 5
-# ... and closed after so many: 25 s in all.  Nothing waits for it; it holds one of some
-# thousand descriptors.
+# Number of unacknowledged probes after which a connection is closed: 25 s in all.  No caller
+# depends on a faster close; until then, it uses one of about a thousand descriptors.
 PROBES_MAX: Final = 3
-# Accepted connections have these from their listener.
+# Accepted connections inherit these options from the listening socket.
 _KEEP_ALIVE_OPTIONS: Final = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
@@ -24,7 +24,7 @@
 
 
 def listen(application: Application, address: str) -> HTTPServer:
-    """Serve an application on an address."""
+    """Serve an application on ``address``, an IP address and a port; return the server."""
     host, _, port = address.rpartition(":")
     sockets = bind_sockets(int(port), host)
     for listener in sockets:
--- a/src/robinthread/_internal/utils/memory.py
+++ b/src/robinthread/_internal/utils/memory.py
@@ -1,4 +1,4 @@
-"""Giving freed memory back to the system."""
+"""Limits on the memory that the C library's allocator retains."""
 
 import contextlib
 import ctypes
@@ -9,15 +9,15 @@
 
 
 def limit_arenas() -> None:
-    """Have all threads share one heap: the library's many threads would each keep one."""
+    """Make all threads share one heap: each of the library's many threads would retain one."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).mallopt(_M_ARENA_MAX, 1)
 
 
 def trim_memory() -> None:
-    """Give freed memory back after a large, short-lived object such as a snapshot.
+    """Return freed memory to the system after a large, short-lived object such as a snapshot.
 
-    glibc keeps freed blocks otherwise; other C libraries lack the call.
+    glibc retains freed blocks otherwise; other C libraries lack the call.
     """
     gc.collect()
     with contextlib.suppress(OSError, AttributeError):
--- a/src/robinthread/_internal/utils/rendezvous.py
+++ b/src/robinthread/_internal/utils/rendezvous.py
@@ -1,11 +1,14 @@
-"""Rendezvous hashing: a choice that all agree on and few changes disturb."""
+"""Rendezvous hashing: a choice of a name for each key, identical on all nodes.
+
+A name that is added or removed changes only the choices that it wins or held.
+"""
 
 import hashlib
 from collections.abc import Iterable
 
 
 def pick_by_rendezvous(key: str, names: Iterable[str]) -> str:
-    """Return the name with the highest weight for ``key``, or "" of none."""
+    """Return the name with the highest weight for ``key``, or "" if there are no names."""
     return max(names, key=lambda name: get_rendezvous_weight(key, name), default="")
 
 
