--- a/src/robinthread/_internal/settings/check.py
+++ b/src/robinthread/_internal/settings/check.py
@@ -1,4 +1,4 @@
-"""Combinations of settings that cannot work."""
+"""Checks of settings: missing values, ranges, addresses and combinations."""
 
 import dataclasses
 import ipaddress
@@ -10,9 +10,9 @@
 from robinthread._internal.settings.policy_settings import PolicySettings
 
 POLICIES: Final = ("planner", "one_at_a_time", "batch")
-# More than callers bear beside a job's own work in any queue seen.
+# Exceeds the delay beyond a job's own work that callers accept in any queue observed.
 SLACK_MARGIN_MAX_S: Final = 5.0
-# Beyond it a rise would be carried forward by more than it has lasted.
+# A larger value would extrapolate a rise in demand for longer than it has lasted.
 RISE_AHEAD_MAX_S: Final = 2.0
 MAY_BE_ZERO: Final = frozenset(
     {
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """A setting that does not go with another, or is out of range."""
+    """A setting that is missing, malformed, out of range or incompatible with another."""
 
     key: str
     text: str
 
 
 def iter_conflicts(settings: DaemonSettings) -> Iterator[Conflict]:
-    """Iterate over all conflicts."""
+    """Iterate over all conflicts in a daemon's settings."""
     yield from _iter_missing(settings)
     yield from _iter_out_of_range(settings, ())
     yield from _iter_addresses(settings)
@@ -94,7 +94,7 @@
     }
     for key, address in addresses.items():
         if not _is_address(address):
-            yield Conflict(key, f"is {address!r}, expected an IP number, a colon and a port")
+            yield Conflict(key, f"is {address!r}, expected an IP address, a colon and a port")
     fixed_addresses = [address for address in addresses.values() if not address.endswith(":0")]
     if len(set(fixed_addresses)) < len(fixed_addresses):
         yield Conflict("listen", "two listeners have the same address")
--- a/src/robinthread/_internal/settings/claim_settings.py
+++ b/src/robinthread/_internal/settings/claim_settings.py
@@ -5,12 +5,12 @@
 
 @dataclass(frozen=True)
 class ClaimSettings:
-    """Settings of claims, the same on every daemon of a deployment.
+    """Settings of claims, identical on every daemon of a deployment.
 
-    ``claim_appends_per_s`` bounds the appends of all partitions together.
-    ``claim_horizon_s`` is the furthest deadline that a request which must not
-    be repeated may have; claims are kept until that deadline and
-    ``clock_skew_s`` more, so the log must retain at least both.
+    ``claim_appends_per_s`` limits the appends of all partitions together.
+    ``claim_horizon_s`` is the longest time to the deadline of a request that must
+    not be repeated.  Claims are retained until that deadline plus
+    ``clock_skew_s``, so the log must retain records for at least the sum of both.
     """
 
     claim_partitions: int = 16
--- a/src/robinthread/_internal/settings/daemon_settings.py
+++ b/src/robinthread/_internal/settings/daemon_settings.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class ListenSettings:
-    """Addresses that a daemon listens on; TLS where both files are named."""
+    """Addresses that a daemon listens on; it uses TLS if both TLS files are set."""
 
     caller_address: str = "127.0.0.1:0"
     operator_address: str = "127.0.0.1:0"
@@ -26,7 +26,12 @@
 
 @dataclass(frozen=True)
 class StopSettings:
-    """How a planned stop goes: not ready, wait for the balancer, finish, leave."""
+    """Timing of a planned stop.
+
+    The daemon becomes unready, waits ``balancer_grace_s`` for the load balancer, then at most
+    ``finish_timeout_s`` until its requests have finished, leaves the fleet, and waits
+    ``farewell_s`` before it closes its connections.
+    """
 
     balancer_grace_s: float = 2.0
     finish_timeout_s: float = 120.0
@@ -35,7 +40,7 @@
 
 @dataclass(frozen=True)
 class DaemonSettings:
-    """All settings of a daemon; ``name`` is its entry host's."""
+    """All settings of a daemon; ``name`` is the name of its entry host."""
 
     name: str = ""
     hall: str = ""
--- a/src/robinthread/_internal/settings/dispatch_settings.py
+++ b/src/robinthread/_internal/settings/dispatch_settings.py
@@ -7,15 +7,16 @@
 class DispatchSettings:
     """Settings of the dispatcher of a pool in a data hall.
 
-    ``urgent_start_s`` is the longest that urgent work may wait; lower work is
+    ``urgent_start_s`` is the maximum wait of urgent work; work of lower priority is
     checkpointed after ``preempt_after_s``.  A host whose last
-    ``suspend_after_failures`` distinct jobs failed gets no work for
+    ``suspend_after_failures`` distinct jobs failed receives no work for
     ``suspend_min_s``, doubled with each failed probe up to ``suspend_max_s``;
-    after ``set_aside_after_suspensions`` it is set aside if its budget allows.
-    A job that failed on ``set_aside_after_hosts`` distinct hosts is refused
-    for ``set_aside_s``.  A task that was cut off by its deadline counts against
-    its host only if it ran ``slow_factor`` times longer than the mean.
-    ``route_by_outcome`` off routes by load alone, the baseline of the benches.
+    after ``set_aside_after_suspensions`` suspensions it is set aside if its
+    budget allows.  A job that failed on ``set_aside_after_hosts`` distinct hosts
+    is refused for ``set_aside_s``.  A task that was stopped at its deadline counts
+    against its host only if it ran ``slow_factor`` times longer than the mean.
+    With ``route_by_outcome`` off, work is routed by load alone, which is the
+    baseline of the benchmarks.
     """
 
     queue_max: int = 2000
--- a/src/robinthread/_internal/settings/entry_settings.py
+++ b/src/robinthread/_internal/settings/entry_settings.py
@@ -1,16 +1,16 @@
-"""Settings of the entry of callers' requests."""
+"""Settings of the handling of callers' requests."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """Settings of callers' requests.
+    """Settings of the handling of callers' requests.
 
-    ``retry_share`` bounds retries as a share of first tries.  Answers to
-    requests that must not be repeated are kept for duplicates until their
-    deadline and ``answer_keep_s`` more, in at most ``answers_max_bytes``.
-    ``upstream_connections_max`` bounds the calls to workers at once.
+    ``retry_share`` limits retries to a share of first tries.  Answers to
+    requests that must not be repeated are cached for duplicates until their
+    deadline plus ``answer_keep_s``, in at most ``answers_max_bytes``.
+    ``upstream_connections_max`` limits concurrent calls to workers.
     """
 
     default_timeout_s: float = 30.0
--- a/src/robinthread/_internal/settings/parse.py
+++ b/src/robinthread/_internal/settings/parse.py
@@ -1,4 +1,4 @@
-"""Reading settings from TOML, with every fault told at once, by key and line."""
+"""Parsing of settings from TOML, which reports all problems at once, by key and line."""
 
 import dataclasses
 import difflib
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class SettingsProblem:
-    """A fault in a settings file; ``line`` is 0 where the key is missing."""
+    """A problem in a settings file; ``line`` is 0 if the key is missing from the file."""
 
     key: str
     line: int
@@ -40,21 +40,21 @@
 
 
 def parse_settings(text: str, path: str) -> Result[DaemonSettings, Fault]:
-    """Parse a daemon's settings file and check it; the fault names every problem."""
+    """Parse and check a daemon's settings file; the fault lists every problem."""
     return parse_file(DaemonSettings, text, path, iter_conflicts)
 
 
 def parse_policy(text: str, path: str) -> Result[PolicySettings, Fault]:
-    """Parse a node's policy file and check it; the fault names every problem."""
+    """Parse and check a node's policy file; the fault lists every problem."""
     return parse_file(PolicySettings, text, path, iter_policy_conflicts)
 
 
 def parse_file(
     settings_type: type[T], text: str, path: str, iter_conflicts: Callable[[T], Iterable[Conflict]]
 ) -> Result[T, Fault]:
-    """Parse a file of one kind and check it; the fault names every problem.
+    """Parse a file as ``settings_type`` and check it; the fault lists every problem.
 
-    A field of the kind is a value, a table, or tables by name (``dict[str, table]``).
+    A field of the type is a value, a table, or tables by name (``dict[str, table]``).
     """
     try:
         raw = tomllib.loads(text)
@@ -115,7 +115,7 @@
 def _drop_keys(
     raw: dict[str, Any], invalid_keys: Collection[str], path: tuple[str, ...]
 ) -> dict[str, Any]:
-    """Return what is left without the keys that cannot be read: it is checked all the same."""
+    """Return ``raw`` without its invalid keys, so that the other settings are still checked."""
     remaining = {
         key: value for key, value in raw.items() if ".".join((*path, key)) not in invalid_keys
     }
@@ -166,7 +166,7 @@
 
 
 def _find_lines(text: str) -> dict[str, int]:
-    """Return the line of each dotted key, for ``tomllib`` does not tell it."""
+    """Return the line number of each dotted key, which ``tomllib`` does not report."""
     lines: dict[str, int] = {}
     table = ""
     for number, line in enumerate(text.splitlines(), 1):
--- a/src/robinthread/_internal/settings/peer_settings.py
+++ b/src/robinthread/_internal/settings/peer_settings.py
@@ -1,14 +1,14 @@
-"""Settings of the talk between daemons."""
+"""Settings of the communication between daemons."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """Settings of heartbeats and of what silence means.
+    """Settings of heartbeats and of failure detection.
 
-    A daemon of the same data hall that is silent for ``evict_after_s`` is
-    evicted; a data hall all of whose daemons are silent for
+    A daemon of the same data hall that sends no heartbeat for ``evict_after_s``
+    is evicted; a data hall whose daemons all send none for
     ``hall_silent_after_s`` counts as cut off.
     """
 
--- a/src/robinthread/_internal/settings/platform_settings.py
+++ b/src/robinthread/_internal/settings/platform_settings.py
@@ -5,9 +5,9 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """Addresses of the platform and how its log is used.
+    """Addresses of the platform's services, and settings for the use of its log.
 
-    ``log_retention_s`` is what the platform promises to keep.
+    ``log_retention_s`` is the time for which the platform guarantees to retain log records.
     """
 
     log_url: str = ""
--- a/src/robinthread/_internal/settings/policy_settings.py
+++ b/src/robinthread/_internal/settings/policy_settings.py
@@ -1,17 +1,17 @@
-"""How a node decides, as operators may set it; each mechanism can be switched off."""
+"""Policies of a node, set by operators; each mechanism can be switched off."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True)
 class OwnerPolicy:
-    """Who owns a pool.
+    """Assignment of pools to owners.
 
-    ``weighs_capacity``: nodes with more processor and link own more pools; off, all
-    nodes own as many.
-    ``spreads_pools``: a node that owns several passes one to a node that could carry it
+    ``weighs_capacity``: nodes with more processor and link capacity own more pools; off, all
+    nodes own the same number.
+    ``spreads_pools``: a node that owns several pools hands one over to a node that can handle it
     more easily.
-    ``relieves_late_nodes``: a node whose event loop runs late passes its pools on.
+    ``relieves_late_nodes``: a node whose event loop lags hands over its pools.
     """
 
     weighs_capacity: bool = True
@@ -21,20 +21,22 @@
 
 @dataclass(frozen=True)
 class FleetPolicy:
-    """How machines are shared out among pools.
-
-    ``upkeep_first``: a machine that is due is kept up before a pool may take it from the
-    reserve, and one that would be late is emptied though its pool has no other.
-    ``moves_directly``: a machine that a pool lets go moves straight to one that lacks
-    machines, not by way of the reserve, and without waiting whether it is needed again.
-    ``avoids_silent_halls``: pools get machines of halls whose hosts do not answer only
-    where there are no others.
-    ``shares_when_short``: where the pools want more machines than there are, each gets a
-    share by what its jobs that can be on time need; off, a pool keeps what it wants.  It is
-    for fleets that are far too small, where some queues else get no machine in their turn;
-    where machines are short for some seconds only, fewer jobs are in time with it.
-    ``ends_lost_hosts``: a silent host that its machine does not have any more, by the list of
-    machines, has ended: what ran there runs again at once, not after its lease.
+    """Assignment of machines to pools.
+
+    ``upkeep_first``: a machine due for upkeep gets it before a pool may acquire the machine from
+    the reserve, and a machine whose upkeep would be late is evacuated even if its pool has no
+    other.
+    ``moves_directly``: a machine that a pool releases moves directly to a pool that lacks
+    machines, not through the reserve, and without a wait in case its own pool needs it again.
+    ``avoids_silent_halls``: pools get machines of halls whose hosts do not respond only
+    if there are no others.
+    ``shares_when_short``: if the pools request more machines than there are, each gets a share
+    according to the needs of its jobs that can be on time; off, a pool retains what it requests.
+    It is meant for fleets that are far too small, where some queues would otherwise get no
+    machine in their turn; if machines are short for a few seconds only, fewer jobs are on time
+    with it.
+    ``ends_lost_hosts``: an unresponsive host that the list of machines no longer shows on its
+    machine has ended: its runs start again at once, not after its lease.
     """
 
     upkeep_first: bool = True
@@ -46,12 +48,12 @@
 
 @dataclass(frozen=True)
 class DemandPolicy:
-    """How a pool's need is forecast.
+    """Forecast of a pool's demand.
 
-    ``rise_ahead_s``: for how long a rise of demand is taken to go on at its pace; zero
-    takes it to have ended.
-    ``late_share``: the share of the room of jobs that can no longer be on time for which
-    hosts are asked; 1 treats them as all others.
+    ``rise_ahead_s``: the time for which a rise in demand is extrapolated at its current rate;
+    0 assumes that it has ended.
+    ``late_share``: the share of the resources of jobs that can no longer be on time for which
+    hosts are requested; 1 treats these jobs like all others.
     """
 
     rise_ahead_s: float = 0.9
@@ -60,17 +62,17 @@
 
 @dataclass(frozen=True)
 class PlacementPolicy:
-    """Which job goes first, and to which hosts.
-
-    ``slack_margin_s``: a job that has not begun counts as late where it has less slack
-    than this: what the store, the hosts and the caller's next question take is no part of
-    its forecast.  Zero switches the margin off.
-    ``doubts_silent_hosts``: a host that leaves an order unanswered for 0.15 s gets no more
-    work until it answers, nor do all others of its data hall where several do.
-    ``keeps_room_for_lasting``: a host of a full pool gets no other work until a lasting
-    task that waits fits there; after 4 s without a run also ahead of more urgent tasks.
+    """Order of jobs and choice of their hosts.
+
+    ``slack_margin_s``: a job that has not started counts as late if its slack is less than
+    this: its forecast excludes the time that the store, the hosts and the caller's next poll
+    take.  0 switches the margin off.
+    ``doubts_silent_hosts``: a host that does not respond to an order for 0.15 s gets no more
+    work until it responds; if several hosts of a data hall do not, all its hosts get none.
+    ``keeps_room_for_lasting``: a host of a full pool gets no other work until a waiting lasting
+    task fits there; after 4 s without a run, this holds against more urgent tasks as well.
     ``isolates_crashing_tasks``: a task that may have crashed its host is started apart from
-    others, and given up once it surely has crashed two; off, it is started as any other.
+    others, and given up once two crashes are confirmed; off, it is started like any other.
     """
 
     slack_margin_s: float = 0.2
@@ -81,10 +83,10 @@
 
 @dataclass(frozen=True)
 class EntryPolicy:
-    """How jobs are taken in.
+    """Acceptance of jobs.
 
-    ``gathers_while_store_slow``: while the store is slow, one node appends what callers hand
-    in at all of them.
+    ``gathers_while_store_slow``: while the store is slow, one node appends the jobs that callers
+    submit to all nodes.
     """
 
     gathers_while_store_slow: bool = True
@@ -92,13 +94,13 @@
 
 @dataclass(frozen=True)
 class WorkspacePolicies:
-    """How workspaces are bound.
+    """Enforcement of the limits of workspaces.
 
     ``kept_share``: the part of each limit that is split evenly over pools and never lent from
-    one to another, so that a pool's first jobs begin without asking; 1 splits all of it for
-    good, and nothing moves.
-    ``ranks_beyond_share``: what a workspace hands in beyond its share comes after all other
-    work, and no more hosts are asked for it than for late work.
+    one to another, so that a pool's first jobs start without a request for a share; 1 splits the
+    whole limit permanently, and no part of it moves.
+    ``ranks_beyond_share``: work that a workspace submits beyond its share ranks after all other
+    work, and no more hosts are requested for it than for late work.
     """
 
     kept_share: float = 0.2
@@ -107,7 +109,7 @@
 
 @dataclass(frozen=True)
 class PolicySettings:
-    """How a node decides."""
+    """All policies of a node."""
 
     owners: OwnerPolicy = field(default_factory=OwnerPolicy)
     fleet: FleetPolicy = field(default_factory=FleetPolicy)
--- a/src/robinthread/_internal/settings/wave_settings.py
+++ b/src/robinthread/_internal/settings/wave_settings.py
@@ -7,12 +7,12 @@
 class WaveSettings:
     """Policy of waves.
 
-    The weights say what a deployment pays for: spare capacity held back,
-    roll-out time, and moves of tasks.  ``drain_timeout_s`` is the allowed wait
-    for running work before it is checkpointed and moved; a task moves then only
-    if its expected time left, by the weight of roll-out time, outweighs
-    ``move_cost_s`` by that of moves.  ``policy`` is ``planner``, or
-    ``one_at_a_time`` or ``batch``, the two baselines.
+    The weights are the relative costs of spare capacity held back, of roll-out
+    time and of moves of tasks.  ``drain_timeout_s`` is the maximum wait for
+    running work before it is checkpointed and moved; a task then moves only if
+    its expected remaining time, multiplied by ``rollout_weight``, is at least
+    ``move_cost_s``, multiplied by ``moves_weight``.  ``policy`` is ``planner``,
+    or one of the two baselines, ``one_at_a_time`` and ``batch``.
     """
 
     policy: str = "planner"
