--- a/src/robinthread/_internal/telemetry/line_rate_limiter.py
+++ b/src/robinthread/_internal/telemetry/line_rate_limiter.py
@@ -26,7 +26,7 @@
         self._suppressed: Counter[str] = Counter()
 
     def admit(self, kind: str, now_s: float) -> bool:
-        """Return whether a line of a kind may be written now, and count it if it may not."""
+        """Return whether a line of a kind may be written now; otherwise count it as suppressed."""
         is_failure = kind in FAILURE_KINDS
         rate_per_s = FAILURE_PER_S if is_failure else ROUTINE_PER_S
         burst = FAILURE_BURST if is_failure else ROUTINE_BURST
--- a/src/robinthread/_internal/telemetry/node_metrics.py
+++ b/src/robinthread/_internal/telemetry/node_metrics.py
@@ -32,7 +32,7 @@
 
     @property
     def latencies(self) -> tuple[LatencyHistogram, ...]:
-        """Return all histograms, those that best show the service callers get first."""
+        """Return all histograms, first those that best show how callers are served."""
         return (
             self._starts,
             self._jobs,
--- a/src/robinthread/_internal/utils/fetcher.py
+++ b/src/robinthread/_internal/utils/fetcher.py
@@ -86,5 +86,5 @@
     lines = [f"{name}: {value}".encode("latin1") for name, value in headers.get_all()]
     if any(b"\r" in line or b"\n" in line for line in lines):
         raise ValueError("a request header contains a line break")
-    # Without this line, libcurl asks for permission to send a long body and awaits the response.
+    # Without this line, libcurl sends "Expect: 100-continue" for a long body and waits for a reply.
     return [*lines, b"Expect:"]
--- a/src/robinthread/_internal/utils/memory.py
+++ b/src/robinthread/_internal/utils/memory.py
@@ -9,7 +9,7 @@
 
 
 def limit_arenas() -> None:
-    """Make all threads share one heap: each of the library's many threads would retain one."""
+    """Make all threads share one heap; else each of a library's many threads retains one."""
     with contextlib.suppress(OSError, AttributeError):
         ctypes.CDLL(None).mallopt(_M_ARENA_MAX, 1)
 
