--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -22,7 +22,7 @@
 REQUESTS = 12
 
 
-def tell_all(platform: PlatformStandin, event: str) -> list[dict[str, Any]]:
+def flush_and_select(platform: PlatformStandin, event: str) -> list[dict[str, Any]]:
     """Have all nodes write what they have gathered; return the lines of an event."""
     for node in platform.nodes.values():
         node.assembled.status_reporter._events.flush_gathered(is_last=True)
@@ -30,31 +30,31 @@
 
 
 class FleetLinesTest(TestCase):
-    def test_machines_that_leave_a_pool_are_told_with_their_number(self) -> None:
+    def test_machines_that_leave_a_pool_are_logged_with_their_number(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1, hosts=20)
             await asyncio.sleep(20)
-            ordered = tell_all(platform, "machine_ordered")
+            ordered = flush_and_select(platform, "machine_ordered")
             done = [line for line in ordered if line["outcome"] == "done"]
             moved = sum(line["count"] for line in done)
             self.assertEqual({RESERVE}, {line["to_pool"] for line in done})
             self.assertTrue(len(done) < moved)
             self.assertTrue(all(len(line["machines"]) <= 10 for line in done))
-            gone = tell_all(platform, "host_gone")
+            gone = flush_and_select(platform, "host_gone")
             self.assertEqual(moved, sum(line["counts"][POOL] for line in gone))
-            sizes = tell_all(platform, "pool_sized")
+            sizes = flush_and_select(platform, "pool_sized")
             self.assertTrue(all({"usable", "arriving", "fetch_count"} <= set(x) for x in sizes))
 
         run_virtual(work())
 
 
 class RefusalLinesTest(TestCase):
-    def test_requests_for_no_pool_are_told_together_and_others_alone(self) -> None:
+    def test_requests_without_a_pool_are_gathered_and_others_are_single(self) -> None:
         lines: list[dict[str, Any]] = []
         events = EventLog("n", lambda line: lines.append(json.loads(line)))
         holder = ConfigHolder(RECORDS, events)
 
-        async def ask(port: int, count: int) -> None:
+        async def send_requests(port: int, count: int) -> None:
             client = AsyncHTTPClient()
             for number in range(count):
                 url = f"http://127.0.0.1:{port}/nowhere/{number:016x}"
@@ -67,18 +67,18 @@
                 make_callers_application(cast(JobService, None), holder, events, OpenRequests())
             )
             server.add_sockets([socket])
-            await ask(port, REQUESTS)
+            await send_requests(port, REQUESTS)
             holder.config = make_fleet_config(1, (QUEUE,), (), 1000)
-            await ask(port, REQUESTS)
+            await send_requests(port, REQUESTS)
             events.flush_gathered(is_last=True)
             server.stop()
 
         asyncio.run(work())
-        alone = [line for line in lines if line["outcome"] == "NOT_READY"]
-        self.assertEqual(REQUESTS, len(alone))
-        self.assertEqual(f"{0:016x}", alone[0]["job"])
-        told = [line for line in lines if line["outcome"] == "NO_SUCH_POOL"]
-        self.assertEqual(REQUESTS, sum(line["count"] for line in told))
-        self.assertTrue(len(told) <= 3)
-        self.assertEqual([f"{0:016x}"], told[0]["jobs"])
-        self.assertEqual({"GET": 1}, told[0]["counts"])
+        single = [line for line in lines if line["outcome"] == "NOT_READY"]
+        self.assertEqual(REQUESTS, len(single))
+        self.assertEqual(f"{0:016x}", single[0]["job"])
+        gathered = [line for line in lines if line["outcome"] == "NO_SUCH_POOL"]
+        self.assertEqual(REQUESTS, sum(line["count"] for line in gathered))
+        self.assertTrue(len(gathered) <= 3)
+        self.assertEqual([f"{0:016x}"], gathered[0]["jobs"])
+        self.assertEqual({"GET": 1}, gathered[0]["counts"])
--- a/tests/unit/test_policy_settings.py
+++ b/tests/unit/test_policy_settings.py
@@ -9,7 +9,7 @@
 from robinthread._internal.settings.parse import parse_policy
 from robinthread._internal.settings.policy_settings import PolicySettings
 
-WRONG = {
+INVALID = {
     "[demand]\nlate_share = 1.5": "line 2: demand.late_share: is 1.5, expected at least 0",
     "[placement]\nslack_margin_s = -1": "line 2: placement.slack_margin_s: is -1.0, expected",
     "[placement]\nslack_margin_ms = 1": "has the wrong unit, expected slack_margin_s",
@@ -25,8 +25,8 @@
         self.assertTrue(isinstance(result, Success), result)
         self.assertEqual(PolicySettings(), result.unwrap())
 
-    def test_wrong_files_are_refused_by_key_and_line(self) -> None:
-        for text, expected in WRONG.items():
+    def test_invalid_files_are_rejected_by_key_and_line(self) -> None:
+        for text, expected in INVALID.items():
             fault = parse_policy(text, "x.toml").failure()
             self.assertEqual(ResultCode.BAD_SETTINGS, fault.code)
             self.assertIn(expected, fault.message)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -8,13 +8,13 @@
 from robinthread._internal.results import ResultCode
 from robinthread._internal.settings.parse import parse_settings
 
-GOOD = """
+VALID = """
 name = "entry-1"
 hall = "kandy"
 [platform]
 log_url = "http://10.0.0.1:80"
 """
-WRONG = {
+INVALID = {
     "colour = 1": "line 6: platform.colour: is unknown",
     "log_timeout_ms = 5": "line 6: platform.log_timeout_ms: has the wrong unit, expected log",
     "log_timeout_s = 'soon'": "line 6: platform.log_timeout_s: is 'soon', expected a number",
@@ -31,18 +31,18 @@
 
 
 class SettingsTest(TestCase):
-    def test_good_file_is_taken(self) -> None:
-        result = parse_settings(GOOD, "x.toml")
+    def test_valid_file_is_accepted(self) -> None:
+        result = parse_settings(VALID, "x.toml")
         self.assertTrue(isinstance(result, Success), result)
         self.assertEqual("kandy", result.unwrap().hall)
 
-    def test_wrong_files_are_refused_by_key_and_line(self) -> None:
-        for text, expected in WRONG.items():
-            fault = parse_settings(GOOD + text + "\n", "x.toml").failure()
+    def test_invalid_files_are_rejected_by_key_and_line(self) -> None:
+        for text, expected in INVALID.items():
+            fault = parse_settings(VALID + text + "\n", "x.toml").failure()
             self.assertEqual(ResultCode.BAD_SETTINGS, fault.code)
             self.assertIn(expected, fault.message)
 
-    def test_all_faults_are_told_at_once(self) -> None:
+    def test_all_problems_are_reported_together(self) -> None:
         text = "nam = 1\nhall = 2\n[peers]\nheartbeat_ms = 3\n"
         message = parse_settings(text, "x.toml").failure().message
         self.assertEqual(
@@ -57,12 +57,12 @@
             [line.strip() for line in message.splitlines()],
         )
 
-    def test_missing_name_and_log_are_told(self) -> None:
+    def test_missing_name_and_log_url_are_reported(self) -> None:
         message = parse_settings("", "x.toml").failure().message
         self.assertIn("name: is missing", message)
         self.assertIn("platform.log_url: is missing", message)
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         examples = sorted(Path("examples").glob("*.toml"))
         self.assertTrue(examples)
         for path in examples:
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -32,21 +32,21 @@
 
 class LineRateLimiterTest(TestCase):
     def test_burst_then_rate(self) -> None:
-        budget = LineRateLimiter()
-        admitted = sum(budget.admit("run_started", 0.0) for _ in range(1000))
+        limiter = LineRateLimiter()
+        admitted = sum(limiter.admit("run_started", 0.0) for _ in range(1000))
         self.assertEqual(ROUTINE_BURST, admitted)
-        self.assertEqual({"run_started": 800}, budget.take_suppressed())
-        self.assertEqual(100, sum(budget.admit("run_started", 1.0) for _ in range(1000)))
+        self.assertEqual({"run_started": 800}, limiter.take_suppressed())
+        self.assertEqual(100, sum(limiter.admit("run_started", 1.0) for _ in range(1000)))
 
-    def test_refusals_have_room_of_their_own(self) -> None:
-        budget = LineRateLimiter()
+    def test_refusals_have_their_own_limit(self) -> None:
+        limiter = LineRateLimiter()
         for _ in range(5000):
-            budget.admit("run_started", 0.0)
-        self.assertTrue(all(budget.admit("request_refused", 0.0) for _ in range(2000)))
+            limiter.admit("run_started", 0.0)
+        self.assertTrue(all(limiter.admit("request_refused", 0.0) for _ in range(2000)))
 
 
 class EventLogTest(TestCase):
-    def test_what_is_left_out_is_told(self) -> None:
+    def test_suppressed_lines_are_counted(self) -> None:
         lines: list[bytes] = []
         log = EventLog("n", lines.append)
         for number in range(1000):
@@ -54,11 +54,11 @@
         self.assertTrue(len(lines) <= ROUTINE_BURST + 2)
         log._suppressed_logged_at_s = time.monotonic() - 2
         log.write("stopping")
-        told = json.loads(lines[-1])
-        self.assertEqual("lines_left_out", told["event"])
-        self.assertEqual(1000, told["counts"]["run_started"] + len(lines) - 2)
+        suppressed = json.loads(lines[-1])
+        self.assertEqual("lines_left_out", suppressed["event"])
+        self.assertEqual(1000, suppressed["counts"]["run_started"] + len(lines) - 2)
 
-    def test_reader_that_never_reads_delays_nothing_and_losses_are_counted(self) -> None:
+    def test_stalled_reader_does_not_block_and_lost_lines_are_counted(self) -> None:
         reading, writing = os.pipe()
         self.addCleanup(os.close, reading)
         self.addCleanup(os.close, writing)
@@ -89,7 +89,7 @@
     def add(self, number: int, pool: str = "press") -> None:
         self.gathered.add("host_gone", {}, pool, {"hosts": f"h{number}"}, {"last": number})
 
-    def test_first_is_told_at_once_and_the_others_together_a_second_later(self) -> None:
+    def test_first_event_is_due_at_once_and_others_together_a_second_later(self) -> None:
         self.add(0)
         first = {"last": 0, "count": 1, "counts": {"press": 1}, "hosts": ["h0"]}
         self.assertEqual([("host_gone", first)], self.gathered.take_due(10.0))
@@ -102,14 +102,14 @@
         self.assertEqual([f"h{number}" for number in range(1, 11)], fields["hosts"])
         self.assertEqual([], self.gathered.take_due(20.0))
 
-    def test_each_group_has_lines_of_its_own(self) -> None:
+    def test_each_group_has_its_own_lines(self) -> None:
         for pool in ("press", "fold", "press"):
             self.gathered.add("pool_sized", {"pool": pool}, "", {}, {})
         lines = self.gathered.take_due(0.0)
         counts = [(fields["pool"], fields["count"]) for _event, fields in lines]
         self.assertEqual([("press", 2), ("fold", 1)], counts)
 
-    def test_log_tells_what_is_left_at_its_end(self) -> None:
+    def test_last_flush_writes_the_remaining_events(self) -> None:
         lines: list[bytes] = []
         log = EventLog("n", lines.append)
         for number in range(5):
@@ -127,13 +127,13 @@
         )
         self.lines = [line for line in found.stdout.decode().splitlines() if line]
 
-    def test_instruments_made_before_the_exporter_are_served_by_it(self) -> None:
+    def test_instruments_created_before_the_exporter_are_exported(self) -> None:
         text = "\n".join(self.lines)
         self.assertIn('robinthread_events_total{event="job_ended",', text)
         self.assertIn("robinthread_store_call_seconds_bucket{", text)
         self.assertIn('robinthread_lines_lost{by="slow reader"', text)
 
-    def test_what_came_before_the_exporter_counts(self) -> None:
+    def test_values_recorded_before_the_exporter_are_exported(self) -> None:
         text = "\n".join(self.lines)
         self.assertIn('_events_total{event="job_ended",outcome="succeeded"} 2.0', text)
         self.assertIn('_call_seconds_bucket{kind="append",le="0.02",outcome="ok"} 1.0', text)
@@ -143,7 +143,7 @@
         self.assertIn('_call_seconds_count{kind="append",outcome="ok"} 2.0', text)
         self.assertIn('_call_seconds_sum{kind="append",outcome="ok"} 0.304', text)
 
-    def test_only_our_metrics_are_told_and_histograms_come_last(self) -> None:
+    def test_only_own_metrics_are_exported_and_histograms_come_last(self) -> None:
         names = [line.split("{")[0] for line in self.lines if not line.startswith("#")]
         self.assertTrue(all(name.startswith("robinthread_") for name in names))
         self.assertEqual(["robinthread_lines_lost", "robinthread_events_total"], names[:2])
@@ -151,10 +151,10 @@
             {"robinthread_store_call_seconds"}, {x.rpartition("_")[0] for x in names[2:]}
         )
 
-    def test_latencies_are_counted_up_to_each_bound(self) -> None:
-        latencies = LatencyHistogram("seconds", "pool")
+    def test_latencies_are_counted_by_bucket(self) -> None:
+        histogram = LatencyHistogram("seconds", "pool")
         for took_s in (0.0, 0.02, 0.021, 0.5, 2.0, 2.1, 60.0):
-            latencies.record(took_s, "press")
-        latency = latencies.by_labels["press",]
-        self.assertEqual([2, 1, 1, 1, 2], latency.counts)
-        self.assertAlmostEqual(64.641, latency.sum_s)
+            histogram.record(took_s, "press")
+        entry = histogram.by_labels["press",]
+        self.assertEqual([2, 1, 1, 1, 2], entry.counts)
+        self.assertAlmostEqual(64.641, entry.sum_s)
--- a/tests/unit/test_waiting.py
+++ b/tests/unit/test_waiting.py
@@ -9,7 +9,7 @@
 
 
 class WaitForEventTest(TestCase):
-    def test_cancellation_that_meets_the_event_ends_the_task(self) -> None:
+    def test_cancellation_as_the_event_is_set_ends_the_task(self) -> None:
         async def work() -> None:
             event = asyncio.Event()
 
@@ -28,7 +28,7 @@
 
         run_virtual(work())
 
-    def test_event_that_does_not_come_is_told(self) -> None:
+    def test_timeout_returns_false(self) -> None:
         async def work() -> None:
             self.assertFalse(await wait_for_event(asyncio.Event(), 1))
 
