--- a/tests/functional/test_listener.py
+++ b/tests/functional/test_listener.py
@@ -1,4 +1,4 @@
-"""Listeners find connections whose other end has gone without a word."""
+"""Listeners detect connections whose other end disappeared without closing them."""
 
 import asyncio
 import socket
--- a/tests/unit/test_gathered_events.py
+++ b/tests/unit/test_gathered_events.py
@@ -1,4 +1,4 @@
-"""Which events are told with others, and what their lines keep."""
+"""Which events share a gathered log line, and which fields these lines have."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 def flush_and_select(platform: PlatformStandin, event: str) -> list[dict[str, Any]]:
-    """Have all nodes write what they have gathered; return the lines of an event."""
+    """Flush the gathered lines of all nodes; return the lines of one event."""
     for node in platform.nodes.values():
         node.assembled.status_reporter._events.flush_gathered(is_last=True)
     return [line for line in map(json.loads, platform.events) if line["event"] == event]
--- a/tests/unit/test_policy_settings.py
+++ b/tests/unit/test_policy_settings.py
@@ -1,4 +1,4 @@
-"""The policy file of a node: the one we deploy, and some that are wrong."""
+"""The policy file of a node: the deployed one and invalid ones."""
 
 from pathlib import Path
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: good ones, and ten that are wrong."""
+"""Settings files: valid ones, and invalid ones with the problem that each one reports."""
 
 from pathlib import Path
 
--- a/tests/unit/test_telemetry.py
+++ b/tests/unit/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics: bounded, counted, and never in the way."""
+"""Log lines and metrics: lines are limited in rate, counted, and written without blocking."""
 
 import json
 import os
--- a/tests/unit/test_waiting.py
+++ b/tests/unit/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting with a bound."""
+"""Waiting for an event with a timeout."""
 
 import asyncio
 
