--- a/src/robinthread/_internal/jobs/demand.py
+++ b/src/robinthread/_internal/jobs/demand.py
@@ -101,7 +101,8 @@
         steps = [
             step
             for step in list_waiting_steps(pool)
-            if (step.spec.is_gang or not step.job.culprits) and not _is_held_back(pool, step.job)
+            if (step.spec.is_gang or not step.job.confirmed_crash_tasks)
+            and not _is_held_back(pool, step.job)
         ]
         step_demands = [self._get_step_demand(pool, step, late) for step in steps]
         arriving = self._get_arriving_resources(now_s)
@@ -154,7 +155,7 @@
         on_time: list[StepForecast] = []
         too_late: list[StepForecast] = []
         for job in pool.jobs.values():
-            if job.status.is_final or job.spec.is_lasting or job.culprits:
+            if job.status.is_final or job.spec.is_lasting or job.confirmed_crash_tasks:
                 continue
             if _is_held_back(pool, job) and not any(job.iter_running()):
                 continue
--- a/src/robinthread/_internal/jobs/job.py
+++ b/src/robinthread/_internal/jobs/job.py
@@ -15,9 +15,9 @@
 
     ``status`` is the status decided by this owner.  ``recorded_status`` is the status in the
     store and the only one that may be shown: the pool's next owner could revert a status that
-    is not recorded.  ``culprits`` are the tasks with a confirmed crash of a host; while there
-    are any, no other task of the job is started.  A job that ``is_beyond_share`` comes after
-    all others.
+    is not recorded.  ``confirmed_crash_tasks`` are the tasks with a confirmed crash of a host;
+    while there are any, no other task of the job is started.  A job that ``is_beyond_share``
+    comes after all others.
     """
 
     def __init__(self, spec: JobSpec, policy: QueuePolicy, offset: int) -> None:
@@ -30,7 +30,7 @@
         self.has_begun = False
         self.is_beyond_share = False
         self.next_occurrence = 0
-        self.culprits: set[TaskKey] = set()
+        self.confirmed_crash_tasks: set[TaskKey] = set()
         self.tasks: dict[TaskKey, Task] = {}
         self._open_counts: dict[tuple[int, int], int] = {}
         self._step_tasks: dict[tuple[int, int], list[Task]] = {}
--- a/src/robinthread/_internal/jobs/pool_jobs.py
+++ b/src/robinthread/_internal/jobs/pool_jobs.py
@@ -245,16 +245,21 @@
     def record_crashes(self, job: Job, task: Task, crashes: Sequence[Crash]) -> None:
         """Set the host crashes that count against a task, or against the gang it is first in."""
         self.crash_tracker.set_crashes(task, crashes)
-        job.culprits.discard(task.key)
+        job.confirmed_crash_tasks.discard(task.key)
         if any(crash.is_confirmed for crash in crashes):
-            job.culprits.add(task.key)
+            job.confirmed_crash_tasks.add(task.key)
         self._mark_unrecorded(job)
 
     def is_withheld(self, task: Task) -> bool:
-        """Return whether regular placement skips a task: it is suspect or its job has culprits."""
+        """Return whether regular placement skips a task.
+
+        It does if the task is suspect or its job has confirmed crash tasks.
+        """
         if not self.crash_tracker.suspects:
             return False
-        return bool(self.jobs[task.key.job_id].culprits) or self.crash_tracker.is_suspect(task)
+        return bool(
+            self.jobs[task.key.job_id].confirmed_crash_tasks
+        ) or self.crash_tracker.is_suspect(task)
 
     def get_crash_task(self, run: Run) -> Task:
         """Return the task that holds the crashes of a run's task."""
--- a/src/robinthread/_internal/jobs/suspects.py
+++ b/src/robinthread/_internal/jobs/suspects.py
@@ -37,10 +37,10 @@
 from robinthread._internal.jobs.trials import Trial
 from robinthread._internal.models.step_key import StepKey
 
-# Shares of the pool's usable hosts that may be at risk at a time, from suspects in general and
-# from those with a confirmed crash; one suspect at a time may always be tried.
+# Shares of the pool's usable hosts that may be at risk at a time: from suspects without a
+# confirmed crash and from those with one.  One suspect at a time may always be tried.
 AT_RISK_SHARE: Final = 0.5
-AT_RISK_SHARE_CULPRITS: Final = 0.25
+AT_RISK_SHARE_CONFIRMED: Final = 0.25
 
 
 def place_suspects(pool: PoolJobs, now_s: float, now_ms: int) -> int:
@@ -101,11 +101,11 @@
 def _may_start(pool: PoolJobs, task: Task) -> bool:
     """Return whether a suspect may be started now.
 
-    In a job with culprits, only the first of them is started.  A suspect with few starts left
-    waits until it is known whether its last host crashed.
+    In a job with confirmed crash tasks, only the first of these is started.  A suspect with few
+    starts left waits until it is known whether its last host crashed.
     """
-    culprits = pool.jobs[task.key.job_id].culprits
-    if culprits and task.key != min(culprits):
+    confirmed_crash_tasks = pool.jobs[task.key.job_id].confirmed_crash_tasks
+    if confirmed_crash_tasks and task.key != min(confirmed_crash_tasks):
         return False
     return not must_run_alone(task.crashes) or not pool.crash_tracker.is_host_outcome_open(task)
 
@@ -121,7 +121,7 @@
     at_risk = trials.count_at_risk(now_s)
     if not _count_confirmed(task):
         return max(int(AT_RISK_SHARE * host_count) - at_risk, not trials.reserved)
-    spare = max(1, int(AT_RISK_SHARE_CULPRITS * host_count)) - at_risk
+    spare = max(1, int(AT_RISK_SHARE_CONFIRMED * host_count)) - at_risk
     if spare < 1 and all(pool.is_withheld(other) for other in pool.waiting.values()):
         spare = sum(not host.runs for host in usable) - 1
     return spare
--- a/src/robinthread/_internal/node/wait_reporter.py
+++ b/src/robinthread/_internal/node/wait_reporter.py
@@ -65,7 +65,7 @@
             silent_hosts=_count_contacts(pool.hosts.values(), HostContact.SILENT),
             unheard_hosts=_count_contacts(pool.hosts.values(), HostContact.NOT_CONTACTED),
             suspect_count=sum(pool.crash_tracker.is_suspect(task) for task in tasks),
-            is_held=bool(job.culprits),
+            is_held=bool(job.confirmed_crash_tasks),
             reserved_hosts=len(pool.crash_tracker.trials.reserved),
             paused_hosts=sum(host.is_paused(now_s) for host in pool.hosts.values()),
             store_unconfirmed_for_s=round(self._runtime.context.get_owners_unconfirmed_s(), 3),
--- a/tests/unit/test_crash_records.py
+++ b/tests/unit/test_crash_records.py
@@ -42,7 +42,7 @@
         task = pool.jobs[SPEC.job_id].get_task(KEY)
         self.assertEqual(CRASHES, task.crashes)
         self.assertTrue(pool.crash_tracker.is_suspect(task))
-        self.assertEqual({KEY}, pool.jobs[SPEC.job_id].culprits)
+        self.assertEqual({KEY}, pool.jobs[SPEC.job_id].confirmed_crash_tasks)
 
     def test_next_owner_reserves_the_host_of_a_suspect_that_runs_alone(self) -> None:
         pool = PoolJobs()
