--- a/tests/functional/test_answers_while_stopping.py
+++ b/tests/functional/test_answers_while_stopping.py
@@ -19,7 +19,7 @@
 JOB = 7
 
 
-class AskedInAStopTest(TestCase):
+class JobRequestsWhileStoppingTest(TestCase):
     def test_accepted_job_is_never_unknown_while_its_owner_stops(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=3)
@@ -32,11 +32,11 @@
             platform.store.faults.latency_s = 0.3
             outcome = await hand_in(platform, other, spec)
             self.assertEqual(JobRequestOutcome.DONE, outcome)
-            asking = asyncio.create_task(node.job_service.get_status(QUEUE, spec.job_id))
+            request = asyncio.create_task(node.job_service.get_status(QUEUE, spec.job_id))
             await asyncio.sleep(0.01)
             stopping = asyncio.create_task(node.node.stop(make_stop_budget(platform)))
-            told = await asking
-            self.assertNotEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
+            response = await request
+            self.assertNotEqual(JobRequestOutcome.NO_SUCH_JOB, response.outcome)
             await stopping
 
         run_virtual(work())
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -29,8 +29,10 @@
     """Return how many records of owners follow after a node with several pools began anew."""
     ahead_ms = set_back_ms
 
-    def make(node: str, life: str, address: str, capacity: int, started_at_ms: int) -> Member:
-        return Member(node, life, address, capacity, started_at_ms + ahead_ms)
+    def make(
+        node: str, incarnation: str, address: str, capacity: int, started_at_ms: int
+    ) -> Member:
+        return Member(node, incarnation, address, capacity, started_at_ms + ahead_ms)
 
     with mock.patch.object(platform_standin, "Member", make):
         platform = PlatformStandin(plan_second)
@@ -53,11 +55,13 @@
         platform.start_node(name)
         await asyncio.sleep(WATCH_S)
     assert not find_breaks(platform)
-    taken = [line for line in map(json.loads, platform.events) if line["event"] == "pool_taken"]
-    return max(line["token"] for line in taken) - token
+    acquisitions = [
+        line for line in map(json.loads, platform.events) if line["event"] == "pool_taken"
+    ]
+    return max(line["token"] for line in acquisitions) - token
 
 
 class ClockSetBackTest(TestCase):
-    def test_pools_are_taken_about_as_often_as_with_a_clock_that_goes_on(self) -> None:
+    def test_pools_are_acquired_about_as_often_as_with_a_steady_clock(self) -> None:
         usual = run_virtual(_count_records(0))
         self.assertLessEqual(run_virtual(_count_records(SET_BACK_MS)), 2 * usual)
--- a/tests/functional/test_done_while_unheard.py
+++ b/tests/functional/test_done_while_unreachable.py
@@ -32,8 +32,8 @@
 LATE_S = 2.7
 
 
-class DoneWhileUnheardTest(TestCase):
-    def test_end_of_a_run_that_had_counted_as_lapsed_is_taken(self) -> None:
+class DoneWhileUnreachableTest(TestCase):
+    def test_end_of_a_run_that_counted_as_lapsed_is_accepted(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_second, hosts=1)
             await hand_in(platform, "node0", JOB)
@@ -47,7 +47,7 @@
 
         run_virtual(work())
 
-    def test_owner_that_is_late_itself_takes_no_unheard_host_for_silent(self) -> None:
+    def test_late_owner_does_not_count_uncontacted_hosts_as_silent(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_second, nodes=4)
             await hand_in(platform, "node0", JOB)
--- a/tests/functional/test_drawn_days.py
+++ b/tests/functional/test_drawn_days.py
@@ -19,16 +19,16 @@
 
 
 class DrawnDaysTest(TestCase):
-    def test_days_break_no_promise(self) -> None:
+    def test_drawn_days_have_no_violations(self) -> None:
         self.assertEqual(
             [], [found for found in map(find_on_day, FRESH_SEEDS) if not found.is_clean]
         )
 
-    def test_days_of_hosts_that_keep_their_ids_break_no_promise(self) -> None:
+    def test_drawn_days_with_kept_host_ids_have_no_violations(self) -> None:
         found = [find_on_day(seed, keeps_host_ids=True) for seed in KEPT_ID_SEEDS]
         self.assertEqual([], [day for day in found if not day.is_clean])
 
-    def test_days_that_failed_once_break_no_promise(self) -> None:
+    def test_days_that_failed_before_have_no_violations(self) -> None:
         found = {day: find_on_day(day) for day in FAILED_SEEDS}
         broken = {seed: FAILED_SEEDS[seed] for seed, day in found.items() if not day.is_clean}
         self.assertEqual({}, broken, str([found[seed] for seed in broken]))
--- a/tests/functional/test_drawn_limits.py
+++ b/tests/functional/test_drawn_limits.py
@@ -12,6 +12,6 @@
 
 
 class DrawnLimitsTest(TestCase):
-    def test_no_workspace_goes_over_its_limit_or_waits_while_it_is_under_half_of_it(self) -> None:
+    def test_no_workspace_exceeds_its_limit_or_waits_below_half_of_it(self) -> None:
         found = {seed: find_on_limit_day(seed) for seed in (*FRESH_SEEDS, *FAILED_SEEDS)}
         self.assertEqual({}, {seed: day for seed, day in found.items() if not day.is_clean})
--- a/tests/functional/test_drawn_waves.py
+++ b/tests/functional/test_drawn_waves.py
@@ -16,6 +16,6 @@
 
 
 class DrawnWavesTest(TestCase):
-    def test_no_wave_goes_over_its_bound_and_all_end(self) -> None:
+    def test_no_wave_exceeds_its_bound_and_all_end(self) -> None:
         found = {seed: find_on_wave_day(seed) for seed in (*FRESH_SEEDS, *FAILED_SEEDS)}
         self.assertEqual({}, {seed: day for seed, day in found.items() if not day.is_clean})
--- a/tests/functional/test_ended_hosts.py
+++ b/tests/functional/test_ended_hosts.py
@@ -12,13 +12,13 @@
 
 # A host's tasks run on so long without word from their owner: its lease (4 s), less the
 # wait of one look (1 s) and a pause until the next (0.2 s).
-WITHOUT_WORD_S = 2.5
+UNCONTACTED_S = 2.5
 # An entry that has gone is taken for gone so long after, and no lease that was renewed
 # until then is over by that time.
-GONE_S = 3.0
+UNLISTED_S = 3.0
 
 
-def see_host(platform: PlatformStandin, host_id: str) -> Host:
+def get_host_state(platform: PlatformStandin, host_id: str) -> Host:
     """Return a host as the pool's owner sees it."""
     owner = get_owner(platform)
     assert owner is not None
@@ -26,14 +26,14 @@
 
 
 class EndedHostsTest(TestCase):
-    def test_listed_host_that_refuses_connections_may_live_elsewhere(self) -> None:
+    def test_listed_host_that_refuses_connections_may_still_run(self) -> None:
         async def work() -> None:
             platform = await start_lasting()
             run_count = len(list_runs(platform))
             host = get_first_host(platform)
             del platform.hosts.hosts[host.record.address]
-            await asyncio.sleep(WITHOUT_WORD_S)
-            self.assertTrue(see_host(platform, host.record.id).is_refusing)
+            await asyncio.sleep(UNCONTACTED_S)
+            self.assertTrue(get_host_state(platform, host.record.id).is_refusing)
             platform.hosts.add(host)
             await asyncio.sleep(AGAIN_MAX_S)
             self.assertEqual([], find_breaks(platform))
@@ -59,8 +59,8 @@
             run_count = len(list_runs(platform))
             host = get_first_host(platform)
             platform.unlist_host(host.record.id)
-            await asyncio.sleep(GONE_S)
-            seen = see_host(platform, host.record.id)
+            await asyncio.sleep(UNLISTED_S)
+            seen = get_host_state(platform, host.record.id)
             self.assertFalse(seen.is_listed)
             del platform.hosts.hosts[host.record.address]
             await wait_until(lambda: seen.is_refusing)
--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -56,7 +56,7 @@
 
         run_virtual(work())
 
-    def test_host_that_fails_all_is_left_out_and_the_jobs_are_done(self) -> None:
+    def test_host_that_fails_all_is_excluded_and_the_jobs_are_done(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             bad = next(iter(platform.hosts.hosts.values()))
@@ -69,12 +69,12 @@
 
         run_virtual(work())
 
-    def test_jobs_that_can_never_be_done_keep_no_host_from_others(self) -> None:
+    def test_jobs_that_always_fail_take_no_host_from_others(self) -> None:
         async def work() -> None:
-            hopeless = {make_job(number).job_id for number in range(1, 9)}
+            failing = {make_job(number).job_id for number in range(1, 9)}
 
             def plan(task: TaskKey) -> TaskPlan:
-                end = RunEnd.FAILED if task.job_id in hopeless else RunEnd.DONE
+                end = RunEnd.FAILED if task.job_id in failing else RunEnd.DONE
                 return TaskPlan(0.2, Resources(1000, 100), end)
 
             platform = await start_platform(plan, hosts=2)
@@ -88,7 +88,7 @@
 
         run_virtual(work())
 
-    def test_job_that_can_never_be_done_fails_after_its_attempts(self) -> None:
+    def test_job_that_always_fails_is_failed_after_its_attempts(self) -> None:
         async def work() -> None:
             def plan(task: TaskKey) -> TaskPlan:
                 end = RunEnd.FAILED if task.index == 2 else RunEnd.DONE
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -16,7 +16,7 @@
 from tests.lib.virtual import run_virtual
 
 ONE_HALL = (HallSize("kandy", 2, 3),)
-FEW_SECONDS = 5.0
+SETTLE_S = 5.0
 
 
 class HostsLeaveTest(TestCase):
@@ -36,7 +36,7 @@
             fleet.host_list.set_hosts(
                 tuple(replace(host, is_leaving=host.name == leaving) for host in listed)
             )
-            await asyncio.sleep(FEW_SECONDS)
+            await asyncio.sleep(SETTLE_S)
             started = worker.starts_count
             for number in range(40):
                 await serve(daemon, number, is_repeatable=True)
@@ -62,16 +62,16 @@
 
         run_virtual(work())
 
-    def test_host_that_fails_on_is_set_aside_only_if_its_budget_allows(self) -> None:
-        for floor, phase in ((2, HostPhase.SET_ASIDE), (3, HostPhase.SERVING)):
-            run_virtual(self._fail_on(floor, phase))
+    def test_failing_host_is_set_aside_only_if_the_budget_allows(self) -> None:
+        for min_serving, phase in ((2, HostPhase.SET_ASIDE), (3, HostPhase.SERVING)):
+            run_virtual(self._check_failing_host(min_serving, phase))
 
-    async def _fail_on(self, floor: int, phase: HostPhase) -> None:
+    async def _check_failing_host(self, min_serving: int, phase: HostPhase) -> None:
         settings = replace(
             SETTINGS, dispatch=DispatchSettings(suspend_min_s=0.1, suspend_max_s=0.2)
         )
         fleet = await start_fleet(
-            ONE_HALL, settings=settings, slots=1, budget=Budget(min_serving_hosts=floor)
+            ONE_HALL, settings=settings, slots=1, budget=Budget(min_serving_hosts=min_serving)
         )
         daemon = get_daemon(fleet)
         fleet.workers["kandy-h000:80"].mode = WorkerMode.FAILS_EVERYTHING
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_isolated_nodes.py
@@ -60,7 +60,7 @@
     client.read_newest = lose  # type: ignore[method-assign]
 
 
-class NodesLeftOutTest(TestCase):
+class IsolatedNodesTest(TestCase):
     def test_relay_on_a_silent_connection_does_not_hold_its_caller_to_the_deadline(self) -> None:
         async def work() -> None:
             platform = await start_platform()
@@ -83,16 +83,16 @@
             client = late.owned._context.store
             assert isinstance(client, StoreClient)
             lose_first_reads_of_owners(client)
-            for _look in range(60):
+            for _attempt in range(60):
                 await asyncio.sleep(0.1)
                 if late.readiness.check():
-                    told = await get_status(platform, "late", make_job(1).job_id)
-                    self.assertIsNotNone(told)
+                    status = await get_status(platform, "late", make_job(1).job_id)
+                    self.assertIsNotNone(status)
             self.assertTrue(late.readiness.check())
 
         run_virtual(work())
 
-    def test_steward_that_may_live_is_given_its_turn(self) -> None:
+    def test_successor_waits_a_turn_for_a_steward_that_may_still_run(self) -> None:
         """It is not listed and peers do not reach it, but the store and the platform do."""
 
         async def work() -> None:
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -21,7 +21,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class WholePathTest(TestCase):
+class EndToEndTest(TestCase):
     def test_job_handed_in_at_one_node_is_found_and_done_at_another(self) -> None:
         async def work() -> None:
             platform = await start_platform()
@@ -83,19 +83,19 @@
 
         run_virtual(work())
 
-    def test_unknown_job_is_told_from_one_that_cannot_be_looked_up(self) -> None:
+    def test_unknown_job_is_distinguished_from_one_that_cannot_be_looked_up(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             job_service = platform.nodes["node0"].assembled.job_service
-            told = await job_service.get_status(QUEUE, "f" * 16)
-            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
+            response = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, response.outcome)
             platform.store.faults.silent.add("*")
-            told = await job_service.get_status(QUEUE, "f" * 16)
-            self.assertEqual(JobRequestOutcome.OWNER_UNREACHABLE, told.outcome)
+            response = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.OWNER_UNREACHABLE, response.outcome)
 
         run_virtual(work())
 
-    def test_caller_hears_soon_that_the_outcome_is_unknown(self) -> None:
+    def test_caller_soon_receives_an_unknown_outcome(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             platform.store.faults.silent.add("*")
--- a/tests/functional/test_lost_start_answers.py
+++ b/tests/functional/test_lost_start_answers.py
@@ -22,7 +22,7 @@
 
 
 class LostStartAnswersTest(TestCase):
-    def test_task_that_ended_meanwhile_is_not_run_again(self) -> None:
+    def test_task_that_ended_before_the_resend_is_not_run_again(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_short)
             platform.hosts.faults.lost_share = 0.4
@@ -34,7 +34,7 @@
 
         run_virtual(work())
 
-    def test_start_without_room_after_one_without_answer_is_stopped_first(self) -> None:
+    def test_start_refused_for_capacity_after_a_lost_response_is_stopped_first(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_short)
             platform.hosts.faults.lost_share = 0.4
--- a/tests/functional/test_owner_changes.py
+++ b/tests/functional/test_owner_changes.py
@@ -44,7 +44,7 @@
 
         run_virtual(work())
 
-    def test_owner_cut_off_is_replaced_and_does_no_harm_when_it_is_back(self) -> None:
+    def test_owner_cut_off_is_replaced_and_causes_no_violation_after_healing(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(2.0, Resources(1000, 100)))
             specs = [make_job(number) for number in range(1, 6)]
@@ -106,7 +106,7 @@
 
         run_virtual(work())
 
-    def test_cancel_holds_over_a_change_of_owner(self) -> None:
+    def test_cancel_persists_across_a_change_of_owner(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(5.0, Resources(1000, 100)))
             spec = make_job(1)
--- a/tests/functional/test_owner_killed_while_opening.py
+++ b/tests/functional/test_owner_killed_while_opening.py
@@ -47,7 +47,7 @@
 
 
 class KilledWhileOpeningTest(TestCase):
-    def test_owner_before_it_that_still_writes_to_the_journal_is_waited_for(self) -> None:
+    def test_third_owner_waits_for_the_first_that_still_writes_to_the_journal(self) -> None:
         async def work() -> None:
             platform = await start_lasting(plan_task=plan)
             host = get_first_host(platform)
@@ -55,8 +55,8 @@
             assert old is not None
             names = [name for name in NAMES if name != old]
             platform.hosts.cut_ways |= {(name, host.record.address) for name in names}
-            away = platform.hosts.hosts.keys() - {host.record.address}
-            platform.hosts.cut_ways |= {(old, address) for address in away}
+            unreachable = platform.hosts.hosts.keys() - {host.record.address}
+            platform.hosts.cut_ways |= {(old, address) for address in unreachable}
             lose_reads(get_client(platform, old), OWNERS_PARTITION)
             # The read that is under way is the last one that is answered.
             await asyncio.sleep(FOLLOW_WAIT_S + 0.1)
--- a/tests/functional/test_platform_outages.py
+++ b/tests/functional/test_platform_outages.py
@@ -21,7 +21,7 @@
 
 
 class PlatformTest(TestCase):
-    def test_platform_out_serves_what_it_can_and_refuses_claims_at_once(self) -> None:
+    def test_daemon_serves_repeatable_jobs_and_refuses_claims_during_an_outage(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             fleet.log.faults.is_out = True
@@ -40,7 +40,7 @@
 
         run_virtual(work())
 
-    def test_slow_outage_is_waited_for_once_and_then_refused_at_once(self) -> None:
+    def test_slow_outage_delays_one_request_and_the_next_is_refused_at_once(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL)
             fleet.log.faults = replace(fleet.log.faults, is_out=True, delay_s=1.0)
@@ -55,7 +55,7 @@
 
         run_virtual(work())
 
-    def test_cut_off_hall_serves_its_own_and_heals(self) -> None:
+    def test_cut_off_hall_serves_repeatable_jobs_and_recovers(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             fleet.cut_halls.add("kandy")
@@ -74,7 +74,7 @@
 
         run_virtual(work())
 
-    def test_new_daemon_starts_from_a_snapshot_after_the_log_let_go(self) -> None:
+    def test_new_daemon_starts_from_a_snapshot_after_the_log_was_truncated(self) -> None:
         async def work() -> None:
             settings = replace(
                 SETTINGS, platform=replace(SETTINGS.platform, snapshot_every_records=20)
--- a/tests/functional/test_restart_of_all.py
+++ b/tests/functional/test_restart_of_all.py
@@ -29,27 +29,27 @@
 # with half a core asks at once.
 SLOW_HOST_S = 0.05
 # All first looks of an owner that has just opened its pool have been sent by then.
-FIRST_LOOKS_S = 0.1
+FIRST_POLLS_S = 0.1
 # What the store takes to answer when it is slow: 60 times some 10 ms.
 SLOW_STORE_S = 0.6
 SLOW_STORE_SPREAD = 0.2
-OFF_S = 1.0
+DOWNTIME_S = 1.0
 POOLS = tuple(f"pool{number}" for number in range(8))
 # What the store of the stand-in takes to answer when it is 60 times slower than usual.
-SLOW_TAKES_S = 0.24
+SLOW_RESPONSE_S = 0.24
 # A join, the list of members, the owners, a take with its read, an opening: seven answers
 # in turn, and as much again to spare.
-ALL_OPEN_WITHIN_S = 14 * SLOW_TAKES_S
+ALL_OPEN_WITHIN_S = 14 * SLOW_RESPONSE_S
 
-BringAbout = Callable[[PlatformStandin], Awaitable[None]]
+Trigger = Callable[[PlatformStandin], Awaitable[None]]
 
 
-async def _restart_all(platform: PlatformStandin, comes_back: Callable[[str], bool]) -> None:
+async def _restart_all(platform: PlatformStandin, is_restarted: Callable[[str], bool]) -> None:
     names = list(platform.nodes)
     for name in names:
         platform.kill_node(name)
-    await asyncio.sleep(OFF_S)
-    for name in filter(comes_back, names):
+    await asyncio.sleep(DOWNTIME_S)
+    for name in filter(is_restarted, names):
         platform.start_node(name)
 
 
@@ -57,17 +57,17 @@
     kill_owner(platform)
 
 
-async def _restart_and_lose_first_looks(platform: PlatformStandin) -> None:
+async def _restart_and_lose_first_polls(platform: PlatformStandin) -> None:
     platform.hosts.faults.silent.add("*")
     await _restart_all(platform, lambda name: True)
     await wait_until(lambda: get_owner(platform) is not None)
-    await asyncio.sleep(FIRST_LOOKS_S)
+    await asyncio.sleep(FIRST_POLLS_S)
     platform.hosts.faults.silent.remove("*")
 
 
 class RestartOfAllTest(TestCase):
-    def test_hosts_that_are_not_heard_yet_are_not_replaced(self) -> None:
-        async def work(latency_s: float, bring_about: BringAbout) -> None:
+    def test_hosts_not_yet_contacted_are_not_replaced(self) -> None:
+        async def work(latency_s: float, trigger: Trigger) -> None:
             platform = await start_platform(
                 lambda task: TaskPlan(None, LASTING_RESOURCES), nodes=5, hosts=10, reserve=10
             )
@@ -79,7 +79,7 @@
             runs = [run for run in platform.hosts.ledger.runs if run.ended_at_s is None]
             self.assertEqual(32, len(runs))
             platform.hosts.faults.latency_s = latency_s
-            await bring_about(platform)
+            await trigger(platform)
             await asyncio.sleep(10)
             ended = [run for run in runs if run.ended_at_s is not None]
             self.assertEqual((0, 0), (platform.machines.move_count - moved, len(ended)))
@@ -89,9 +89,9 @@
 
         run_virtual(work(SLOW_HOST_S, restart))
         run_virtual(work(2 * SLOW_HOST_S, _kill_owner))
-        run_virtual(work(SLOW_HOST_S, _restart_and_lose_first_looks))
+        run_virtual(work(SLOW_HOST_S, _restart_and_lose_first_polls))
 
-    def test_slow_store_does_not_make_living_owners_lose_their_pools(self) -> None:
+    def test_slow_store_does_not_make_running_owners_lose_their_pools(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=12)
             owner = get_owner(platform)
@@ -120,7 +120,7 @@
             await asyncio.sleep(10)
             owners = {get_owner(platform, pool) for pool in POOLS}
             self.assertEqual(len(POOLS), len(owners - {None}))
-            platform.store.faults.latency_s = SLOW_TAKES_S
+            platform.store.faults.latency_s = SLOW_RESPONSE_S
             platform.store.faults.latency_spread = SLOW_STORE_SPREAD
             await _restart_all(platform, lambda name: True)
             took_s = await wait_until(
--- a/tests/functional/test_returning_hosts.py
+++ b/tests/functional/test_returning_hosts.py
@@ -31,7 +31,7 @@
 }
 
 
-async def _serve(platform: PlatformStandin, number: int) -> float:
+async def _run_job(platform: PlatformStandin, number: int) -> float:
     await hand_in(platform, "node0", make_job(number, ORDINARY))
     return await wait_for_status(platform, f"{number:016x}", JobStatus.SUCCEEDED)
 
@@ -43,19 +43,19 @@
 
 
 class ReturningHostsTest(TestCase):
-    def test_ends_of_a_new_life_are_not_taken_for_those_of_the_last(self) -> None:
+    def test_ends_of_a_new_incarnation_are_not_attributed_to_the_previous_one(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=1)
-            await _serve(platform, 11)
+            await _run_job(platform, 11)
             _crash(platform, 0.2)
             await asyncio.sleep(1.0)
-            await _serve(platform, 12)
+            await _run_job(platform, 12)
             self.assertEqual([], find_breaks(platform))
             self.assertEqual(8, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
 
-    def test_host_whose_entry_had_gone_is_used_again(self) -> None:
+    def test_host_whose_entry_had_expired_is_used_again(self) -> None:
         async def work() -> None:
             platform = await start_returning()
             _crash(platform, 9.0)
@@ -72,13 +72,13 @@
             await asyncio.sleep(1.5)
             _crash(platform, 0.2)
             await asyncio.sleep(1.0)
-            await _serve(platform, 11)
+            await _run_job(platform, 11)
             self.assertEqual([], await find_unused(platform))
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
 
-    def test_host_that_restarts_twice_between_two_looks_does_no_task_twice(self) -> None:
+    def test_host_that_restarts_twice_between_two_polls_runs_no_task_twice(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=2)
             await hand_in(platform, "node0", make_job(11, ORDINARY))
@@ -91,7 +91,7 @@
 
         run_virtual(work())
 
-    def test_next_owner_tells_the_lives_of_a_record_apart(self) -> None:
+    def test_next_owner_distinguishes_the_incarnations_in_a_record(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=2)
             await hand_in(platform, "node0", make_job(11, ORDINARY))
@@ -104,7 +104,7 @@
 
         run_virtual(work())
 
-    def test_ticket_of_the_last_life_is_asked_for_anew(self) -> None:
+    def test_ticket_of_the_previous_incarnation_is_requested_again(self) -> None:
         async def work() -> None:
             platform = await start_returning(hosts=2)
             platform.asks_for_tickets = True
@@ -114,19 +114,19 @@
             await asyncio.sleep(1.0)
             await hand_in(platform, "node0", make_job(11, ORDINARY))
             await asyncio.sleep(0.5)
-            asked = platform.advice.call_count
+            calls_before = platform.advice.call_count
             _crash(platform, 0.2)
             await wait_for_status(platform, f"{11:016x}", JobStatus.SUCCEEDED)
-            self.assertLess(asked, platform.advice.call_count)
+            self.assertLess(calls_before, platform.advice.call_count)
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
 
-    def test_days_break_no_promise(self) -> None:
+    def test_drawn_days_have_no_violations(self) -> None:
         found = [find_on_return_day(seed) for seed in FRESH_SEEDS]
         self.assertEqual([], [each for each in found if not each.is_clean])
 
-    def test_days_that_failed_once_break_no_promise(self) -> None:
+    def test_days_that_failed_before_have_no_violations(self) -> None:
         found = {seed: find_on_return_day(seed) for seed in FAILED_SEEDS}
         broken = {seed: FAILED_SEEDS[seed] for seed, day in found.items() if not day.is_clean}
         self.assertEqual({}, broken, str([found[seed] for seed in broken]))
--- a/tests/functional/test_silences_noticed.py
+++ b/tests/functional/test_silent_connection_recovery.py
@@ -27,7 +27,7 @@
 HOSTS_COUNT = 12
 LASTING = StepSpec(4, cpu_millicores=1000, memory_mb=100, is_lasting=True)
 # Moments in the second in which a pool's looks at its hosts are spread.
-MOMENTS_S = (0.0, 0.25, 0.5, 0.75)
+OFFSETS_S = (0.0, 0.25, 0.5, 0.75)
 # A look waits for up to 1 s and times out 0.4 s later; the next one is answered at once.
 HOSTS_MAX_S = 1.8
 # A read of the store waits for up to 1.5 s, and times out 1.0 s later where the store is slow;
@@ -37,7 +37,7 @@
 PEERS_MAX_S = 1.5
 
 
-async def _start(moment_s: float) -> PlatformStandin:
+async def _start(offset_s: float) -> PlatformStandin:
     platform = PlatformStandin(plan_lasting)
     # Without a reserve: no machine is let go.
     platform.configure(1, (QUEUE,), (PoolPolicy(POOL),))
@@ -49,13 +49,13 @@
     await asyncio.sleep(1)
     await hand_in(platform, get_others(platform)[0], make_job(1, LASTING))
     await get_status(platform, get_others(platform)[0], make_job(1).job_id)
-    await asyncio.sleep(3 + moment_s)
+    await asyncio.sleep(3 + offset_s)
     return platform
 
 
-async def _silence_hosts(moment_s: float) -> float:
+async def _silence_hosts(offset_s: float) -> float:
     """Return after how long each host has been heard on a new connection."""
-    platform = await _start(moment_s)
+    platform = await _start(offset_s)
     owner = platform.nodes[get_owner(platform) or ""].assembled.owned.owners[POOL]
     now_s = asyncio.get_running_loop().time()
     platform.hosts.faults.connections.silence()
@@ -72,9 +72,9 @@
     return took_s
 
 
-async def _silence_store(moment_s: float) -> float:
+async def _silence_store(offset_s: float) -> float:
     """Return after how long the store has confirmed each node anew."""
-    platform = await _start(moment_s)
+    platform = await _start(offset_s)
     owner = get_owner(platform)
     now_s = asyncio.get_running_loop().time()
     platform.store.faults.connections.silence()
@@ -92,29 +92,29 @@
     return took_s
 
 
-async def _silence_peers(moment_s: float) -> float:
+async def _silence_peers(offset_s: float) -> float:
     """Return after how long each node tells the state of a job that another one owns."""
-    platform = await _start(moment_s)
+    platform = await _start(offset_s)
     now_s = asyncio.get_running_loop().time()
     platform.peer_connections.silence()
     others = get_others(platform)
     while True:
-        told = await asyncio.gather(
+        statuses = await asyncio.gather(
             *(get_status(platform, name, make_job(1).job_id) for name in others)
         )
-        if all(status is JobStatus.RUNNING for status in told):
+        if all(status is JobStatus.RUNNING for status in statuses):
             return asyncio.get_running_loop().time() - now_s
 
 
-class SilencesNoticedTest(TestCase):
-    def test_hosts_are_heard_again_and_nothing_that_runs_there_ends(self) -> None:
-        took_s = [run_virtual(_silence_hosts(moment_s)) for moment_s in MOMENTS_S]
+class SilentConnectionRecoveryTest(TestCase):
+    def test_hosts_are_contacted_again_and_their_runs_continue(self) -> None:
+        took_s = [run_virtual(_silence_hosts(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), HOSTS_MAX_S, took_s)
 
     def test_store_confirms_the_nodes_and_no_pool_changes_its_owner(self) -> None:
-        took_s = [run_virtual(_silence_store(moment_s)) for moment_s in MOMENTS_S]
+        took_s = [run_virtual(_silence_store(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), STORE_MAX_S, took_s)
 
-    def test_nodes_answer_each_other_again(self) -> None:
-        took_s = [run_virtual(_silence_peers(moment_s)) for moment_s in MOMENTS_S]
+    def test_nodes_respond_to_each_other_again(self) -> None:
+        took_s = [run_virtual(_silence_peers(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), PEERS_MAX_S, took_s)
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -14,7 +14,7 @@
 from tests.lib.silent_service import SilentService
 
 CONNECTIONS_MAX: Final = 64
-KEPT_COUNTS: Final = (1, 5, 20)
+IDLE_COUNTS: Final = (1, 5, 20)
 CALLS: Final = 30
 # For calls that shall be lost.
 SHORT_S: Final = 0.1
@@ -26,28 +26,28 @@
 
 class SilentConnectionsTest(TestCase):
     def test_one_call_is_lost_however_many_connections_went_silent(self) -> None:
-        async def work(kept: int) -> None:
+        async def work(idle_count: int) -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
-                await _open(client, service, kept)
+                await _open(client, service, idle_count)
                 service.silence()
                 await self._lose(client, service)
-                answered = [await _ask(client, service) for _ in range(kept)]
-                self.assertEqual([True] * kept, answered)
-                self.assertEqual(kept + 1, service.opened)
+                answered = [await _send(client, service) for _ in range(idle_count)]
+                self.assertEqual([True] * idle_count, answered)
+                self.assertEqual(idle_count + 1, service.opened)
                 # Each call was sent once, and all but the lost one on the new connection.
-                self.assertEqual([kept] * kept, service.requests[kept + 1 :])
+                self.assertEqual([idle_count] * idle_count, service.requests[idle_count + 1 :])
                 client.fetcher.close()
 
-        for kept in KEPT_COUNTS:
-            asyncio.run(work(kept))
+        for idle_count in IDLE_COUNTS:
+            asyncio.run(work(idle_count))
 
     def test_store_is_not_lost_twice_in_a_row(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 store = PlatformStore(client, service.address, NodeMetrics())
-                await _open(client, service, KEPT_COUNTS[-1])
+                await _open(client, service, IDLE_COUNTS[-1])
                 service.silence()
                 outcomes = [await _join(store) for _ in range(4)]
                 self.assertEqual([False, True, True, True], outcomes)
@@ -61,9 +61,9 @@
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 20)
                 service.silence()
-                lost = await asyncio.gather(*(_ask(client, service, SHORT_S) for _ in range(5)))
+                lost = await asyncio.gather(*(_send(client, service, SHORT_S) for _ in range(5)))
                 self.assertEqual([False] * 5, lost)
-                answered = await asyncio.gather(*(_ask(client, service) for _ in range(5)))
+                answered = await asyncio.gather(*(_send(client, service) for _ in range(5)))
                 self.assertEqual([True] * 5, answered)
                 client.fetcher.close()
 
@@ -77,7 +77,7 @@
                     await _open(client, service, 5)
                     service.silence()
                     await self._lose(client, service)
-                    self.assertTrue(await _ask(client, service))
+                    self.assertTrue(await _send(client, service))
                     await asyncio.sleep(pause_s)
                 client.fetcher.close()
 
@@ -91,7 +91,7 @@
                 await _open(client, sound, 5)
                 silent.silence()
                 await self._lose(client, silent)
-                answered = [await _ask(client, sound) for _ in range(CALLS)]
+                answered = [await _send(client, sound) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(5, sound.opened)
                 client.fetcher.close()
@@ -104,44 +104,44 @@
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 service.silence()
-                watch = asyncio.ensure_future(_ask(client, service, 4 * SHORT_S))
+                late_call = asyncio.ensure_future(_send(client, service, 4 * SHORT_S))
                 await self._lose(client, service)
-                self.assertTrue(await _ask(client, service))
+                self.assertTrue(await _send(client, service))
                 opened = service.opened
-                self.assertFalse(await watch)
-                answered = [await _ask(client, service) for _ in range(CALLS)]
+                self.assertFalse(await late_call)
+                answered = [await _send(client, service) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(opened, service.opened)
                 client.fetcher.close()
 
         asyncio.run(work())
 
-    def test_calls_that_are_answered_open_nothing(self) -> None:
+    def test_answered_calls_open_no_further_connection(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 for _ in range(CALLS):
-                    answered = await asyncio.gather(*(_ask(client, service) for _ in range(5)))
+                    answered = await asyncio.gather(*(_send(client, service) for _ in range(5)))
                     self.assertEqual([True] * 5, answered)
                 self.assertEqual(5, service.opened)
                 client.fetcher.close()
 
         asyncio.run(work())
 
-    def test_service_that_answers_nothing_costs_one_connection_a_call_at_most(self) -> None:
+    def test_service_without_responses_costs_at_most_one_connection_per_call(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 service.answers.clear()
-                lost = [await _ask(client, service, SHORT_S / 4) for _ in range(CALLS)]
+                lost = [await _send(client, service, SHORT_S / 4) for _ in range(CALLS)]
                 self.assertEqual([False] * CALLS, lost)
                 service.answers.set()
-                self.assertTrue(await _ask(client, service))
+                self.assertTrue(await _send(client, service))
                 opened = service.opened
                 self.assertLessEqual(opened, 5 + CALLS)
-                answered = [await _ask(client, service) for _ in range(CALLS)]
+                answered = [await _send(client, service) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(opened, service.opened)
                 client.fetcher.close()
@@ -170,7 +170,7 @@
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, idle, 5)
                 for _ in range(POLLS_MAX):
-                    self.assertTrue(await _ask(client, busy))
+                    self.assertTrue(await _send(client, busy))
                     if not idle.open:
                         break
                     await asyncio.sleep(POLL_S)
@@ -179,19 +179,19 @@
 
         asyncio.run(work())
 
-    def test_loss_on_a_new_connection_leaves_the_kept_ones(self) -> None:
+    def test_loss_on_a_new_connection_leaves_the_others_open(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 service.answers.clear()
-                held = [
-                    asyncio.ensure_future(_ask(client, service, seconds))
+                pending = [
+                    asyncio.ensure_future(_send(client, service, seconds))
                     for seconds in (LONG_S, LONG_S, SHORT_S)
                 ]
-                self.assertFalse(await held[-1])
+                self.assertFalse(await pending[-1])
                 service.answers.set()
-                self.assertEqual([True, True], await asyncio.gather(*held[:-1]))
-                answered = await asyncio.gather(*(_ask(client, service) for _ in range(2)))
+                self.assertEqual([True, True], await asyncio.gather(*pending[:-1]))
+                answered = await asyncio.gather(*(_send(client, service) for _ in range(2)))
                 self.assertEqual([True, True], answered)
                 self.assertEqual(3, service.opened)
                 client.fetcher.close()
@@ -199,10 +199,10 @@
         asyncio.run(work())
 
     async def _lose(self, client: HttpClient, service: SilentService) -> None:
-        self.assertFalse(await _ask(client, service, SHORT_S))
+        self.assertFalse(await _send(client, service, SHORT_S))
 
 
-async def _ask(client: HttpClient, service: SilentService, timeout_s: float = LONG_S) -> bool:
+async def _send(client: HttpClient, service: SilentService, timeout_s: float = LONG_S) -> bool:
     """Make a call that may be sent once only, and tell whether it was answered."""
     try:
         await call(client, f"http://{service.address}/", timeout_s=timeout_s, body=b"{}")
@@ -223,7 +223,7 @@
     """Have ``count`` connections open and idle, all of them answered."""
     before = len(service.requests)
     service.answers.clear()
-    calls = [asyncio.ensure_future(_ask(client, service)) for _ in range(count)]
+    calls = [asyncio.ensure_future(_send(client, service)) for _ in range(count)]
     while len(service.requests) < before + count:
         await asyncio.sleep(0.001)
     service.answers.set()
--- a/tests/functional/test_stop_under_way.py
+++ b/tests/functional/test_stop_under_way.py
@@ -63,7 +63,7 @@
 
 
 class StopUnderWayTest(TestCase):
-    def test_task_whose_stop_is_not_answered_is_waited_for(self) -> None:
+    def test_next_run_waits_for_a_stop_without_response(self) -> None:
         async def work() -> None:
             platform = await start_lasting(hosts=2, step=ALONE, plan_task=plan_many)
             host, run = get_first_host(platform), list_runs(platform)[0]
@@ -75,8 +75,8 @@
             await wait_until(lambda: run.ended_at_s is not None)
             platform.hosts.faults.lost_share = 0.0
             await asyncio.sleep(3)
-            taken_back = [event for event in platform.events if b'"run_not_there"' in event]
-            self.assertEqual([], [event for event in taken_back if b'"stopping"' in event])
+            withdrawn = [event for event in platform.events if b'"run_not_there"' in event]
+            self.assertEqual([], [event for event in withdrawn if b'"stopping"' in event])
             self.assertEqual(2, len(list_runs(platform)))
             self.assertEqual([], find_breaks(platform))
 
@@ -99,7 +99,7 @@
 
         run_virtual(work())
 
-    def test_member_of_a_gang_on_a_host_not_heard_yet_is_waited_for(self) -> None:
+    def test_gang_restart_waits_for_a_member_on_an_uncontacted_host(self) -> None:
         """The next owner hears first that another member failed; its stop has no answer."""
 
         async def work() -> None:
@@ -108,8 +108,8 @@
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 30)
             hosts = {host.record.id: host for host in platform.hosts.hosts.values()}
             failing, other = list_runs(platform)
-            host, away = hosts[failing.host_id], hosts[other.host_id]
-            ways = {(name, away.record.address) for name in platform.nodes}
+            host, unreachable = hosts[failing.host_id], hosts[other.host_id]
+            ways = {(name, unreachable.record.address) for name in platform.nodes}
             platform.hosts.cut_ways |= ways
             kill_owner(platform)
             host._end((failing.task, failing.number), RunEnd.FAILED)
@@ -118,7 +118,7 @@
             platform.hosts.faults.lost_share = 1.0
             platform.hosts.faults.late_s = (LATE_S, LATE_S)
             platform.hosts.cut_ways -= ways
-            await wait_until(lambda: any(run.is_stopping for run in away._present.values()))
+            await wait_until(lambda: any(run.is_stopping for run in unreachable._present.values()))
             platform.hosts.faults.lost_share = 0.0
             await asyncio.sleep(3)
             self.assertEqual("stopped", other.end)
--- a/tests/functional/test_suspended_nodes.py
+++ b/tests/functional/test_suspended_nodes.py
@@ -24,7 +24,7 @@
 TASK = StepSpec(1, cpu_millicores=1000, memory_mb=100)
 
 
-def see_owner(platform: PlatformStandin) -> PoolOwner:
+def get_pool_owner(platform: PlatformStandin) -> PoolOwner:
     """Return the pool's owner."""
     name = get_owner(platform)
     assert name is not None
@@ -36,12 +36,12 @@
         super().setUp()
         self.machine = Machine()
 
-    def test_owner_knows_that_all_it_rests_on_is_old(self) -> None:
+    def test_owner_detects_that_its_confirmations_and_leases_have_expired(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             await hand_in(platform, "node0", make_job(1, TASK))
             await wait_until(lambda: bool(platform.hosts.ledger.runs))
-            owner = see_owner(platform)
+            owner = get_pool_owner(platform)
             host = owner.jobs.hosts[platform.hosts.ledger.runs[0].host_id]
             self.assertLess(owner.get_unconfirmed_s(), UNCONFIRMED_MAX_S)
             self.machine.suspend(LONG_S)
@@ -52,7 +52,7 @@
 
         run_on_clock(self.machine, work())
 
-    def test_timers_that_came_due_meanwhile_go_off_at_once(self) -> None:
+    def test_timers_due_during_a_suspension_fire_right_after_it(self) -> None:
         async def work() -> float:
             sleeping = asyncio.create_task(asyncio.sleep(5))
             await asyncio.sleep(0.1)
@@ -62,7 +62,7 @@
 
         self.assertLess(run_on_clock(self.machine, work()), 0.2)
 
-    def test_process_takes_the_clock_that_counts_suspensions_where_there_is_one(self) -> None:
+    def test_event_loop_time_includes_suspensions(self) -> None:
         loop = ProcessLoop()
         self.addCleanup(loop.close)
         elapsed_s = time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/tests/functional/test_takeover_under_load.py
+++ b/tests/functional/test_takeover_under_load.py
@@ -63,21 +63,21 @@
         async def work() -> None:
             platform = await start_platform(plan_task, nodes=4, hosts=HOSTS)
             await hand_in(platform, "node0", make_job(0, LASTING))
-            beating = asyncio.create_task(platform.keep_heartbeats(HEARTBEAT_S))
+            heartbeats = asyncio.create_task(platform.keep_heartbeats(HEARTBEAT_S))
             await asyncio.sleep(SETTLE_S)
             self.assertLess(await kill_owner_while_slow(platform), OPEN_MAX_S)
-            beating.cancel()
+            heartbeats.cancel()
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
 
-    def test_pool_is_opened_while_jobs_come(self) -> None:
+    def test_pool_is_opened_while_jobs_are_submitted(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_task, nodes=4, hosts=8)
-            coming = asyncio.create_task(hand_in_jobs(platform))
+            submissions = asyncio.create_task(hand_in_jobs(platform))
             await asyncio.sleep(SETTLE_S)
             self.assertLess(await kill_owner_while_slow(platform), OPEN_MAX_S)
-            coming.cancel()
+            submissions.cancel()
             self.assertEqual([], find_breaks(platform))
 
         run_virtual(work())
--- a/tests/functional/test_unsent_calls.py
+++ b/tests/functional/test_unsent_calls.py
@@ -21,10 +21,10 @@
 # More connections than a queue of length 0 holds.
 QUEUE_FILLERS = 4
 # No connection can be made to this address: the system says so at once, and sends nothing.
-NOWHERE = "255.255.255.255:9"
+UNREACHABLE_ADDRESS = "255.255.255.255:9"
 
 
-async def ask(client: object, address: str, timeout_s: float = TIMEOUT_S) -> str:
+async def send(client: object, address: str, timeout_s: float = TIMEOUT_S) -> str:
     """Make a call; return how it went."""
     try:
         await call(client, f"http://{address}/", timeout_s=timeout_s, body=BODY)  # type: ignore[arg-type]
@@ -44,11 +44,11 @@
         async def work() -> None:
             async with SilentService() as service:
                 address = service.address
-            self.assertEqual("refused", await ask(make_client(4), address))
+            self.assertEqual("refused", await send(make_client(4), address))
 
         asyncio.run(work())
 
-    def test_many_calls_at_once_are_told_apart(self) -> None:
+    def test_results_of_concurrent_calls_are_not_mixed_up(self) -> None:
         """More than the client has handles, so each handle carries several calls."""
 
         async def work() -> None:
@@ -56,18 +56,18 @@
             async with SilentService() as ended:
                 address = ended.address
             async with SilentService() as service:
-                asked = [ask(client, to) for _ in range(8) for to in (address, service.address)]
-                self.assertEqual(["refused", "answered"] * 8, await asyncio.gather(*asked))
+                calls = [send(client, to) for _ in range(8) for to in (address, service.address)]
+                self.assertEqual(["refused", "answered"] * 8, await asyncio.gather(*calls))
 
         asyncio.run(work())
 
-    def test_address_without_a_way_to_it_does_not_refuse(self) -> None:
+    def test_unreachable_address_does_not_count_as_refused(self) -> None:
         async def work() -> None:
-            self.assertEqual("unsent", await ask(make_client(4), NOWHERE))
+            self.assertEqual("unsent", await send(make_client(4), UNREACHABLE_ADDRESS))
 
         asyncio.run(work())
 
-    def test_connection_that_times_out_is_not_refused(self) -> None:
+    def test_connection_that_times_out_does_not_count_as_refused(self) -> None:
         """A full queue of new connections drops what opens another."""
 
         async def work() -> None:
@@ -78,30 +78,30 @@
                     filler.setblocking(False)
                     filler.connect_ex(listener.getsockname())
                 address = f"127.0.0.1:{listener.getsockname()[1]}"
-                self.assertEqual("unsent", await ask(make_client(4), address, 0.3))
+                self.assertEqual("unsent", await send(make_client(4), address, 0.3))
 
         asyncio.run(work())
 
-    def test_call_that_was_read_and_not_answered_may_have_been_carried_out(self) -> None:
+    def test_call_read_without_response_may_have_been_executed(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 service.answers.clear()
-                self.assertEqual("timed out", await ask(make_client(4), service.address, 0.2))
+                self.assertEqual("timed out", await send(make_client(4), service.address, 0.2))
                 self.assertEqual(1, len(service.requests))
 
         asyncio.run(work())
 
-    def test_call_on_a_kept_connection_that_ends_may_have_been_carried_out(self) -> None:
+    def test_call_on_a_keep_alive_connection_that_ends_may_have_been_executed(self) -> None:
         async def work() -> None:
             client = make_client(4)
             async with SilentService() as service:
-                self.assertEqual("answered", await ask(client, service.address))
+                self.assertEqual("answered", await send(client, service.address))
                 service.answers.clear()
-                asking = asyncio.create_task(ask(client, service.address))
+                pending = asyncio.create_task(send(client, service.address))
                 while len(service.requests) < 2:
                     await asyncio.sleep(0.01)
             # The service has ended with the request read: libcurl tries again by itself, and
             # nobody listens any more.
-            self.assertEqual("lost", await asking)
+            self.assertEqual("lost", await pending)
 
         asyncio.run(work())
--- a/tests/functional/test_work_not_begun.py
+++ b/tests/functional/test_work_not_begun.py
@@ -16,7 +16,7 @@
 
 
 class WorkNotBegunTest(TestCase):
-    def test_work_that_was_not_begun_is_closed_with_its_owner(self) -> None:
+    def test_unstarted_coroutine_is_closed_with_its_owner(self) -> None:
         async def work() -> str:
             platform = await start_platform()
             await wait_until(lambda: get_owner(platform) is not None)
--- a/tests/functional/test_worker_failures.py
+++ b/tests/functional/test_worker_failures.py
@@ -33,7 +33,7 @@
 
         run_virtual(work())
 
-    def test_job_that_can_never_run_is_told_from_bad_workers(self) -> None:
+    def test_job_that_can_never_run_is_distinguished_from_bad_workers(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL)
             answers = [
--- a/tests/lib/back_at_size.py
+++ b/tests/lib/back_at_size.py
@@ -23,7 +23,7 @@
 async def play_at(site: Site, troubles: Sequence[Trouble] = ()) -> BackFigures:
     """Play a loss of power beside troubles, and measure from when the machines are back."""
     loop = asyncio.get_running_loop()
-    beating = asyncio.create_task(site.platform.keep_heartbeats(site.size.heartbeat_s))
+    heartbeats = asyncio.create_task(site.platform.keep_heartbeats(site.size.heartbeat_s))
     jobs: list[asyncio.Task[None]] = []
     feeding = asyncio.create_task(feed(site, jobs))
     lost_at_s = loop.time() + site.size.settle_s
@@ -32,17 +32,17 @@
     await asyncio.sleep(site.size.settle_s)
     await lose_power(site)
     opened: dict[str, float] = {}
-    noting = asyncio.create_task(_note_opened(site, opened))
+    recording = asyncio.create_task(_record_opened(site, opened))
     await asyncio.sleep(RECOVERY_S + AFTER_S)
     feeding.cancel()
     await asyncio.gather(*going, *jobs)
     undone = await wait_until_done(site)
-    noting.cancel()
-    beating.cancel()
+    recording.cancel()
+    heartbeats.cancel()
     return measure(site, undone, opened)
 
 
-async def _note_opened(site: Site, opened: dict[str, float]) -> None:
+async def _record_opened(site: Site, opened: dict[str, float]) -> None:
     """Note when each pool is first served again."""
     while True:
         for pool in site.pools:
--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -81,12 +81,12 @@
     queue = QueuePolicy(spec.queue, "", "/", spec.pool)
     try:
         async with asyncio.timeout(BUDGET_S):
-            told = await site.platform.nodes[name].assembled.job_service.get_status(
+            response = await site.platform.nodes[name].assembled.job_service.get_status(
                 queue, spec.job_id
             )
     except TimeoutError:
         return False
-    return told.status is JobStatus.SUCCEEDED
+    return response.status is JobStatus.SUCCEEDED
 
 
 async def wait_until_done(site: Site) -> tuple[str, ...]:
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -66,7 +66,7 @@
     size: Size
     random: random.Random
     names: tuple[str, ...] = ()
-    former_owners: dict[str, str] = field(default_factory=dict)
+    previous_owners: dict[str, str] = field(default_factory=dict)
     back_at_s: float = 0.0
     handed: list[Handed] = field(default_factory=list)
     troubled: list[Span] = field(default_factory=list)
@@ -155,7 +155,7 @@
 async def lose_power(site: Site) -> None:
     """Kill all nodes at one moment, and start those again that are not to stay away."""
     platform, loop = site.platform, asyncio.get_running_loop()
-    site.former_owners = {
+    site.previous_owners = {
         pool: owner for pool in site.pools if (owner := get_owner(platform, pool)) is not None
     }
     lost_at_s = loop.time()
--- a/tests/lib/back_troubles.py
+++ b/tests/lib/back_troubles.py
@@ -41,7 +41,7 @@
     await asyncio.sleep(max(0.0, site.back_at_s + at_s - asyncio.get_running_loop().time()))
 
 
-def note_trouble(site: Site, began_s: float, ended_s: float) -> None:
+def record_trouble(site: Site, began_s: float, ended_s: float) -> None:
     """Note when a trouble was there."""
     site.troubled.append((site.back_at_s + began_s, site.back_at_s + ended_s))
 
@@ -55,7 +55,7 @@
         faults.latency_s, faults.latency_spread = SLOW_STORE_S, SLOW_SPREAD
         await wait_for(site, until_s)
         faults.latency_s, faults.latency_spread = LATENCY_S, 0.0
-        note_trouble(site, from_s, until_s)
+        record_trouble(site, from_s, until_s)
 
     return work
 
@@ -69,7 +69,7 @@
         site.platform.store.faults.refused |= names
         await wait_for(site, until_s)
         site.platform.store.faults.refused -= names
-        note_trouble(site, from_s, until_s)
+        record_trouble(site, from_s, until_s)
 
     return work
 
@@ -83,7 +83,7 @@
         faults.lost_share, faults.late_s = LOST_SHARE, LATE_APPEND_S
         await wait_for(site, until_s)
         faults.lost_share = 0.0
-        note_trouble(site, from_s, until_s)
+        record_trouble(site, from_s, until_s)
 
     return work
 
@@ -95,7 +95,7 @@
         for at_s in moments_s:
             await wait_for(site, at_s)
             site.platform.silence_connections()
-            note_trouble(site, at_s, at_s)
+            record_trouble(site, at_s, at_s)
 
     return work
 
@@ -117,7 +117,7 @@
         for name in owners:
             site.platform.kill_node(name)
         site.absent |= set(owners)
-        note_trouble(site, at_s, at_s)
+        record_trouble(site, at_s, at_s)
 
     return work
 
@@ -140,7 +140,7 @@
     await wait_for(site, 0.0)
     for host in hosts:
         _heal(site, host)
-    note_trouble(site, first_s, 0.0)
+    record_trouble(site, first_s, 0.0)
 
 
 def make_lapses_at_change(back_after_s: float | None) -> Trouble:
@@ -158,7 +158,7 @@
         for host in hosts:
             _heal(site, host)
         # A host that is cut off is no calm: what ran there must run again after this.
-        note_trouble(site, LATER_S - LAPSES_IN_S, ends_s)
+        record_trouble(site, LATER_S - LAPSES_IN_S, ends_s)
 
     return work
 
@@ -172,7 +172,7 @@
             site.platform.crash_host(host.record.id)
         await asyncio.sleep(NOTICED_IN_S)
         await replace_owners(site, back_after_s)
-        note_trouble(site, LATER_S, LATER_S + NOTICED_IN_S + (back_after_s or 0.0))
+        record_trouble(site, LATER_S, LATER_S + NOTICED_IN_S + (back_after_s or 0.0))
 
     return work
 
@@ -183,7 +183,7 @@
     async def work(site: Site) -> None:
         await wait_for(site, at_s)
         await replace_owners(site, EARLY_BACK_S)
-        note_trouble(site, at_s, at_s + EARLY_BACK_S)
+        record_trouble(site, at_s, at_s + EARLY_BACK_S)
 
     return work
 
@@ -206,7 +206,7 @@
 
 def list_third(site: Site) -> set[str]:
     """List a third of the nodes: those that own pools, or did before, and others."""
-    owners = set(site.former_owners.values()) or list_owners(site)
+    owners = set(site.previous_owners.values()) or list_owners(site)
     ranked = sorted(site.names, key=lambda name: (name not in owners, name))
     return set(ranked[: len(site.names) // 3])
 
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -146,7 +146,7 @@
     platform = await _start(day)
     platform.keeps_host_ids, platform.start_time_sources = keeps_host_ids, tuple(StartTimeSource)
     loop = asyncio.get_running_loop()
-    beating = asyncio.create_task(platform.keep_heartbeats(day.heartbeat_s or TROUBLES_S * 10))
+    heartbeats = asyncio.create_task(platform.keep_heartbeats(day.heartbeat_s or TROUBLES_S * 10))
     jobs: list[asyncio.Task[HandedIn]] = []
     feeding = asyncio.create_task(_feed(platform, day.job_period_s, jobs))
     spans = await asyncio.gather(*(_play_trouble(platform, each) for each in day.troubles))
@@ -161,7 +161,7 @@
     served = sum(job.is_accepted and job.job_id not in undone for job in late)
     unserved = [f"{served} of {len(late)} jobs served"] * (served < len(late) * SERVED_SHARE_MIN)
     unserved += [f"no owner {RECOVERY_S:g} s after the last trouble"] * (owner is None)
-    beating.cancel()
+    heartbeats.cancel()
     return DayFindings(
         day.seed,
         tuple(find_lost(list_runs(platform), list(itertools.chain(*spans)), loop.time())),
@@ -203,13 +203,13 @@
 
 async def _hand_in(platform: PlatformStandin, node: str, number: int) -> HandedIn:
     at_s, spec, outcome = asyncio.get_running_loop().time(), make_job(number, SMALL), None
-    asked = platform.nodes[node]
+    node_before = platform.nodes[node]
     try:
         async with asyncio.timeout(ANSWERED_WITHIN_S):
             outcome = await hand_in(platform, node, spec)
     except TimeoutError:
         # Whoever asks a node that is killed sees its connection end.
-        assert platform.nodes.get(node) is not asked, f"{node} has not answered"
+        assert platform.nodes.get(node) is not node_before, f"{node} has not answered"
     return HandedIn(spec.job_id, at_s, outcome is JobRequestOutcome.DONE)
 
 
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -49,7 +49,7 @@
     WAVE_AGAIN = "first wave asked for again, with other machines and another bound"
 
 
-GENERAL = (
+GENERAL_TROUBLES = (
     TroubleKind.KILL_NODE,
     TroubleKind.KILL_ALL,
     TroubleKind.STOP_NODE,
@@ -109,7 +109,7 @@
         (drawn.uniform(0, TROUBLES_S / 2), _draw_wave(drawn, number, names))
         for number in range(1, drawn.choice((1, 2, 2, 3)) + 1)
     )
-    kinds: list[WaveTrouble | TroubleKind] = [*WaveTrouble, *GENERAL]
+    kinds: list[WaveTrouble | TroubleKind] = [*WaveTrouble, *GENERAL_TROUBLES]
     chosen = drawn.sample(kinds, KINDS_A_DAY)
     count = drawn.choice((0, 2, 4, 8))
     events = tuple(_iter_events(drawn, chosen, count))
@@ -146,7 +146,7 @@
         platform.start_node(f"node{number}")
     await asyncio.sleep(3)
     feeding = asyncio.create_task(feed_in_turns(platform, JOB_PERIOD_S))
-    asked = [_ask(platform, at_s, wave) for at_s, wave in day.waves]
+    asked = [_request_wave(platform, at_s, wave) for at_s, wave in day.waves]
     await asyncio.gather(*asked, *(_bring_about(platform, event) for event in day.events))
     undone = await _wait_until_begun(platform, day)
     feeding.cancel()
@@ -159,7 +159,7 @@
     )
 
 
-async def _ask(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
+async def _request_wave(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
     await asyncio.sleep(at_s)
     platform.ask_for_wave(wave)
 
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -34,7 +34,7 @@
 TRIED_WITHIN_S = 25
 CLOCK_BACK_MS = (0, 0, 60_000)
 BOTH = (StartTimeSource.ENTRY, StartTimeSource.REPORT)
-TOLD: tuple[Collection[StartTimeSource], ...] = (BOTH, BOTH, (StartTimeSource.REPORT,))
+SOURCE_CHOICES: tuple[Collection[StartTimeSource], ...] = (BOTH, BOTH, (StartTimeSource.REPORT,))
 KINDS = (
     TroubleKind.KILL_OWNER,
     TroubleKind.STOP_OWNER,
@@ -101,7 +101,7 @@
         specs,
         tuple(drawn.sample(BACK_S, drawn.choice((1, 1, 2)))),
         drawn.choice((0.2, 0.4, CRASHES_PER_S)),
-        drawn.choice(TOLD),
+        drawn.choice(SOURCE_CHOICES),
         drawn.choice(CLOCK_BACK_MS),
         drawn.random() < 0.2,
         tuple(_draw_troubles(drawn)) if drawn.random() < 0.6 else (),
@@ -191,12 +191,12 @@
         up = [host for host in platform.hosts.hosts.values() if host.is_up]
         if len(up) < 2:
             continue
-        struck = drawn.choice(up)
+        crashed = drawn.choice(up)
         platform.host_back_s = drawn.choice(day.back_s)
         platform.clock_back_ms += day.clock_back_ms
         for host in up:
-            is_of_rack = day.racks_at_once and host.record.rack == struck.record.rack
-            if host is struck or is_of_rack:
+            is_of_rack = day.racks_at_once and host.record.rack == crashed.record.rack
+            if host is crashed or is_of_rack:
                 platform.crash_for_a_while(host.record.id)
 
 
--- a/tests/unit/test_taking_lines.py
+++ b/tests/unit/test_takeover_log_lines.py
@@ -18,12 +18,12 @@
 from tests.lib.virtual import run_virtual
 
 
-class TakingLinesTest(TestCase):
-    def test_first_owner_took_a_free_pool_and_tells_what_opening_took(self) -> None:
+class TakeoverLogLinesTest(TestCase):
+    def test_first_owner_logs_a_free_pool_and_its_opening_times(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            (taken,) = find_lines(platform, "pool_taken")
-            self.assertEqual(("free", ""), (taken["reason"], taken["previous"]))
+            (acquired,) = find_lines(platform, "pool_taken")
+            self.assertEqual(("free", ""), (acquired["reason"], acquired["previous"]))
             (opened,) = find_lines(platform, "pool_opened")
             parts = [opened[f"{part}_ms"] for part in ("journal", "progress", "inbox", "hosts")]
             self.assertTrue(all(0 < part <= opened["took_ms"] for part in parts))
@@ -32,43 +32,43 @@
 
         run_virtual(work())
 
-    def test_owner_that_ends_without_a_word_is_missing(self) -> None:
+    def test_owner_that_ends_without_notice_is_missing(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            former = get_owner(platform)
-            assert former is not None
-            platform.kill_node(former)
+            previous = get_owner(platform)
+            assert previous is not None
+            platform.kill_node(previous)
             await wait_until(lambda: get_owner(platform) is not None)
-            taken = find_lines(platform, "pool_taken")[-1]
-            self.assertRegex(taken["reason"], r"^owner missing for 0\.\d\d s$")
-            self.assertEqual(former, taken["previous"])
+            acquired = find_lines(platform, "pool_taken")[-1]
+            self.assertRegex(acquired["reason"], r"^owner missing for 0\.\d\d s$")
+            self.assertEqual(previous, acquired["previous"])
 
         run_virtual(work())
 
-    def test_node_that_comes_back_takes_the_pool_of_its_former_life(self) -> None:
+    def test_restarted_node_acquires_the_pool_of_its_previous_incarnation(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=1)
             platform.kill_node("node0")
             platform.start_node("node0")
             await wait_until(lambda: get_owner(platform) is not None)
-            taken = find_lines(platform, "pool_taken")[-1]
-            self.assertEqual(("former life", "node0"), (taken["reason"], taken["previous"]))
+            acquired = find_lines(platform, "pool_taken")[-1]
+            self.assertEqual(("former life", "node0"), (acquired["reason"], acquired["previous"]))
 
         run_virtual(work())
 
-    def test_owner_that_is_turned_away_passes_its_pool_on(self) -> None:
+    def test_owner_refused_by_the_store_passes_its_pool_on(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            former = get_owner(platform)
-            assert former is not None
-            platform.store.faults.refused.add(former)
-            await wait_until(lambda: get_owner(platform) not in (None, former))
-            taken = find_lines(platform, "pool_taken")[-1]
-            self.assertEqual(("passed on", former), (taken["reason"], taken["previous"]))
+            previous = get_owner(platform)
+            assert previous is not None
+            platform.store.faults.refused.add(previous)
+            await wait_until(lambda: get_owner(platform) not in (None, previous))
+            acquired = find_lines(platform, "pool_taken")[-1]
+            self.assertEqual(("passed on", previous), (acquired["reason"], acquired["previous"]))
 
         run_virtual(work())
 
-    def test_slow_opening_is_told_each_second_with_what_is_missing(self) -> None:
+    def test_slow_opening_is_logged_each_second_with_its_missing_parts(self) -> None:
         async def work() -> None:
             platform = start_on_slow_link()
             await wait_until(lambda: get_owner(platform) == "slow")
@@ -84,24 +84,24 @@
         run_virtual(work())
 
 
-class MemberLinesTest(TestCase):
-    def test_missing_owner_is_told_once_by_each_other_node(self) -> None:
+class MemberLogLinesTest(TestCase):
+    def test_missing_owner_is_logged_once_by_each_other_node(self) -> None:
         async def work() -> None:
             platform = await start_platform()
-            former = get_owner(platform)
-            assert former is not None
+            previous = get_owner(platform)
+            assert previous is not None
             self.assertEqual([], find_lines(platform, "owner_missing"))
-            platform.kill_node(former)
+            platform.kill_node(previous)
             await wait_until(lambda: get_owner(platform) is not None)
             missing = find_lines(platform, "owner_missing")
-            self.assertEqual({former}, {line["owner"] for line in missing})
+            self.assertEqual({previous}, {line["owner"] for line in missing})
             self.assertEqual({2}, {line["listed_count"] for line in missing})
             self.assertEqual(len(missing), len({line["node"] for line in missing}))
             self.assertTrue(all(0 <= line["since_s"] < 0.5 for line in missing))
 
         run_virtual(work())
 
-    def test_member_that_the_store_does_not_list_says_so_until_it_is_listed(self) -> None:
+    def test_unlisted_member_is_logged_until_it_is_listed(self) -> None:
         async def work() -> None:
             platform = PlatformStandin(plan_second, 1)
             late = Member("late", "life1", "late", started_at_ms=1)
