--- a/tests/functional/test_answers_while_stopping.py
+++ b/tests/functional/test_answers_while_stopping.py
@@ -1,4 +1,4 @@
-"""What a node answers about a job while it passes the job's pool on."""
+"""Responses of a node about a job while it hands over the job's pool."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
             assert owner is not None
             node = platform.nodes[owner].assembled
             other = get_others(platform)[0]
-            # The store is slow: the owner has not read the job when it is asked for it.
+            # With a slow store, the owner has not read the job when its status is requested.
             spec = make_job(JOB)
             platform.store.faults.latency_s = 0.3
             outcome = await hand_in(platform, other, spec)
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -1,4 +1,4 @@
-"""A node whose clock was set back begins anew while its former life is still listed."""
+"""A node restarts with its clock set back while its previous incarnation is still listed."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 NAMES = (POOL, "weave", "print", "fold", "bind", "trim")
 POOLS = tuple(map(PoolPolicy, NAMES))
 SET_BACK_MS = 3_600_000
-# The former life is listed for its time to live.
+# Short enough that the previous incarnation is still listed: its entry has not expired.
 RESTART_S = 0.1
 WATCH_S = 8.0
 
@@ -26,7 +26,7 @@
 
 
 async def _count_records(set_back_ms: int) -> int:
-    """Return how many records of owners follow after a node with several pools began anew."""
+    """Return how many ownership records follow the restart of a node with several pools."""
     ahead_ms = set_back_ms
 
     def make(
--- a/tests/functional/test_done_while_unreachable.py
+++ b/tests/functional/test_done_while_unreachable.py
@@ -1,4 +1,4 @@
-"""A task that was done while its owner did not hear its host is not done again."""
+"""Tasks that end while their host is unreachable for the owner are not run again."""
 
 import asyncio
 
@@ -24,11 +24,11 @@
 
 TASKS = 4
 JOB = make_job(1, StepSpec(TASKS, cpu_millicores=1000, memory_mb=100))
-# A lease (4 s), what a host's clock may be slow, and two looks.
+# Covers a lease (4 s), the tolerated drift of a host's clock, and two polls.
 LAPSED_S = 6.0
-# So slow, a store has a pool open in as long as a small node takes.
+# At this store latency, a pool takes as long to open as on a small node.
 SLOW_STORE_S = 1.0
-# What the last owner granted until it stopped has lapsed by then.
+# All leases that the previous owner granted before it stopped have lapsed by then.
 LATE_S = 2.7
 
 
--- a/tests/functional/test_drawn_days.py
+++ b/tests/functional/test_drawn_days.py
@@ -1,4 +1,4 @@
-"""Days of troubles that are drawn from seeds; ``python -m bench drawn_days`` plays more."""
+"""Days of random faults, drawn from seeds; ``python -m bench drawn_days`` plays more seeds."""
 
 from testtools import TestCase
 
@@ -6,15 +6,15 @@
 
 FRESH_SEEDS = (0, 2)
 KEPT_ID_SEEDS = (1, 3)
-# Days that have shown a fault once, and its cause.
+# Seeds of days that once failed, with the cause.
 FAILED_SEEDS = {
-    9: "an owner waited a whole lease, from its opening on, for runs on a host that was gone",
-    55: "the same, after starts at a host where nobody listened any more",
-    98: "a start that reached nobody held its task up until the host's lease was over",
-    153: "the same, with the pool passed on meanwhile",
-    123: "a run whose stop was under way counted as gone at the next owner, and ran twice",
-    21: "the store's stand-in told an end that was later than the records of its page",
-    25: "the hosts' ledger counted the note of an end whose host's lease had lapsed before",
+    9: "an owner waited a whole lease after its opening for runs on a host that had ended",
+    55: "the same, after starts sent to a host whose process had ended",
+    98: "a start that reached no process delayed its task until the host's lease had expired",
+    153: "the same, with a change of the pool's owner in between",
+    123: "the next owner counted a run that was still stopping as ended, and it ran twice",
+    21: "the store's stand-in reported an end offset beyond the records of its page",
+    25: "the hosts' ledger counted an end that was recorded after the host's lease had lapsed",
 }
 
 
--- a/tests/functional/test_drawn_limits.py
+++ b/tests/functional/test_drawn_limits.py
@@ -1,13 +1,13 @@
-"""Workspaces' limits among drawn troubles; ``python -m bench drawn_limits`` plays more."""
+"""Limits of workspaces during random faults; ``python -m bench drawn_limits`` plays more seeds."""
 
 from testtools import TestCase
 
 from tests.lib.drawn_limits import find_on_limit_day
 
 FRESH_SEEDS = (0, 1, 2, 3)
-# Days that have shown a fault once, and its cause.
+# Seeds of days that once failed, with the cause.
 FAILED_SEEDS = {
-    108: "a steward that began after a fall did not count what a new owner told of its runs",
+    108: "a steward that began after a limit had fallen ignored the runs that a new owner reported",
 }
 
 
--- a/tests/functional/test_drawn_waves.py
+++ b/tests/functional/test_drawn_waves.py
@@ -1,16 +1,16 @@
-"""Maintenance waves among drawn troubles; ``python -m bench drawn_waves`` plays more."""
+"""Maintenance waves during random faults; ``python -m bench drawn_waves`` plays more seeds."""
 
 from testtools import TestCase
 
 from tests.lib.drawn_waves import find_on_wave_day
 
 FRESH_SEEDS = (0, 1)
-# Days that have shown a fault once, and its cause.
+# Seeds of days that once failed, with the cause.
 FAILED_SEEDS = {
-    8: "two waves with the same machines began one too many in one step",
-    14: "a list that was late showed machines as they were before their orders",
-    20: "a wave that was asked for again had machines of another one, which were down",
-    123: "machines counted as back before their hosts had come",
+    8: "two waves with the same machines started one machine too many in one step",
+    14: "a delayed list showed machines in their state before the orders",
+    20: "a wave that was requested again included machines of another wave, which were down",
+    123: "machines counted as back before their hosts had started",
     1232: "a machine that was up without a host counted as back after 3 s",
 }
 
--- a/tests/functional/test_ended_hosts.py
+++ b/tests/functional/test_ended_hosts.py
@@ -1,4 +1,4 @@
-"""A host's life counts as ended only where that is sure, while its lease goes on."""
+"""While its lease is valid, a host counts as ended only if its end is confirmed."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 from tests.lib.lasting import AGAIN_MAX_S, cut_host, get_first_host, list_runs, start_lasting
 from tests.lib.virtual import run_virtual
 
-# A host's tasks run on so long without word from their owner: its lease (4 s), less the
-# wait of one look (1 s) and a pause until the next (0.2 s).
+# A host's tasks run on for this long without contact to their owner: the lease (4 s), less the
+# wait of one poll (1 s) and the pause until the next one (0.2 s).
 UNCONTACTED_S = 2.5
-# An entry that has gone is taken for gone so long after, and no lease that was renewed
-# until then is over by that time.
+# A host counts as unlisted this long after its entry was removed.  A lease that was renewed
+# until the removal is still valid then.
 UNLISTED_S = 3.0
 
 
 def get_host_state(platform: PlatformStandin, host_id: str) -> Host:
-    """Return a host as the pool's owner sees it."""
+    """Return the state of a host at the pool's owner."""
     owner = get_owner(platform)
     assert owner is not None
     return platform.nodes[owner].assembled.owned.owners[POOL].jobs.hosts[host_id]
@@ -73,7 +73,7 @@
         run_virtual(work())
 
     def test_host_that_refuses_and_is_not_listed_may_run_on(self) -> None:
-        """A cut may refuse connections, and a host behind it does not reach the store either."""
+        """A network fault can refuse connections and also cut the host off from the store."""
 
         async def work() -> None:
             platform = await start_lasting()
--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that are silent, late or fail all, and jobs that can never be done."""
+"""Hosts that are silent, slow or fail every task, and jobs that always fail."""
 
 import asyncio
 
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -1,4 +1,4 @@
-"""Hosts that the platform takes away, and hosts set aside."""
+"""Hosts that the platform removes, and hosts that are set aside."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/functional/test_isolated_nodes.py
+++ b/tests/functional/test_isolated_nodes.py
@@ -1,4 +1,7 @@
-"""A node that the store turns away, or answers late, and what its callers get."""
+"""Nodes that reach the store, their peers or the membership list only in part.
+
+The tests check what callers of such a node get, and when a successor takes its steward role.
+"""
 
 import asyncio
 from typing import Any
@@ -24,13 +27,13 @@
 )
 from tests.lib.virtual import run_virtual
 
-# A relay takes one append, of which the slowest takes 1.2 s; callers wait 3 s.
+# A relayed request needs one append, which takes 1.2 s at most.  Callers wait for 3 s.
 RELAYED_WITHIN_S = 2.0
 LOST_READS = 2
 
 
 def silence_relays(platform: PlatformStandin, node: str) -> None:
-    """Have what a node relays go out on connections that have gone silent."""
+    """Make all relay requests of a node time out, as on silent connections."""
     peers = platform.nodes[node].assembled.job_service._peers
     send_request = peers.send_request
 
@@ -46,7 +49,7 @@
 
 
 def lose_first_reads_of_owners(client: StoreClient) -> None:
-    """Have the first reads of the owners go unanswered."""
+    """Make the first ``LOST_READS`` reads of the owners partition time out."""
     read = client.read_newest
     lost: list[str] = []
 
@@ -93,7 +96,7 @@
         run_virtual(work())
 
     def test_successor_waits_a_turn_for_a_steward_that_may_still_run(self) -> None:
-        """It is not listed and peers do not reach it, but the store and the platform do."""
+        """The last steward is unlisted and cut off from peers, but reaches store and platform."""
 
         async def work() -> None:
             platform = await start_platform(nodes=5)
@@ -116,5 +119,5 @@
 
 
 def is_steward(platform: PlatformStandin, name: str) -> bool:
-    """Tell whether a node gives the orders for machines."""
+    """Return whether a node is the steward, which orders machines."""
     return platform.nodes[name].assembled.node._steward is not None
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -1,4 +1,4 @@
-"""Jobs on the platform's stand-in, from acceptance to the last answer."""
+"""Jobs on the platform's stand-in, from acceptance to the final status."""
 
 import asyncio
 
--- a/tests/functional/test_lost_start_answers.py
+++ b/tests/functional/test_lost_start_answers.py
@@ -1,4 +1,4 @@
-"""Answers to starts are lost, and the tasks end before the start is sent again."""
+"""Responses to start orders are lost, and tasks end before the order is sent again."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from tests.lib.virtual import run_virtual
 
 JOBS = 10
-# Shorter than the time after which a start without answer is sent again.
+# Shorter than the time after which a start order without a response is sent again.
 TASK_S = 0.2
 
 
 def plan_short(task: TaskKey) -> TaskPlan:
-    """Have each task take 0.2 s and a third of a host."""
+    """Plan 0.2 s of work and about a third of a host's CPU for each task."""
     return TaskPlan(TASK_S, Resources(5000, 100))
 
 
--- a/tests/functional/test_owner_killed_while_opening.py
+++ b/tests/functional/test_owner_killed_while_opening.py
@@ -1,4 +1,4 @@
-"""An owner that ends before it has shut the one before it out of the journal."""
+"""An owner is killed before it has fenced the previous owner off from the journal."""
 
 import asyncio
 
@@ -25,17 +25,17 @@
 NAMES = ["node0", "node1", "node2", "node3", "late"]
 LONG = StepSpec(1, cpu_millicores=1000, memory_mb=100)
 WATCH_S = 20.0
-# The next owner is killed so long after its take.
+# Time from the second owner's acquisition of the pool until it is killed.
 KILLED_AFTER_S = 0.3
 
 
 def plan(task: TaskKey) -> TaskPlan:
-    """Have some tasks last, and others work for longer than is watched."""
+    """Plan lasting tasks, and others that run for longer than the test."""
     return TaskPlan(None if task.job_id == LASTING_JOB else 100.0, Resources(1000, 100))
 
 
 def find_owner(platform: PlatformStandin, names: list[str]) -> str | None:
-    """Return the node that owns the pool, open or not."""
+    """Return the node that owns the pool, whether it has opened it or not."""
     return next(
         (
             name
@@ -58,7 +58,7 @@
             unreachable = platform.hosts.hosts.keys() - {host.record.address}
             platform.hosts.cut_ways |= {(old, address) for address in unreachable}
             lose_reads(get_client(platform, old), OWNERS_PARTITION)
-            # The read that is under way is the last one that is answered.
+            # The read in progress is the last one that gets a response.
             await asyncio.sleep(FOLLOW_WAIT_S + 0.1)
             await unlist(platform, old)
             for name in names:
@@ -69,7 +69,7 @@
             await asyncio.sleep(KILLED_AFTER_S)
             platform.kill_node(second)
             await wait_until(lambda: find_owner(platform, names) is not None)
-            # The third owner has not shut out the first one, which begins another task.
+            # The third owner has not fenced off the first one, which starts another task.
             await hand_in(platform, old, make_job(9, LONG))
             await asyncio.sleep(1.0)
             platform.start_node(second)
--- a/tests/functional/test_platform_outages.py
+++ b/tests/functional/test_platform_outages.py
@@ -1,4 +1,4 @@
-"""The platform's log away, slow or cut off, and starts without it."""
+"""Outages, slowness and network cuts of the platform's log, and daemon starts during them."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/functional/test_restart_of_all.py
+++ b/tests/functional/test_restart_of_all.py
@@ -1,4 +1,4 @@
-"""All nodes end and come back at once, while hosts or the store take their time."""
+"""All nodes restart at once while hosts or the store respond slowly."""
 
 import asyncio
 import json
@@ -25,20 +25,20 @@
 from tests.lib.virtual import run_virtual
 
 LASTING_RESOURCES = Resources(4000, 100)
-# What a host five times slower than usual takes to answer, or one of many that an owner
-# with half a core asks at once.
+# Response time of a host that is five times slower than usual, or of one among many that an
+# owner with half a core polls at once.
 SLOW_HOST_S = 0.05
-# All first looks of an owner that has just opened its pool have been sent by then.
+# An owner has sent the first poll to each host this long after it opened the pool.
 FIRST_POLLS_S = 0.1
-# What the store takes to answer when it is slow: 60 times some 10 ms.
+# Response time of the store when it is slow: 60 times about 10 ms.
 SLOW_STORE_S = 0.6
 SLOW_STORE_SPREAD = 0.2
 DOWNTIME_S = 1.0
 POOLS = tuple(f"pool{number}" for number in range(8))
-# What the store of the stand-in takes to answer when it is 60 times slower than usual.
+# Response time of the stand-in's store when it is 60 times slower than usual.
 SLOW_RESPONSE_S = 0.24
-# A join, the list of members, the owners, a take with its read, an opening: seven answers
-# in turn, and as much again to spare.
+# Joining, listing the members, reading the owners, acquiring a pool with the read that follows,
+# and opening it take seven responses in sequence.  The limit allows twice as many.
 ALL_OPEN_WITHIN_S = 14 * SLOW_RESPONSE_S
 
 Trigger = Callable[[PlatformStandin], Awaitable[None]]
@@ -98,7 +98,7 @@
             platform.store.faults.latency_s = SLOW_STORE_S
             platform.store.faults.latency_spread = SLOW_STORE_SPREAD
             await _restart_all(platform, lambda name: name != owner)
-            # In the first seconds the pools of the node that is gone are taken.
+            # The pools of the missing node are acquired in the first seconds.
             await asyncio.sleep(10)
             before = len(platform.events)
             await asyncio.sleep(30)
--- a/tests/functional/test_returning_hosts.py
+++ b/tests/functional/test_returning_hosts.py
@@ -1,6 +1,6 @@
-"""Hosts that come back under the ids they had: other lives, which know nothing of before.
+"""Hosts that restart under their ids: new incarnations without the state of the previous ones.
 
-``python -m bench drawn_returns`` plays more.
+``python -m bench drawn_returns`` plays more seeds.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 from tests.lib.virtual import run_virtual
 
 FRESH_SEEDS = (1, 2, 3, 4)
-# Days that have shown a fault of an earlier state of the mend, and its cause.
+# Seeds of days on which an earlier version of the fix failed, with the cause.
 FAILED_SEEDS = {
-    18: "a look that acknowledged ends of the last life hid those of the new one",
-    22: "a late start of a run that was long done began on the new life, and was not stopped",
+    18: "a poll that acknowledged ends of the previous incarnation hid those of the new one",
+    22: "a delayed start of a finished run began on the new incarnation and was not stopped",
 }
 
 
--- a/tests/functional/test_silent_connection_recovery.py
+++ b/tests/functional/test_silent_connection_recovery.py
@@ -1,4 +1,4 @@
-"""How long it takes until connections that have gone silent carry nothing any more."""
+"""Time until connections that have gone silent are replaced by new ones."""
 
 import asyncio
 
@@ -26,20 +26,20 @@
 
 HOSTS_COUNT = 12
 LASTING = StepSpec(4, cpu_millicores=1000, memory_mb=100, is_lasting=True)
-# Moments in the second in which a pool's looks at its hosts are spread.
+# Offsets within the second over which a pool spreads the polls of its hosts.
 OFFSETS_S = (0.0, 0.25, 0.5, 0.75)
-# A look waits for up to 1 s and times out 0.4 s later; the next one is answered at once.
+# A poll waits for up to 1 s and times out 0.4 s later; the next one gets a response at once.
 HOSTS_MAX_S = 1.8
-# A read of the store waits for up to 1.5 s, and times out 1.0 s later where the store is slow;
-# 3 s is when a node that was cut off counts as reachable again.
+# A read of the store waits for up to 1.5 s, and times out 1.0 s later if the store is slow.
+# A node that was cut off counts as reachable again after 3 s.
 STORE_MAX_S = 3.0
-# A question to another node times out, and is asked again.
+# A request to another node times out and is sent again.
 PEERS_MAX_S = 1.5
 
 
 async def _start(offset_s: float) -> PlatformStandin:
     platform = PlatformStandin(plan_lasting)
-    # Without a reserve: no machine is let go.
+    # Without a reserve, no machine is released.
     platform.configure(1, (QUEUE,), (PoolPolicy(POOL),))
     for number in range(HOSTS_COUNT):
         platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
@@ -54,7 +54,7 @@
 
 
 async def _silence_hosts(offset_s: float) -> float:
-    """Return after how long each host has been heard on a new connection."""
+    """Silence the hosts' connections; return the seconds until all have reported on new ones."""
     platform = await _start(offset_s)
     owner = platform.nodes[get_owner(platform) or ""].assembled.owned.owners[POOL]
     now_s = asyncio.get_running_loop().time()
@@ -73,7 +73,7 @@
 
 
 async def _silence_store(offset_s: float) -> float:
-    """Return after how long the store has confirmed each node anew."""
+    """Silence the store's connections; return the seconds until it has confirmed all nodes."""
     platform = await _start(offset_s)
     owner = get_owner(platform)
     now_s = asyncio.get_running_loop().time()
@@ -93,7 +93,7 @@
 
 
 async def _silence_peers(offset_s: float) -> float:
-    """Return after how long each node tells the state of a job that another one owns."""
+    """Silence the peers' connections; return the seconds until all nodes relay a job's status."""
     platform = await _start(offset_s)
     now_s = asyncio.get_running_loop().time()
     platform.peer_connections.silence()
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good cost one call, and are not used again."""
+"""Connections that go silent permanently cost one call and are not used again."""
 
 import asyncio
 from typing import Final
@@ -16,9 +16,10 @@
 CONNECTIONS_MAX: Final = 64
 IDLE_COUNTS: Final = (1, 5, 20)
 CALLS: Final = 30
-# For calls that shall be lost.
+# Timeout of calls that are expected to be lost.
 SHORT_S: Final = 0.1
-# For calls that shall be answered: far more than loopback takes on a busy machine.
+# Timeout of calls that are expected to succeed: far above the latency of loopback on a busy
+# machine.
 LONG_S: Final = 1.0
 POLL_S: Final = 0.05
 POLLS_MAX: Final = 100
@@ -35,7 +36,7 @@
                 answered = [await _send(client, service) for _ in range(idle_count)]
                 self.assertEqual([True] * idle_count, answered)
                 self.assertEqual(idle_count + 1, service.opened)
-                # Each call was sent once, and all but the lost one on the new connection.
+                # Each call was sent once; all but the lost one used the new connection.
                 self.assertEqual([idle_count] * idle_count, service.requests[idle_count + 1 :])
                 client.fetcher.close()
 
@@ -157,7 +158,7 @@
                     service.answers.clear()
                     await self._lose(client, service)
                     service.answers.set()
-                # The first loss gave up five; each of the others its own only.
+                # The first loss closed five connections, each later one only its own.
                 self.assertEqual(5 + 5 + 2, service.opened)
                 client.fetcher.close()
 
@@ -203,7 +204,7 @@
 
 
 async def _send(client: HttpClient, service: SilentService, timeout_s: float = LONG_S) -> bool:
-    """Make a call that may be sent once only, and tell whether it was answered."""
+    """Make a call that may be sent only once; return whether it got a response."""
     try:
         await call(client, f"http://{service.address}/", timeout_s=timeout_s, body=b"{}")
     except CallLostError:
@@ -220,7 +221,7 @@
 
 
 async def _open(client: HttpClient, service: SilentService, count: int) -> None:
-    """Have ``count`` connections open and idle, all of them answered."""
+    """Open ``count`` connections, each idle after a call that got its response."""
     before = len(service.requests)
     service.answers.clear()
     calls = [asyncio.ensure_future(_send(client, service)) for _ in range(count)]
--- a/tests/functional/test_slow_takeover.py
+++ b/tests/functional/test_slow_takeover.py
@@ -1,4 +1,4 @@
-"""A pool with much progress is opened over a slow link."""
+"""A pool with much stored progress is opened over a slow link."""
 
 import asyncio
 
--- a/tests/functional/test_stop_under_way.py
+++ b/tests/functional/test_stop_under_way.py
@@ -1,4 +1,4 @@
-"""A pool changes hands while a stop of its last owner is under way."""
+"""Stops of runs that are still in progress, also while the pool's owner changes."""
 
 import asyncio
 from dataclasses import replace
@@ -30,17 +30,17 @@
 from tests.lib.virtual import run_virtual
 
 ALONE = StepSpec(1, cpu_millicores=1000, memory_mb=100, is_lasting=True)
-# They take room on the same host, and end one after the other, each 0.05 s.
+# These tasks share a host with the lasting task and end one after the other, every 0.05 s.
 MANY = StepSpec(28, cpu_millicores=500, memory_mb=10)
 
 PAIR = StepSpec(2, cpu_millicores=1000, memory_mb=100, is_gang=True, per_host_max=1)
 BESIDE_PAIR = StepSpec(28, cpu_millicores=500, memory_mb=10, per_host_max=14)
-# Longer than a stop takes at most, and the way of its answer.
+# Longer than the longest stop together with the transmission of its response.
 LATE_S = 0.9
 
 
 def count_stopping(platform: PlatformStandin) -> int:
-    """Count the runs that the pool's owner has told to stop."""
+    """Count the runs that the pool's owner is stopping."""
     owner = get_owner(platform)
     if owner is None:
         return 0
@@ -49,14 +49,14 @@
 
 
 def plan_many(task: TaskKey) -> TaskPlan:
-    """Have one task last, and many end."""
+    """Plan one lasting task, and many that end."""
     if task.job_id == LASTING_JOB:
         return TaskPlan(None, ALONE.resources)
     return TaskPlan(0.4 + 0.05 * task.index, MANY.resources)
 
 
 def plan_beside_pair(task: TaskKey) -> TaskPlan:
-    """Have a pair last, and on each host a task end each 0.15 s once the owner is replaced."""
+    """Plan a lasting pair; on each host a task ends every 0.15 s once the owner is replaced."""
     if task.job_id == LASTING_JOB:
         return TaskPlan(None, PAIR.resources)
     return TaskPlan(2.0 + 0.15 * (task.index % 14), BESIDE_PAIR.resources)
@@ -71,7 +71,7 @@
             await wait_until(lambda: len(platform.hosts.ledger.runs) == 1 + MANY.task_count)
             platform.hosts.faults.lost_share = 1.0
             platform.list_host(replace(host.record, is_draining=True, leaves_in_ms=5000))
-            # The host reports an end of another task while this one stops.
+            # The host reports the end of another task while this one is stopping.
             await wait_until(lambda: run.ended_at_s is not None)
             platform.hosts.faults.lost_share = 0.0
             await asyncio.sleep(3)
@@ -100,7 +100,7 @@
         run_virtual(work())
 
     def test_gang_restart_waits_for_a_member_on_an_uncontacted_host(self) -> None:
-        """The next owner hears first that another member failed; its stop has no answer."""
+        """The next owner learns first that another member failed; the stop gets no response."""
 
         async def work() -> None:
             platform = await start_lasting(hosts=2, step=PAIR, plan_task=plan_beside_pair)
@@ -114,7 +114,7 @@
             kill_owner(platform)
             host._end((failing.task, failing.number), RunEnd.FAILED)
             await wait_until(lambda: count_stopping(platform) == 1)
-            # Orders are carried out later than what settles a run by time alone.
+            # Orders are executed after the time at which a run counts as settled without a report.
             platform.hosts.faults.lost_share = 1.0
             platform.hosts.faults.late_s = (LATE_S, LATE_S)
             platform.hosts.cut_ways -= ways
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -1,4 +1,4 @@
-"""Jobs while the store is away or has let go of its history."""
+"""Jobs while the store is unavailable or has expired its history."""
 
 import asyncio
 
@@ -59,7 +59,7 @@
             platform = await start_platform(lambda task: TaskPlan(1.0, Resources(1000, 100)))
             await hand_in(platform, "node0", make_job(1))
             await asyncio.sleep(0.5)
-            # The second step's tasks are placed while nothing can be recorded.
+            # The second step's tasks are placed while the store refuses all records.
             platform.store.faults.refused.add("*")
             await asyncio.sleep(6.5)
             self.assertEqual(4, len(platform.hosts.ledger.runs))
--- a/tests/functional/test_suspended_nodes.py
+++ b/tests/functional/test_suspended_nodes.py
@@ -1,8 +1,9 @@
 """Nodes whose machine is suspended for some seconds.
 
-The steady clock, and with it an event loop's time, stands still meanwhile, while leases run out,
-others take over, and callers go on waiting.  An owner that was suspended for 10 s took the store
-to have confirmed it 0.1 s ago, and granted leases of 4 s beyond all that its successor waits for.
+The monotonic clock, and with it the default time of an event loop, stops during a suspension,
+while leases expire, other nodes take over and callers continue to wait.  An owner that had been
+suspended for 10 s assumed that the store had confirmed it 0.1 s ago.  It granted leases of 4 s
+that outlasted the time for which its successor waits.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 from tests.lib.job_platforms import POOL, get_owner, hand_in, make_job, start_platform, wait_until
 from tests.lib.suspended import Machine
 
-# A suspension after which all that an owner may rest on has run out.
+# After a suspension of this length all confirmations and leases of an owner have expired.
 LONG_S = 10.0
 TASK = StepSpec(1, cpu_millicores=1000, memory_mb=100)
 
--- a/tests/functional/test_takeover_under_load.py
+++ b/tests/functional/test_takeover_under_load.py
@@ -1,4 +1,4 @@
-"""A pool is opened by its next owner while hosts and callers keep the store busy."""
+"""The next owner opens a pool while hosts and callers keep the store busy."""
 
 import asyncio
 
@@ -20,14 +20,15 @@
 )
 from tests.lib.virtual import run_virtual
 
-# So many hosts are kept in the pool by a lasting task on each of them.
+# The pool keeps all these hosts because each runs a lasting task.
 HOSTS = 120
 HEARTBEAT_S = 1.5
 JOBS_PER_S = 60
-# A store that is 60 times slower than usual, each answer by up to a share more or less.
+# Response time of a store that is 60 times slower than usual, and the share by which each
+# response may deviate from it.
 SLOW_ANSWER_S = 0.24
 SLOW_SPREAD = 0.5
-# A lapsed membership, a record of ownership and three reads, each of them slow.
+# Covers the expiry of a membership, one record of ownership and three reads, all slow.
 OPEN_MAX_S = 5.0
 SETTLE_S = 10.0
 QUICK = StepSpec(1, cpu_millicores=100, memory_mb=1)
@@ -35,13 +36,13 @@
 
 
 def plan_task(task: TaskKey) -> TaskPlan:
-    """Have the first job's tasks last, and others work for a second."""
+    """Plan lasting tasks for the first job, and one second of work for all others."""
     is_lasting = int(task.job_id, 16) == 0
     return TaskPlan(None if is_lasting else 1.0, Resources(100, 1))
 
 
 async def kill_owner_while_slow(platform: PlatformStandin) -> float:
-    """Kill the pool's owner while the store is slow; return how long until another serves."""
+    """Kill the owner while the store is slow; return the seconds until another node serves."""
     platform.store.faults.latency_s = SLOW_ANSWER_S
     platform.store.faults.latency_spread = SLOW_SPREAD
     owner = get_owner(platform)
@@ -51,7 +52,7 @@
 
 
 async def hand_in_jobs(platform: PlatformStandin) -> None:
-    """Hand jobs in at nodes that live, without a pause."""
+    """Submit ``JOBS_PER_S`` jobs a second to running nodes that do not own the pool."""
     for number in range(1, 100_000):
         node = get_others(platform)[number % len(get_others(platform))]
         asyncio.get_running_loop().create_task(hand_in(platform, node, make_job(number, QUICK)))
--- a/tests/functional/test_unsent_calls.py
+++ b/tests/functional/test_unsent_calls.py
@@ -1,4 +1,4 @@
-"""A call whose request never left is told from one that may have been read."""
+"""Calls whose request was never sent are distinguished from those that may have been read."""
 
 import asyncio
 import contextlib
@@ -18,14 +18,14 @@
 
 TIMEOUT_S = 1.0
 BODY = b"{}"
-# More connections than a queue of length 0 holds.
+# More connections than a listen queue of length 0 holds.
 QUEUE_FILLERS = 4
-# No connection can be made to this address: the system says so at once, and sends nothing.
+# The operating system rejects a connection to this address at once and sends no packet.
 UNREACHABLE_ADDRESS = "255.255.255.255:9"
 
 
 async def send(client: object, address: str, timeout_s: float = TIMEOUT_S) -> str:
-    """Make a call; return how it went."""
+    """Make a call; return its outcome as text."""
     try:
         await call(client, f"http://{address}/", timeout_s=timeout_s, body=BODY)  # type: ignore[arg-type]
     except NobodyListensError:
@@ -49,7 +49,7 @@
         asyncio.run(work())
 
     def test_results_of_concurrent_calls_are_not_mixed_up(self) -> None:
-        """More than the client has handles, so each handle carries several calls."""
+        """There are more calls than handles of the client, so each handle carries several."""
 
         async def work() -> None:
             client = make_client(2)
@@ -68,7 +68,7 @@
         asyncio.run(work())
 
     def test_connection_that_times_out_does_not_count_as_refused(self) -> None:
-        """A full queue of new connections drops what opens another."""
+        """A full listen queue drops the packets that open another connection."""
 
         async def work() -> None:
             with contextlib.ExitStack() as stack:
@@ -100,8 +100,8 @@
                 pending = asyncio.create_task(send(client, service.address))
                 while len(service.requests) < 2:
                     await asyncio.sleep(0.01)
-            # The service has ended with the request read: libcurl tries again by itself, and
-            # nobody listens any more.
+            # The service has ended after it read the request.  libcurl retries by itself, and the
+            # port is closed by then.
             self.assertEqual("lost", await pending)
 
         asyncio.run(work())
--- a/tests/functional/test_work_not_begun.py
+++ b/tests/functional/test_work_not_begun.py
@@ -1,9 +1,9 @@
-"""Work that a pool's owner was given just before it ended.
+"""Coroutines that were spawned at a pool's owner just before it ended.
 
-Drawn days of owners that are killed ended with a line that names no pool and no cause:
-"RuntimeWarning: coroutine 'OrderSender.send_start' was never awaited".  Where an owner ended
-between a batch's record and the first step of the start that followed it, the start was neither
-begun nor closed.
+Randomized tests that kill owners ended with "RuntimeWarning: coroutine 'OrderSender.send_start'
+was never awaited", which names no pool and no cause.  If an owner ended after it had recorded a
+batch and before the first step of the start that followed, that coroutine was neither run nor
+closed.
 """
 
 import asyncio
--- a/tests/functional/test_worker_failures.py
+++ b/tests/functional/test_worker_failures.py
@@ -1,4 +1,4 @@
-"""Workers that fail, hang or answer wrongly, and jobs that can never run."""
+"""Workers that fail, hang or return wrong responses, and jobs that can never run."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/lib/back_at_size.py
+++ b/tests/lib/back_at_size.py
@@ -1,4 +1,4 @@
-"""All nodes of a large platform lose power at one moment: how soon it serves again."""
+"""Recovery of a large platform after all its nodes lose power at once."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 from tests.lib.back_site import Site, Size, Trouble, lose_power, start_site
 from tests.lib.job_platforms import get_owner
 
-# How long jobs come after the time within which the platform must serve again.
+# Jobs come for this long after RECOVERY_S, within which the platform must serve again.
 AFTER_S = 4.0
 POLL_S = 0.02
 
@@ -16,12 +16,12 @@
 async def play_back(
     troubles: Sequence[Trouble] = (), size: Size | None = None, seed: int = 1
 ) -> BackFigures:
-    """Start a platform, and play a loss of power beside troubles."""
+    """Start a platform and play a loss of power during other faults."""
     return await play_at(await start_site(size or Size(), seed), troubles)
 
 
 async def play_at(site: Site, troubles: Sequence[Trouble] = ()) -> BackFigures:
-    """Play a loss of power beside troubles, and measure from when the machines are back."""
+    """Play a loss of power during other faults; measure the recovery once machines are back."""
     loop = asyncio.get_running_loop()
     heartbeats = asyncio.create_task(site.platform.keep_heartbeats(site.size.heartbeat_s))
     jobs: list[asyncio.Task[None]] = []
@@ -43,7 +43,7 @@
 
 
 async def _record_opened(site: Site, opened: dict[str, float]) -> None:
-    """Note when each pool is first served again."""
+    """Record when each pool is first served again, in seconds after the machines are back."""
     while True:
         for pool in site.pools:
             if pool not in opened and get_owner(site.platform, pool) is not None:
--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -1,4 +1,4 @@
-"""Callers that hand jobs in at a steady rate, and look whether they are done."""
+"""Callers that submit jobs at a steady rate and check whether they are done."""
 
 import asyncio
 import itertools
@@ -10,26 +10,26 @@
 from tests.lib.back_site import FIRST_QUICK, QUICK, SLACK_S, STRETCH, TASK_S, Handed, Site
 from tests.lib.job_platforms import make_job
 
-# So many tries within the time that a caller has, with pauses between them.
+# Limits of a caller: tries, the pause between two of them, and the time for all.
 TRIES_MAX = 5
 RETRY_PAUSE_S = 0.25
 BUDGET_S = 3.0
-# A job counts as served up to three times the time within which it is in time.
+# A job counts as served within three times the time that counts as in time.
 IN_TIME_S = STRETCH * TASK_S + SLACK_S
 SERVED_S = 3 * IN_TIME_S
-# Within so long after the last one is handed in any job that was accepted is done.
+# All accepted jobs are done within this time after the last submission.
 DONE_WITHIN_S = 12.0
 
 
 async def feed(site: Site, jobs: list["asyncio.Task[None]"]) -> None:
-    """Hand jobs in at a steady rate, for the pools in turn."""
+    """Submit jobs at a steady rate, for the pools in turn."""
     for number in itertools.count(FIRST_QUICK):
         jobs.append(asyncio.create_task(_hand_in(site, number)))
         await asyncio.sleep(1 / site.size.jobs_per_s)
 
 
 async def _hand_in(site: Site, number: int) -> None:
-    """Hand a job in as a caller does, and look whether it is done in time."""
+    """Submit a job as a caller does, and check whether it is done in time."""
     loop = asyncio.get_running_loop()
     pool = site.pools[number % len(site.pools)]
     spec = make_job(number, QUICK, queue=f"queue-{pool}", pool=pool)
@@ -49,7 +49,7 @@
 
 
 def _draw_node(site: Site) -> str | None:
-    """Draw a node as the platform does: a ready one, any where fewer than half are."""
+    """Draw a node as the platform does: a ready one, or any if fewer than half are ready."""
     nodes = site.platform.nodes
     ready = [name for name in sorted(nodes) if nodes[name].assembled.readiness.check()]
     names = ready if 2 * len(ready) >= len(nodes) else sorted(nodes)
@@ -63,18 +63,18 @@
         return None
     node = site.platform.nodes[name].assembled
     if node.config_holder.config is None:
-        # One that knows no queues yet takes nothing.
+        # A node without configuration knows no queues and refuses every job.
         return JobRequestOutcome.REFUSED
     try:
         async with asyncio.timeout(left_s):
             return await node.job_service.accept(spec, until_s)
     except TimeoutError:
-        # A node that was killed answers nothing.
+        # A killed node sends no response.
         return None
 
 
 async def _is_done(site: Site, spec: JobSpec) -> bool:
-    """Ask any node whether a job is shown as succeeded."""
+    """Return whether a drawn node shows a job as succeeded."""
     name = _draw_node(site)
     if name is None:
         return False
--- a/tests/lib/back_figures.py
+++ b/tests/lib/back_figures.py
@@ -1,4 +1,4 @@
-"""What is measured of a platform that comes back; see ``back_at_size``."""
+"""Measurements of a platform that recovers from a loss of power; see ``back_at_size``."""
 
 import asyncio
 import itertools
@@ -13,19 +13,20 @@
 from tests.lib.drawn_days import find_lost
 from tests.lib.job_platforms import find_breaks
 
-# Requests sent later than this after the machines are back are to be served.
+# Requests must be served if they are sent more than this long after the machines are back.
 RECOVERY_S = 12.0
-# The pages ask for a quarter, and that what lasts runs again; a fleet with room does better.
+# The requirements are a share of a quarter, and that lasting tasks run again.  A fleet with free
+# capacity does better.
 IN_TIME_SHARE_MIN = 0.9
 
 
 @dataclass(frozen=True)
 class BackFigures:
-    """How soon a platform served again, and what must not have been seen.
+    """Recovery times of a platform, and the violations found.
 
-    Times are seconds since the machines were back; ``lasting_again_s`` is when the last task
-    ran again of those that last and had ended, ``lasting_gap_s`` the longest that any did
-    not run.  ``sent`` counts the jobs that were handed in after the time for recovery.
+    Times are seconds since the machines were back.  ``lasting_again_s`` is the time at which the
+    last of the ended lasting tasks ran again, ``lasting_gap_s`` the longest time for which one
+    did not run.  ``sent`` counts the jobs that were submitted after ``RECOVERY_S``.
     """
 
     first_accept_s: float
@@ -43,12 +44,12 @@
 
     @property
     def served_share(self) -> float:
-        """Return the share of what was sent after the time of recovery that was served."""
+        """Return the share of the jobs submitted after ``RECOVERY_S`` that were served."""
         return self.served / self.sent
 
     @property
     def in_time_share(self) -> float:
-        """Return the share of what was sent after the time of recovery that was in time."""
+        """Return the share of the jobs submitted after ``RECOVERY_S`` that were done in time."""
         return self.in_time / self.sent
 
 
@@ -82,7 +83,7 @@
 
 
 def _find_first_start_s(site: Site, pool: str) -> float:
-    """Return when the first job of a pool that does not last had a task start."""
+    """Return when a task of the pool's non-lasting jobs first started, or infinity."""
     jobs = {job.spec.job_id for job in site.handed if job.spec.pool == pool}
     starts_s = (
         run.began_at_s - site.back_at_s
@@ -93,7 +94,7 @@
 
 
 def _iter_gaps(site: Site, now_s: float) -> Iterator[tuple[float, float]]:
-    """Yield when each task that lasts and had ended ran again, and how long after its end."""
+    """Yield, for each end of a lasting task, when it ran again and how long after the end."""
     runs = sorted(site.list_lasting(), key=lambda run: (run.task, run.began_at_s))
     for _task, group in itertools.groupby(runs, key=lambda run: run.task):
         own = list(group)
@@ -104,7 +105,7 @@
 
 
 def _list_in_time(site: Site) -> set[str]:
-    """List the jobs whose tasks were all done in time, and that were shown as succeeded."""
+    """List the jobs whose tasks were all done in time and that were shown as succeeded."""
     done_at_s: dict[str, dict[TaskKey, float]] = defaultdict(dict)
     for run in site.platform.hosts.ledger.runs:
         if run.end == "done" and run.ended_at_s is not None:
@@ -119,7 +120,7 @@
 
 
 def _find_full_service_s(site: Site, in_time: set[str]) -> float:
-    """Return the first whole second from which on each has its share of jobs done in time."""
+    """Return the first whole second from which on every second has its share done in time."""
     by_second: dict[int, list[bool]] = defaultdict(list)
     for job in site.handed:
         by_second[math.floor(job.at_s - site.back_at_s)].append(job.spec.job_id in in_time)
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -1,4 +1,4 @@
-"""A large platform whose nodes all lose power at one moment, and come back."""
+"""A large platform whose nodes all lose power at once and restart."""
 
 import asyncio
 import itertools
@@ -19,20 +19,20 @@
 from tests.lib.job_platforms import HOST_CAPACITY, get_owner, make_job, wait_until
 
 # One node in three is large, with a link of 200 Mbit/s; the others have half a core and
-# 10 Mbit/s, as in the deployments that were hit.
+# 10 Mbit/s, as in the deployments that had this outage.
 LARGE_MILLICORES, SMALL_MILLICORES = 2150, 516
 LARGE_BYTES_PER_S, SMALL_BYTES_PER_S = 25e6, 1.25e6
 TASK_S = 0.8
 QUICK = StepSpec(4, cpu_millicores=2000, memory_mb=100)
-# A job is in time within this much more than so many times its work.
+# A job is in time within STRETCH times its work plus SLACK_S.
 STRETCH, SLACK_S = 1.6, 0.6
-# Jobs with lower numbers have tasks that last.
+# Jobs with lower numbers have lasting tasks.
 FIRST_QUICK = 1000
 
 
 @dataclass(frozen=True)
 class Size:
-    """How large a platform is, and what runs there."""
+    """The size of a platform and its workload."""
 
     nodes: int = 30
     pools: int = 4
@@ -41,16 +41,16 @@
     reserve: int = 8
     jobs_per_s: float = 10.0
     heartbeat_s: float = 1.5
-    # Pools settle and lasting tasks run for so long before power is lost.
+    # Pools settle and lasting tasks run for this time before power is lost.
     settle_s: float = 8.0
     away_s: float = 1.0
-    # Nodes start so long after the machines are back, each at a time of its own.
+    # Each node starts at a random time within this span after the machines are back.
     starts_within_s: float = 1.0
 
 
 @dataclass
 class Handed:
-    """A job that was handed in, and what its caller saw of it."""
+    """A submitted job and its outcome for the caller."""
 
     spec: JobSpec
     at_s: float
@@ -60,7 +60,7 @@
 
 @dataclass
 class Site:
-    """A platform at size while its nodes lose power; ``troubled`` is when it was not calm."""
+    """A platform during a loss of power; ``troubled`` holds the time spans with faults."""
 
     platform: PlatformStandin
     size: Size
@@ -78,32 +78,32 @@
         return [f"pool{number}" for number in range(self.size.pools)]
 
     def list_lasting(self) -> list[LedgerRun]:
-        """List the runs of the tasks that last."""
+        """List the runs of lasting tasks."""
         return [run for run in self.platform.hosts.ledger.runs if is_lasting(run.task)]
 
     def pick_hosts(self, share: float) -> list[JobHostStandin]:
-        """Pick a share of the hosts that are up and run a task that lasts."""
+        """Pick a random share of the hosts that are up and run a lasting task."""
         going = {run.host_id for run in self.list_lasting() if run.ended_at_s is None}
         hosts = [host for host in self.platform.hosts.hosts.values() if host.record.id in going]
         return self.random.sample(hosts, int(share * len(hosts)))
 
 
-# Brings a trouble about, beside the loss of power; begun when jobs begin to come.
+# Injects a fault in addition to the loss of power; started when the first jobs come.
 Trouble = Callable[[Site], Coroutine[None, None, None]]
 
 
 def is_lasting(task: TaskKey) -> bool:
-    """Tell whether a task lasts."""
+    """Return whether a task is a lasting one."""
     return int(task.job_id, 16) < FIRST_QUICK
 
 
 def plan_task(task: TaskKey) -> TaskPlan:
-    """Have the first jobs' tasks last, and others work for a while."""
+    """Plan lasting tasks for the first jobs, and ``TASK_S`` of work for all others."""
     return TaskPlan(None if is_lasting(task) else TASK_S, Resources(2000, 100))
 
 
 async def start_site(size: Size, seed: int = 1) -> Site:
-    """Start a platform at size, with lasting tasks that run."""
+    """Start a platform of a given size and wait until its lasting tasks run."""
     platform = PlatformStandin(plan_task, seed)
     site = Site(platform, size, random.Random(seed))
     queues = tuple(
@@ -145,7 +145,7 @@
 
 
 def start_node(site: Site, name: str) -> None:
-    """Start a node that is large or small as its name says."""
+    """Start a node; its position in ``site.names`` decides whether it is large."""
     is_large = site.names.index(name) % 3 == 0
     link = LARGE_BYTES_PER_S if is_large else SMALL_BYTES_PER_S
     site.platform.store.link_bytes_per_s[name] = link
@@ -153,7 +153,7 @@
 
 
 async def lose_power(site: Site) -> None:
-    """Kill all nodes at one moment, and start those again that are not to stay away."""
+    """Kill all nodes at once, and restart those that are not in ``site.absent``."""
     platform, loop = site.platform, asyncio.get_running_loop()
     site.previous_owners = {
         pool: owner for pool in site.pools if (owner := get_owner(platform, pool)) is not None
--- a/tests/lib/back_troubles.py
+++ b/tests/lib/back_troubles.py
@@ -1,6 +1,6 @@
-"""Troubles that come beside a loss of power of all nodes; see ``back_at_size``.
+"""Faults in addition to a loss of power of all nodes; see ``back_at_size``.
 
-Times that troubles are given are seconds since the machines were back.
+Times that are passed to faults are seconds since the machines were back.
 """
 
 import asyncio
@@ -13,36 +13,36 @@
 from tests.lib.back_site import Site, Trouble, start_node
 from tests.lib.job_platforms import get_owner
 
-# Answers take 30 to 50 times as long.
+# Responses take 30 to 50 times as long as usual.
 SLOW_STORE_S = 40 * LATENCY_S
 SLOW_SPREAD = 0.25
-# A share of the appends is done without an answer, up to a second late.
+# A share of the appends is executed without a response, up to a second late.
 LOST_SHARE = 0.3
 LATE_APPEND_S = (0.0, 1.0)
-# Troubles that are there as power is lost end so long after the machines are back.
+# Faults that are present when power is lost end this long after the machines are back.
 ENDS_S = 6.0
-# Troubles that come once all serves again, and are over before that time as well.
+# Start of the faults that come once the platform serves again; other faults are over by then.
 LATER_S = 5.0
 HOST_SHARE = 0.15
-# Owners grant leases of 4 s and renew each about once a second: those of hosts that are cut
-# off so long before power is lost lapse about then.
+# Owners grant leases of 4 s and renew each about once a second.  The leases of hosts that are cut
+# off this long before power is lost expire at about that time.
 CUT_BEFORE_S = (3.0, 4.5)
 LAPSES_IN_S = 4.0
-# New owners have opened the pools by then, and still do not reach those hosts.
+# New owners have opened the pools by then, while the hosts are still cut off.
 CUT_LASTS_S = 2.5
-# Owners have seen by then that a host has ended, and have started nothing elsewhere.
+# Owners have detected by then that a host has ended, and have not started its tasks elsewhere.
 NOTICED_IN_S = 0.05
-# How long owners are away that are killed while others open their pools.
+# Downtime of owners that are killed soon after the machines are back.
 EARLY_BACK_S = 1.0
 
 
 async def wait_for(site: Site, at_s: float) -> None:
-    """Wait until so long after the machines are back; before, where negative."""
+    """Wait until ``at_s`` seconds after the machines are back, or before if negative."""
     await asyncio.sleep(max(0.0, site.back_at_s + at_s - asyncio.get_running_loop().time()))
 
 
 def record_trouble(site: Site, began_s: float, ended_s: float) -> None:
-    """Note when a trouble was there."""
+    """Record the time span of a fault."""
     site.troubled.append((site.back_at_s + began_s, site.back_at_s + ended_s))
 
 
@@ -61,7 +61,7 @@
 
 
 def make_refusals(from_s: float, until_s: float) -> Trouble:
-    """Have the store turn a third of the nodes away, those that owned pools first."""
+    """Make the store refuse a third of the nodes, first those that owned pools."""
 
     async def work(site: Site) -> None:
         await wait_for(site, from_s)
@@ -75,7 +75,7 @@
 
 
 def make_lost_answers(from_s: float, until_s: float) -> Trouble:
-    """Have the store lose answers, and do some of what it was asked late."""
+    """Make the store lose responses and execute some requests late."""
 
     async def work(site: Site) -> None:
         faults = site.platform.store.faults
@@ -89,7 +89,7 @@
 
 
 def make_silence(*moments_s: float) -> Trouble:
-    """Have all open connections go silent at some moments."""
+    """Make all open connections go silent at the given times."""
 
     async def work(site: Site) -> None:
         for at_s in moments_s:
@@ -101,14 +101,14 @@
 
 
 async def keep_third_away(site: Site) -> None:
-    """Have one node in three not come back, those that owned pools first."""
+    """Keep one node in three from restarting, first those that owned pools."""
     await wait_for(site, -site.size.away_s)
-    # Power is lost at this moment: the owners are as they were just before.
+    # Power is lost at this moment, so the owners are those from just before.
     site.absent |= list_third(site)
 
 
 def make_earlier_losses(before_s: float) -> Trouble:
-    """Have the pools' owners end for good, some time before all others lose power."""
+    """Kill the pools' owners permanently, ``before_s`` before all others lose power."""
 
     async def work(site: Site) -> None:
         at_s = -site.size.away_s - before_s
@@ -123,14 +123,14 @@
 
 
 async def lose_hosts_while_away(site: Site) -> None:
-    """Have hosts with lasting tasks end for good while no node is there."""
+    """Crash hosts with lasting tasks permanently while no node runs."""
     await wait_for(site, -site.size.away_s / 2)
     for host in site.pick_hosts(HOST_SHARE):
         site.platform.crash_host(host.record.id)
 
 
 async def lapse_hosts_while_away(site: Site) -> None:
-    """Cut hosts off, one after the other, so that their leases lapse around the loss of power."""
+    """Cut hosts off one after the other, so that their leases expire around the loss of power."""
     first_s, last_s = (-site.size.away_s - each for each in reversed(CUT_BEFORE_S))
     await wait_for(site, first_s)
     hosts = site.pick_hosts(HOST_SHARE)
@@ -144,7 +144,7 @@
 
 
 def make_lapses_at_change(back_after_s: float | None) -> Trouble:
-    """Cut hosts off for a while; their leases lapse while all pools change hands."""
+    """Cut hosts off for a while, so that their leases expire while all pools change owners."""
 
     async def work(site: Site) -> None:
         await wait_for(site, LATER_S - LAPSES_IN_S)
@@ -157,14 +157,14 @@
         await wait_for(site, ends_s)
         for host in hosts:
             _heal(site, host)
-        # A host that is cut off is no calm: what ran there must run again after this.
+        # The time in which hosts are cut off is not calm: their tasks must run again only after it.
         record_trouble(site, LATER_S - LAPSES_IN_S, ends_s)
 
     return work
 
 
 def make_replaced_owners(back_after_s: float | None) -> Trouble:
-    """End hosts, and kill the pools' owners before they can start the tasks elsewhere."""
+    """Crash hosts, and kill the pools' owners before they can start the tasks elsewhere."""
 
     async def work(site: Site) -> None:
         await wait_for(site, LATER_S)
@@ -178,7 +178,7 @@
 
 
 def make_early_kills(at_s: float) -> Trouble:
-    """Kill the pools' owners soon after the machines are back; start them again."""
+    """Kill the pools' owners soon after the machines are back, and restart them."""
 
     async def work(site: Site) -> None:
         await wait_for(site, at_s)
@@ -189,7 +189,7 @@
 
 
 async def replace_owners(site: Site, back_after_s: float | None) -> None:
-    """Kill the nodes that own pools; start them again after a while, where given."""
+    """Kill the nodes that own pools; restart them after ``back_after_s`` unless it is None."""
     owners = sorted(list_owners(site))
     for name in owners:
         site.platform.kill_node(name)
@@ -205,7 +205,7 @@
 
 
 def list_third(site: Site) -> set[str]:
-    """List a third of the nodes: those that own pools, or did before, and others."""
+    """List a third of the nodes: first the owners of pools, or the previous ones, then others."""
     owners = set(site.previous_owners.values()) or list_owners(site)
     ranked = sorted(site.names, key=lambda name: (name not in owners, name))
     return set(ranked[: len(site.names) // 3])
@@ -221,7 +221,7 @@
 
 
 def draw_troubles(seed: int) -> dict[str, Trouble]:
-    """Draw two troubles from a seed, with the times at which they come."""
+    """Draw two faults and their times from a seed."""
     drawn = random.Random(seed)
     names = drawn.sample(sorted(KINDS), 2)
     return {name: KINDS[name](drawn) for name in names}
--- a/tests/lib/day_troubles.py
+++ b/tests/lib/day_troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a drawn day: each trouble begins, lasts, and is undone."""
+"""Faults injected on a random day: each one begins, lasts for a while and is undone."""
 
 import asyncio
 import enum
@@ -14,15 +14,16 @@
 from robinthread._internal.standins.store_standin import LATENCY_S
 from tests.lib.job_platforms import get_owner, make_stop_budget
 
-# Hosts are lost only while more are up: so many hold the tasks that last twice over.
+# Hosts are crashed or drained only while more than this many are up: this many can hold the
+# lasting tasks twice.
 HOSTS_MIN = 6
-# A store call is given 1.2 s; each takes so long while the store is slow.
+# Latency of each call while the store is slow; a store call times out after 1.2 s.
 SLOW_STORE_S = 0.4
 LOST_SHARE = 0.3
-# Orders without an answer are carried out up to so late: later than any lease lapses.
+# Delay of orders without a response until they are executed; its maximum exceeds any lease.
 LATE_ORDER_S = (2.0, 12.0)
 LATE_APPEND_S = (0.0, 1.0)
-# A host that drains is gone a second after it said it would be.
+# A draining host ends a second after the time that it announced.
 LEAVES_IN_MS = 2000
 LEAVES_S = 3.0
 
@@ -30,7 +31,7 @@
 
 
 class TroubleKind(enum.Enum):
-    """What goes wrong."""
+    """The kind of a fault."""
 
     KILL_NODE = "kill node"
     KILL_OWNER = "kill owner"
@@ -52,20 +53,20 @@
     MACHINES_SILENT = "machines silent"
 
 
-# What befalls hosts, or the ways to them.
+# Faults of hosts or of the network to them.
 HOST_KINDS = (
     TroubleKind.CUT_HOST,
     TroubleKind.CRASH_HOST,
     TroubleKind.DRAIN_HOST,
     TroubleKind.LOSE_ORDERS,
 )
-# These disturb nothing that a task needs to run again: the rest goes on as on a calm day.
+# Faults that leave intact all that a task needs to run again: their duration counts as calm.
 CALM_KINDS = {TroubleKind.UNLIST_NODE, TroubleKind.UNLIST_OWNER, TroubleKind.MACHINES_SILENT}
 
 
 @dataclass(frozen=True)
 class Trouble:
-    """One trouble; ``target`` picks, by its rest, one of the nodes or hosts there then."""
+    """One fault; ``target``, modulo their number, picks one of the nodes or hosts at that time."""
 
     at_s: float
     kind: TroubleKind
@@ -74,7 +75,7 @@
 
 
 async def bring_about(platform: PlatformStandin, trouble: Trouble) -> list[tuple[float, float]]:
-    """Bring a trouble about and undo it; return from when to when it disturbed, if it did."""
+    """Inject a fault and undo it; return the disturbed time spans, at most one."""
     loop = asyncio.get_running_loop()
     began_at_s = loop.time()
     undo = await _begin(platform, trouble)
@@ -85,13 +86,13 @@
     undo()
     if trouble.kind in CALM_KINDS:
         return []
-    # A host that is gone is gone at once; that it comes again is no trouble.
+    # The loss of a host is a fault of a moment; its restart is none.
     is_of_moment = trouble.kind in (TroubleKind.CRASH_HOST, TroubleKind.DRAIN_HOST)
     return [(began_at_s, gone_at_s if is_of_moment else loop.time())]
 
 
 async def _begin(platform: PlatformStandin, trouble: Trouble) -> Undo | None:
-    """Begin a trouble; return how it is undone, nothing where it finds no target."""
+    """Begin a fault; return the function that undoes it, or None if it has no target."""
     match trouble.kind:
         case TroubleKind.CUT_HOST:
             host = _pick_host(platform, trouble)
@@ -166,7 +167,7 @@
 async def _stop(platform: PlatformStandin, name: str) -> Undo:
     node = platform.nodes[name]
     await node.assembled.node.stop(make_stop_budget(platform))
-    # It may have been killed meanwhile.
+    # Another fault may have killed the node during its stop.
     if platform.nodes.get(name) is node:
         platform.kill_node(name)
     return lambda: _start_again(platform, [name])
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -1,4 +1,4 @@
-"""Days of troubles on the stand-in, each drawn wholly from its seed before it is played."""
+"""Days of random faults on the stand-in; a seed determines the whole day before it is played."""
 
 import asyncio
 import itertools
@@ -26,29 +26,30 @@
 )
 from tests.lib.virtual import run_virtual
 
-# Troubles begin within so long, so many at a time and so long after each other.
+# Faults begin within TROUBLES_S, in groups of AT_ONCE with pauses of PAUSES_S between groups.
 TROUBLES_S = 60.0
 AT_ONCE = (1, 2, 3)
 PAUSES_S = (4.0, 8.0, 16.0)
 SPREAD_S = 3.0
-# A day has troubles of some kinds only: those that meet do so more often than among all.
+# A day has only some kinds of faults, so that the same kinds coincide more often.
 HOST_KINDS_A_DAY = 2
 OTHER_KINDS_A_DAY = 3
 LENGTHS_S = (1.0, 8.0)
-# A lasting task must run again once so long has passed since its end, and of that ...
+# A lasting task must run again if SINCE_END_S have passed since its end and a calm time of CALM_S
+# follows, after CALM_BEFORE_S that were calm as well.
 SINCE_END_S = 6.0
-# ... so long has been calm, after so long that was calm as well.
 CALM_S = 3.0
 CALM_BEFORE_S = 4.0
-# After the last trouble the pool is served within so long, a quarter of what comes at least.
+# Within RECOVERY_S after the last fault the pool has an owner; of the jobs that come later, at
+# least SERVED_SHARE_MIN are served.
 RECOVERY_S = 9.0
 SERVED_SHARE_MIN = 0.25
-# How long jobs come after the last trouble, and how long they are then waited for.
+# Time for which jobs still come after the last fault, and the limit for their completion.
 FEED_AFTER_S = 18.0
 DONE_WITHIN_S = 40.0
-# Whoever hands a job in gives the node 3 s for its answer.
+# A caller gives the node 3 s for its response; the limit adds a margin.
 ANSWERED_WITHIN_S = 4.0
-# Eight tasks of the jobs that come all the while fill a host.
+# Step of the jobs that come continuously; eight of its tasks fill a host.
 SMALL = StepSpec(6, cpu_millicores=2000, memory_mb=100)
 
 Span = tuple[float, float]
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class DrawnDay:
-    """A day: its platform, what runs there, and what goes wrong when."""
+    """A day: its platform, its workload, and its faults with their times."""
 
     seed: int
     nodes: int
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True)
 class HandedIn:
-    """A job that was handed in."""
+    """A submitted job and whether it was accepted."""
 
     job_id: str
     at_s: float
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class DayFindings:
-    """What was seen on a day and must not be, and for how long a lasting task did not run."""
+    """Violations found on a day, and the longest time for which a lasting task did not run."""
 
     seed: int
     lost: tuple[str, ...]
@@ -91,12 +92,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day passed without violations."""
         return not (self.lost or self.breaks or self.undone or self.unserved)
 
 
 def draw_day(seed: int) -> DrawnDay:
-    """Draw a day."""
+    """Draw a day from its seed."""
     drawn = random.Random(seed)
     lasting = StepSpec(
         5,
@@ -112,7 +113,7 @@
         hosts=HOSTS_MIN + 2,
         reserve=drawn.choice((0, 0, 2)),
         lasting=lasting,
-        # The first fills the hosts, once some are away.
+        # At the shortest period, jobs fill the hosts if some hosts are down.
         job_period_s=drawn.choice((0.3, 0.6, 2.0)),
         heartbeat_s=drawn.choice((0.0, 1.0, 3.0)),
         latency_spread=drawn.choice((0.0, 0.5, 0.9)),
@@ -123,7 +124,7 @@
 def _iter_troubles(drawn: random.Random) -> Iterator[Trouble]:
     others = [kind for kind in TroubleKind if kind not in HOST_KINDS]
     kinds = drawn.sample(HOST_KINDS, HOST_KINDS_A_DAY) + drawn.sample(others, OTHER_KINDS_A_DAY)
-    # Most of what was ever found takes a lost owner besides.
+    # Most failures found so far needed the loss of an owner in addition.
     kinds.append(TroubleKind.KILL_OWNER)
     at_s = 0.0
     while at_s < TROUBLES_S:
@@ -134,7 +135,7 @@
 
 
 def find_on_day(seed: int, keeps_host_ids: bool = False) -> DayFindings:
-    """Draw a day and play it on virtual time; that it does not go on is found as well."""
+    """Draw a day and play it on virtual time; an AssertionError counts as a finding."""
     try:
         return run_virtual(play_day(draw_day(seed), keeps_host_ids))
     except AssertionError as error:
@@ -142,7 +143,7 @@
 
 
 async def play_day(day: DrawnDay, keeps_host_ids: bool = False) -> DayFindings:
-    """Play a day, and tell what was found; hosts may come back under the ids they had."""
+    """Play a day and return its findings; hosts restart under their ids if ``keeps_host_ids``."""
     platform = await _start(day)
     platform.keeps_host_ids, platform.start_time_sources = keeps_host_ids, tuple(StartTimeSource)
     loop = asyncio.get_running_loop()
@@ -193,7 +194,7 @@
 async def _feed(
     platform: PlatformStandin, period_s: float, jobs: list[asyncio.Task[HandedIn]]
 ) -> None:
-    """Hand jobs in at the nodes that run, in turn."""
+    """Submit jobs to the running nodes in turn."""
     for number in itertools.count(LASTING_NUMBER + 1):
         if names := sorted(platform.nodes):
             job = _hand_in(platform, names[number % len(names)], number)
@@ -208,13 +209,13 @@
         async with asyncio.timeout(ANSWERED_WITHIN_S):
             outcome = await hand_in(platform, node, spec)
     except TimeoutError:
-        # Whoever asks a node that is killed sees its connection end.
+        # A timeout is allowed only if the node was killed: its callers see their connection end.
         assert platform.nodes.get(node) is not node_before, f"{node} has not answered"
     return HandedIn(spec.job_id, at_s, outcome is JobRequestOutcome.DONE)
 
 
 async def _wait_until_shown(platform: PlatformStandin, jobs: set[str]) -> set[str]:
-    """Wait until jobs are shown as succeeded, for a bounded time; return those that are not."""
+    """Wait up to ``DONE_WITHIN_S`` for jobs to be shown as succeeded; return those that are not."""
     loop = asyncio.get_running_loop()
     until_s, names, undone = loop.time() + DONE_WITHIN_S, sorted(platform.nodes), sorted(jobs)
     for name in itertools.cycle(names):
@@ -228,7 +229,7 @@
 
 
 def find_lost(runs: list[LedgerRun], troubled: list[Span], now_s: float) -> list[str]:
-    """Return the lasting tasks that did not run at the end of a calm time, in words."""
+    """Return a text for each lasting task that did not run at the end of a calm time."""
     by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
     for run in sorted(runs, key=lambda run: run.began_at_s):
         by_task[run.task].append(run)
@@ -243,7 +244,7 @@
 
 
 def _find_calm_end_s(from_s: float, troubled: list[Span]) -> float:
-    """Return when the first calm time from a moment on ends."""
+    """Return the end of the first calm time at or after a moment."""
     for began_at_s, ended_at_s in sorted(troubled):
         if began_at_s < from_s + CALM_S and ended_at_s > from_s - CALM_BEFORE_S:
             from_s = max(from_s, ended_at_s + CALM_BEFORE_S)
--- a/tests/lib/drawn_limits.py
+++ b/tests/lib/drawn_limits.py
@@ -1,4 +1,4 @@
-"""Days of workspaces with limits, each drawn wholly from its seed before it is played."""
+"""Random days of workspaces with limits; a seed determines the whole day."""
 
 import asyncio
 import itertools
@@ -43,12 +43,12 @@
 FALLS = (Resources(8_000, 0), Resources(12_000, 0), Resources(20_000, 0))
 FALL_S = (8.0, 14.0)
 TURN_S = 5.0
-# In its turn a pool's jobs ask for half of the limit, beside a quarter that lasting ones take:
-# all could be done, though not while the limit has fallen.
+# Job rates of the pool whose turn it is and of the others.  The jobs of the pool in turn need half
+# of the limit, and lasting jobs use a quarter: all fit, except while the limit has fallen.
 RATES_PER_S = (2.0, 0.1)
 LASTING_JOBS = 1
-# Where there is room, and for so long after the last trouble, a workspace under half of its
-# limit never waits so long.
+# If there is free capacity and CALM_BEFORE_S have passed since the last fault, a workspace under
+# half of its limit must not wait longer than WAIT_MAX_S.
 CALM_BEFORE_S = 4.0
 WAIT_MAX_S = 3.0
 DONE_WITHIN_S = 40.0
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class LimitDay:
-    """A day: what goes wrong when, and when the limit falls to what, and rises again."""
+    """A day: its faults with their times, and when the limit falls, to which value, and rises."""
 
     seed: int
     nodes: int
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True)
 class LimitFindings:
-    """What was seen and must not be; ``longest_wait_s`` is that of calm times.
+    """Violations found on a day; ``longest_wait_s`` is the longest wait in calm times.
 
-    Jobs took ``done_s`` in the mean, from being handed in to their last task's end.
+    ``done_s`` is the mean time of a job from its submission to the end of its last task.
     """
 
     seed: int
@@ -84,12 +84,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day passed without violations."""
         return not (self.breaks or self.starved or self.undone)
 
 
 def draw_limit_day(seed: int, kept_share: float = 0.2) -> LimitDay:
-    """Draw a day."""
+    """Draw a day from its seed."""
     drawn = random.Random(seed)
     falls_at_s = drawn.uniform(*FALL_S)
     return LimitDay(
@@ -99,7 +99,7 @@
         drawn.choice(FALLS),
         falls_at_s,
         falls_at_s + drawn.uniform(6.0, 14.0),
-        # Now and then at the very moment of the fall.
+        # In half of the days, the steward is lost at the moment of the fall.
         drawn.choice((falls_at_s, drawn.uniform(0.0, DAY_S))),
         tuple(
             Trouble(
@@ -119,7 +119,7 @@
 
 
 def find_with_fixed_split(seed: int) -> LimitFindings:
-    """Play the same day with each limit split evenly over the pools for good."""
+    """Play the same day with each limit permanently split evenly over the pools."""
     return run_virtual(_play(draw_limit_day(seed, kept_share=1.0)))
 
 
@@ -197,7 +197,7 @@
     spans: list[tuple[float, float]],
     waits: dict[str, float],
 ) -> None:
-    """Note for how long jobs wait in calm times though their workspace and pool have room."""
+    """Record how long jobs wait in calm times though workspace and pool have free capacity."""
     loop = asyncio.get_running_loop()
     began_at_s, since_s = loop.time(), dict[str, float]()
     while True:
@@ -212,7 +212,7 @@
 
 
 async def _wait_until_done(platform: PlatformStandin, feeder: Feeder) -> tuple[str, ...]:
-    """Wait until all accepted jobs that end are done; return those that are not."""
+    """Wait until all accepted jobs except lasting ones are done; return those that are not."""
     until_s = asyncio.get_running_loop().time() + DONE_WITHIN_S
     while undone := tuple(_iter_undone(platform, feeder)):
         if asyncio.get_running_loop().time() > until_s:
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves among troubles on the stand-in, each day drawn wholly from its seed."""
+"""Maintenance waves during random faults on the stand-in; a seed determines the whole day."""
 
 import asyncio
 import enum
@@ -28,17 +28,17 @@
 QUEUES = (QUEUE, QueuePolicy("folds", "fold.example", "/folds/", OTHER_POOL, 0, 3, 1.6, 600))
 POOLS = (PoolPolicy(POOL), PoolPolicy(OTHER_POOL), PoolPolicy(RESERVE, is_reserve=True))
 MACHINES = 20
-# Waves and troubles begin within so long; then all waves are to end within so long.
+# Waves and faults begin within TROUBLES_S; then all waves must end within DONE_WITHIN_S.
 TROUBLES_S = 40.0
 DONE_WITHIN_S = 120.0
-# Each pool in turn has jobs so often.
+# Jobs come every JOB_PERIOD_S, for one pool after the other, TURN_S each.
 TURN_S = 5.0
 JOB_PERIOD_S = 0.4
 LATE_ORDER_S = (2.0, 12.0)
 
 
 class WaveTrouble(enum.Enum):
-    """What goes wrong with machines and their steward, beside ``TroubleKind``."""
+    """Faults of machines and of the steward, in addition to ``TroubleKind``."""
 
     KILL_STEWARD = "kill steward"
     PART_STEWARD = "steward cut off from the store alone"
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class WaveEvent:
-    """One trouble at a time, for so long; ``draw`` decides what it strikes and how."""
+    """One fault, which lasts ``length_s``; ``draw`` picks its target and variant."""
 
     at_s: float
     kind: WaveTrouble | TroubleKind
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class WaveDay:
-    """A day: machines in each pool, waves with their times, and troubles."""
+    """A day: nodes, hosts in each pool, waves with their times, and faults."""
 
     seed: int
     nodes: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class WaveFindings:
-    """What was seen on a day and must not be."""
+    """Violations found on a day."""
 
     seed: int
     over_bound: tuple[str, ...]
@@ -97,12 +97,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day passed without violations."""
         return not (self.over_bound or self.shown_early or self.undone or self.breaks)
 
 
 def draw_wave_day(seed: int) -> WaveDay:
-    """Draw a day."""
+    """Draw a day from its seed."""
     drawn = random.Random(seed)
     names = [f"m-{number}" for number in range(MACHINES)]
     waves = tuple(
@@ -165,7 +165,7 @@
 
 
 async def feed_in_turns(platform: PlatformStandin, period_s: float) -> None:
-    """Hand jobs in for one pool after the other, one every ``period_s``, until cancelled."""
+    """Submit a job every ``period_s``, for one pool after the other, until cancelled."""
     loop = asyncio.get_running_loop()
     tasks = set()
     for number in itertools.count(1):
@@ -221,13 +221,13 @@
 
 
 def get_steward(platform: PlatformStandin) -> str | None:
-    """Return the name of the node that orders machines."""
+    """Return the name of the steward, the node that orders machines, or None."""
     nodes = platform.nodes.items()
     return next((name for name, node in nodes if node.assembled.node._steward is not None), None)
 
 
 async def _wait_until_begun(platform: PlatformStandin, day: WaveDay) -> list[str]:
-    """Wait until all machines of all waves have begun; return those that have not."""
+    """Wait until all machines of all waves have begun upkeep; return those that have not."""
     for _ in range(int(DONE_WITHIN_S)):
         if not (left := _list_left(platform, day)):
             return []
@@ -247,7 +247,7 @@
 
 
 def _find_shown_early(platform: PlatformStandin, day: WaveDay) -> list[str]:
-    """Return the waves that are shown as done and have machines that have not begun."""
+    """Return the waves shown as done although some of their machines have not begun upkeep."""
     left = {line.rpartition(" ")[2] for line in _list_left(platform, day)}
     shown = platform.store.get_newest(STATUS).items()
     return [key for key, value in shown if value == b"done" and key.rpartition("/")[2] in left]
--- a/tests/lib/job_platforms.py
+++ b/tests/lib/job_platforms.py
@@ -1,4 +1,4 @@
-"""Platforms with nodes, hosts and jobs for tests, on virtual time."""
+"""Platform stand-ins with nodes, hosts and jobs, for tests on virtual time."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -24,12 +24,12 @@
 
 
 def plan_second(task: TaskKey) -> TaskPlan:
-    """Have each task work for a second."""
+    """Plan one second of work for each task."""
     return TaskPlan(1.0, Resources(1000, 100))
 
 
 def make_job(number: int, *steps: StepSpec, queue: str = QUEUE.name, pool: str = POOL) -> JobSpec:
-    """Make a job; its steps are four tasks, then two, unless given."""
+    """Make a job; its default steps have four tasks, then two."""
     spec = steps or (
         StepSpec(4, cpu_millicores=1000, memory_mb=100),
         StepSpec(2, cpu_millicores=1000, memory_mb=100, after_steps=(0,)),
@@ -46,7 +46,7 @@
     queue: QueuePolicy = QUEUE,
     pools: tuple[PoolPolicy, ...] = POOLS,
 ) -> PlatformStandin:
-    """Start a platform with one pool, and wait until its pool is owned."""
+    """Start a platform with one pool and a reserve; wait until a node owns the pool."""
     platform = PlatformStandin(plan_task, seed)
     platform.configure(1, (queue,), pools)
     for number in range(hosts):
@@ -61,7 +61,7 @@
 
 
 def get_owner(platform: PlatformStandin, pool: str = POOL) -> str | None:
-    """Return the name of the node that owns a pool and serves it."""
+    """Return the name of the node that owns a pool and has opened it, or None."""
     return next(
         (
             name
@@ -73,7 +73,7 @@
 
 
 def make_stop_budget(platform: PlatformStandin) -> StopBudget:
-    """Make the budget of a planned stop that begins now."""
+    """Make the time budget of a planned stop that begins now."""
     return StopBudget(BOUNDS.stop_grace_s, 0.0, EventLog("stop", write=platform.events.append))
 
 
@@ -83,19 +83,19 @@
 
 
 async def hand_in(platform: PlatformStandin, node: str, spec: JobSpec) -> JobRequestOutcome:
-    """Hand a job in at a node."""
+    """Submit a job to a node; return the outcome."""
     job_service = platform.nodes[node].assembled.job_service
     return await job_service.accept(spec, asyncio.get_running_loop().time() + 3)
 
 
 async def hand_in_all(platform: PlatformStandin, node: str, specs: Iterable[JobSpec]) -> None:
-    """Hand jobs in at a node one after another."""
+    """Submit jobs to a node one after another."""
     for spec in specs:
         await hand_in(platform, node, spec)
 
 
 async def cancel(platform: PlatformStandin, node: str, job_id: str) -> JobRequestOutcome:
-    """Cancel a job at a node."""
+    """Cancel a job through a node; return the outcome."""
     job_service = platform.nodes[node].assembled.job_service
     now_s = asyncio.get_running_loop().time()
     outcome = await job_service.cancel(QUEUE, job_id, now_s + 3)
@@ -105,14 +105,14 @@
 
 
 async def get_status(platform: PlatformStandin, node: str, job_id: str) -> JobStatus | None:
-    """Ask a node for a job's status."""
+    """Return a job's status as a node reports it, or None if it reports none."""
     return (await platform.nodes[node].assembled.job_service.get_status(QUEUE, job_id)).status
 
 
 async def wait_for_status(
     platform: PlatformStandin, job_id: str, status: JobStatus, limit_s: float = 30
 ) -> float:
-    """Wait until any node shows a status; return how long that took."""
+    """Wait until any node reports a status for a job; return the seconds that took."""
     loop = asyncio.get_running_loop()
     began_at_s = loop.time()
     while loop.time() < began_at_s + limit_s:
@@ -126,13 +126,13 @@
 async def wait_until_done(
     platform: PlatformStandin, specs: Iterable[JobSpec], limit_s: float = 30
 ) -> None:
-    """Wait until each job is shown as succeeded, ``limit_s`` at most for each."""
+    """Wait until each job is reported as succeeded, for ``limit_s`` at most each."""
     for spec in specs:
         await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED, limit_s)
 
 
 async def wait_until(is_so: Callable[[], bool], limit_s: float = 30) -> float:
-    """Wait for a condition; return how long that took."""
+    """Wait until a condition holds; return the seconds that took."""
     loop = asyncio.get_running_loop()
     began_at_s = loop.time()
     while not is_so():
@@ -143,5 +143,5 @@
 
 
 def find_breaks(platform: PlatformStandin) -> list[str]:
-    """Return what the hosts saw and must never see."""
+    """Return the violations that the hosts' ledger has recorded, as texts."""
     return platform.hosts.ledger.find_breaks(CANCEL_S)
--- a/tests/lib/returning.py
+++ b/tests/lib/returning.py
@@ -1,4 +1,4 @@
-"""Days of hosts that come back under the ids they had, each drawn wholly from its seed."""
+"""Random days of hosts that restart under their ids; a seed determines the whole day."""
 
 import asyncio
 import random
@@ -22,15 +22,16 @@
 JOBS = 42
 JOB_PERIOD_S = 0.8
 TROUBLES_S = 30.0
-# Jobs of a second or two whose hosts all come back are done by then.
+# Jobs of one or two seconds are done within this time, since all their hosts restart.
 ENDED_WITHIN_S = 90.0
 CRASHES_PER_S = 1 / 1.6
 BACK_S = (0.02, 0.2, 1.5, 7.0)
-# A host that is back is used again within so long: a look after the longest pause between two
-# (1 s), and what may still be on its way to it (12 s); and the longest pause of a machine whose
-# hosts crash.
+# A restarted host is used again within this time.  It covers the longest pause between two polls
+# (1 s), start orders that may still be in transit (12 s), and the longest back-off of a machine
+# whose hosts crash.
 USED_AGAIN_S = 15.0 + BAD_MACHINE_PAUSE_MAX_S
-# Suspects of a lasting job are tried one after the other on a host, each for five seconds.
+# Seconds for the trials of a lasting job's suspects, one after the other on a host, each five
+# seconds long.
 TRIED_WITHIN_S = 25
 CLOCK_BACK_MS = (0, 0, 60_000)
 BOTH = (StartTimeSource.ENTRY, StartTimeSource.REPORT)
@@ -55,9 +56,9 @@
 
 @dataclass(frozen=True)
 class ReturnDay:
-    """A day: what runs, how hosts crash and come back, and what else goes wrong.
+    """A day: its jobs, the crashes and restarts of its hosts, and its other faults.
 
-    Of ``racks_at_once`` a crash takes all of the host's rack.
+    With ``racks_at_once``, a crash ends all hosts of the host's rack.
     """
 
     seed: int
@@ -72,11 +73,11 @@
 
 @dataclass(frozen=True)
 class ReturnFindings:
-    """What was seen on a day and must not be; ``unused`` are hosts that got no work at its end.
+    """Violations found on a day; ``unused`` are hosts that got no work at its end.
 
-    ``given_up`` are jobs given up though none of their tasks crashes hosts: where hosts crash by
-    themselves, chance may have two do so just as a suspect is tried on them.  ``strays`` counts
-    runs that began on lives that nobody had heard.
+    ``given_up`` are jobs that failed though none of their tasks crashes hosts: if hosts crash by
+    themselves, two may do so by chance during trials of the same suspect.  ``strays`` counts runs
+    that began on incarnations that no owner had contacted.
     """
 
     seed: int
@@ -88,12 +89,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day passed without violations."""
         return not (self.breaks or self.undone or self.unused)
 
 
 def draw_return_day(seed: int) -> ReturnDay:
-    """Draw a day from its seed alone."""
+    """Draw a day from its seed."""
     drawn = random.Random(seed)
     specs = tuple(make_job(number + 10, *drawn.choice(SHAPES)) for number in range(JOBS))
     return ReturnDay(
@@ -109,7 +110,7 @@
 
 
 def find_on_return_day(seed: int) -> ReturnFindings:
-    """Play the day of a seed on virtual time; that it does not go on is found as well."""
+    """Play the day of a seed on virtual time; an AssertionError counts as a finding."""
     try:
         return run_virtual(play_return_day(draw_return_day(seed)))
     except AssertionError as error:
@@ -117,7 +118,7 @@
 
 
 def plan(task: TaskKey) -> TaskPlan:
-    """Have tasks of a gang wait for each other, and all work for a second."""
+    """Plan lasting tasks for the lasting job, and one second of work for all others."""
     if task.job_id == LASTING_JOB:
         return TaskPlan(None, Resources(1000, 100))
     return TaskPlan(1.0, Resources(2000, 100))
@@ -129,7 +130,7 @@
     seed: int = 1,
     start_time_sources: Collection[StartTimeSource] = BOTH,
 ) -> PlatformStandin:
-    """Start a platform whose hosts come back under their ids."""
+    """Start a platform whose hosts restart under their ids."""
     platform = await start_platform(plan, nodes=nodes, hosts=0, seed=seed)
     platform.keeps_host_ids, platform.start_time_sources = True, start_time_sources
     for number in range(hosts):
@@ -139,7 +140,7 @@
 
 
 async def play_return_day(day: ReturnDay) -> ReturnFindings:
-    """Play a day, and tell what was found."""
+    """Play a day and return its findings."""
     platform = await start_returning(seed=day.seed, start_time_sources=day.start_time_sources)
     gangs = {spec.job_id for spec in day.specs if spec.steps[0].is_gang}
 
@@ -170,11 +171,11 @@
 
 
 async def find_unused(platform: PlatformStandin) -> list[str]:
-    """Return the hosts that are up and get no work though there is enough for all."""
+    """Return the hosts that are up and get no work though there is enough for all hosts."""
     await asyncio.sleep(USED_AGAIN_S)
     began_at_s = asyncio.get_running_loop().time()
     many = StepSpec(8 * HOSTS, cpu_millicores=2000, memory_mb=100)
-    # One after the other, for a host is kept from other work while a suspect is tried there.
+    # Jobs come one after the other, since a host gets no other work during a suspect's trial.
     for number in range(TRIED_WITHIN_S):
         await hand_in(platform, min(platform.nodes), make_job(9_000 + number, many))
         await asyncio.sleep(1.0)
@@ -207,7 +208,7 @@
 
 
 def _find_breaks(platform: PlatformStandin, day: ReturnDay) -> list[str]:
-    """Return what the hosts saw and must never see; tasks that may have copies run twice."""
+    """Return the violations, except for jobs that allow copies, whose tasks may run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
     return [each for each in find_breaks(platform) if not any(job in each for job in copied)]
 
--- a/tests/lib/stubborn_process.py
+++ b/tests/lib/stubborn_process.py
@@ -1,4 +1,4 @@
-"""A process whose requests get no outcome, and that has a task which refuses to end."""
+"""A process whose requests never complete, because their tasks ignore cancellation."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
 
 
 async def refuse_to_end(*_: object) -> None:
-    """Go on for long in spite of every cancellation."""
+    """Run for ``LONG_S`` and ignore every cancellation."""
     ends_at_s = asyncio.get_running_loop().time() + LONG_S
     while (left_s := ends_at_s - asyncio.get_running_loop().time()) > 0:
         try:
--- a/tests/unit/test_host_incarnations.py
+++ b/tests/unit/test_host_incarnations.py
@@ -1,4 +1,4 @@
-"""A host that restarts under its id is another one, in all that is kept of it."""
+"""A host that restarts under its id is a new incarnation in ids, records and crash counts."""
 
 import msgspec
 from testtools import TestCase
--- a/tests/unit/test_recorded_ends.py
+++ b/tests/unit/test_recorded_ends.py
@@ -1,4 +1,4 @@
-"""What the hosts' ledger makes of a run that begins after another was done."""
+"""Whether the hosts' ledger reports a run that begins after another run of its task was done."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 class RecordedEndsTest(TestCase):
     def _count_violations(self, recorded_at_s: float) -> int:
-        """Note a run's end at a time, and run its task again."""
+        """Record a run's end at ``recorded_at_s`` and run its task again; return the violations."""
 
         async def work() -> int:
             ledger = RunLedger()
--- a/tests/unit/test_takeover_log_lines.py
+++ b/tests/unit/test_takeover_log_lines.py
@@ -1,4 +1,4 @@
-"""Lines that tell why a pool was taken and what its opening took."""
+"""Log lines with the reason for a pool's acquisition and the duration of its opening."""
 
 import asyncio
 
