--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -23,7 +23,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class HostsTest(TestCase):
+class FailingHostsTest(TestCase):
     def test_silent_host_keeps_its_tasks_until_its_lease_has_lapsed(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(6.0, Resources(1000, 100)))
@@ -41,7 +41,7 @@
 
         run_virtual(work())
 
-    def test_orders_carried_out_late_run_no_task_twice(self) -> None:
+    def test_orders_executed_late_run_no_task_twice(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             platform.hosts.faults.lost_share = 0.2
--- a/tests/functional/test_isolated_nodes.py
+++ b/tests/functional/test_isolated_nodes.py
@@ -28,7 +28,7 @@
 from tests.lib.virtual import run_virtual
 
 # A relayed request needs one append, which takes 1.2 s at most.  Callers wait for 3 s.
-RELAYED_WITHIN_S = 2.0
+RELAY_MAX_S = 2.0
 LOST_READS = 2
 
 
@@ -37,7 +37,7 @@
     peers = platform.nodes[node].assembled.job_service._peers
     send_request = peers.send_request
 
-    async def lose(
+    async def time_out(
         address: str, request: Any, response_type: type, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Any:
         if isinstance(request, RelayRequest):
@@ -45,7 +45,7 @@
             raise PeerUnreachableError("silent")
         return await send_request(address, request, response_type, timeout_s)
 
-    peers.send_request = lose  # type: ignore[method-assign]
+    peers.send_request = time_out  # type: ignore[method-assign]
 
 
 def lose_first_reads_of_owners(client: StoreClient) -> None:
@@ -53,14 +53,14 @@
     read = client.read_newest
     lost: list[str] = []
 
-    async def lose(partition: Partition, after_key: str, timeout_s: float) -> NewestPage:
+    async def time_out(partition: Partition, after_key: str, timeout_s: float) -> NewestPage:
         if partition == OWNERS_PARTITION and len(lost) < LOST_READS:
             lost.append(after_key)
             await asyncio.sleep(timeout_s)
             raise StoreNoAnswerError("lost")
         return await read(partition, after_key, timeout_s)
 
-    client.read_newest = lose  # type: ignore[method-assign]
+    client.read_newest = time_out  # type: ignore[method-assign]
 
 
 class IsolatedNodesTest(TestCase):
@@ -73,7 +73,7 @@
             silence_relays(platform, name)
             began_at_s = asyncio.get_running_loop().time()
             self.assertEqual(JobRequestOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
-            self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAYED_WITHIN_S)
+            self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAY_MAX_S)
 
         run_virtual(work())
 
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -22,7 +22,7 @@
 
 
 class EndToEndTest(TestCase):
-    def test_job_handed_in_at_one_node_is_found_and_done_at_another(self) -> None:
+    def test_job_submitted_at_one_node_is_found_and_done_at_another(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             spec = make_job(1)
--- a/tests/functional/test_platform_outages.py
+++ b/tests/functional/test_platform_outages.py
@@ -20,7 +20,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class PlatformTest(TestCase):
+class PlatformOutagesTest(TestCase):
     def test_daemon_serves_repeatable_jobs_and_refuses_claims_during_an_outage(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -22,7 +22,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class StoreTest(TestCase):
+class StoreOutagesTest(TestCase):
     def test_store_outage_loses_nothing(self) -> None:
         async def work() -> None:
             platform = await start_platform()
--- a/tests/functional/test_unsent_calls.py
+++ b/tests/functional/test_unsent_calls.py
@@ -40,7 +40,7 @@
 
 
 class UnsentCallsTest(TestCase):
-    def test_call_to_a_port_where_nobody_listens_is_refused(self) -> None:
+    def test_call_to_a_closed_port_is_refused(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 address = service.address
--- a/tests/functional/test_work_not_begun.py
+++ b/tests/functional/test_unstarted_coroutines.py
@@ -15,7 +15,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class WorkNotBegunTest(TestCase):
+class UnstartedCoroutineTest(TestCase):
     def test_unstarted_coroutine_is_closed_with_its_owner(self) -> None:
         async def work() -> str:
             platform = await start_platform()
--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -7,7 +7,7 @@
 from robinthread._internal.models.job_status import JobStatus
 from robinthread._internal.models.queue_policy import QueuePolicy
 from robinthread._internal.node.job_service import JobRequestOutcome
-from tests.lib.back_site import FIRST_QUICK, QUICK, SLACK_S, STRETCH, TASK_S, Handed, Site
+from tests.lib.back_site import FIRST_QUICK, QUICK, SLACK_S, STRETCH, TASK_S, Site, SubmittedJob
 from tests.lib.job_platforms import make_job
 
 # Limits of a caller: tries, the pause between two of them, and the time for all.
@@ -33,17 +33,17 @@
     loop = asyncio.get_running_loop()
     pool = site.pools[number % len(site.pools)]
     spec = make_job(number, QUICK, queue=f"queue-{pool}", pool=pool)
-    handed = Handed(spec, loop.time())
-    site.handed.append(handed)
+    job = SubmittedJob(spec, loop.time())
+    site.submitted.append(job)
     for _try in range(TRIES_MAX):
-        if await _try_once(site, spec, handed.at_s + BUDGET_S) is JobRequestOutcome.DONE:
-            handed.accepted_at_s = loop.time()
+        if await _try_once(site, spec, job.at_s + BUDGET_S) is JobRequestOutcome.DONE:
+            job.accepted_at_s = loop.time()
             break
         await asyncio.sleep(RETRY_PAUSE_S)
-    await asyncio.sleep(max(0.0, handed.at_s + IN_TIME_S - loop.time()))
-    while handed.accepted_at_s is not None and loop.time() <= handed.at_s + SERVED_S:
+    await asyncio.sleep(max(0.0, job.at_s + IN_TIME_S - loop.time()))
+    while job.accepted_at_s is not None and loop.time() <= job.at_s + SERVED_S:
         if await _is_done(site, spec):
-            handed.is_served = True
+            job.is_served = True
             return
         await asyncio.sleep(RETRY_PAUSE_S)
 
@@ -93,7 +93,7 @@
     """Wait until all accepted jobs are shown as succeeded; return those that are not in time."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + DONE_WITHIN_S
-    undone = [job.spec for job in site.handed if job.accepted_at_s is not None]
+    undone = [job.spec for job in site.submitted if job.accepted_at_s is not None]
     while undone and loop.time() < until_s:
         done = await asyncio.gather(*(_is_done(site, spec) for spec in undone))
         undone = [spec for spec, is_done in zip(undone, done, strict=True) if not is_done]
--- a/tests/lib/back_figures.py
+++ b/tests/lib/back_figures.py
@@ -56,14 +56,14 @@
 def measure(site: Site, undone: tuple[str, ...], opened: dict[str, float]) -> BackFigures:
     back_at_s = site.back_at_s
     now_s = asyncio.get_running_loop().time()
-    late = [job for job in site.handed if back_at_s + RECOVERY_S < job.at_s]
+    late = [job for job in site.submitted if back_at_s + RECOVERY_S < job.at_s]
     in_time = _list_in_time(site)
     gaps = list(_iter_gaps(site, now_s))
     return BackFigures(
         first_accept_s=min(
             (
                 job.accepted_at_s - back_at_s
-                for job in site.handed
+                for job in site.submitted
                 if job.accepted_at_s is not None and job.accepted_at_s >= back_at_s
             ),
             default=math.inf,
@@ -84,7 +84,7 @@
 
 def _find_first_start_s(site: Site, pool: str) -> float:
     """Return when a task of the pool's non-lasting jobs first started, or infinity."""
-    jobs = {job.spec.job_id for job in site.handed if job.spec.pool == pool}
+    jobs = {job.spec.job_id for job in site.submitted if job.spec.pool == pool}
     starts_s = (
         run.began_at_s - site.back_at_s
         for run in site.platform.hosts.ledger.runs
@@ -112,7 +112,7 @@
             done_at_s[run.task.job_id].setdefault(run.task, run.ended_at_s)
     return {
         job.spec.job_id
-        for job in site.handed
+        for job in site.submitted
         if job.is_served
         and len(done_at_s[job.spec.job_id]) == QUICK.task_count
         and max(done_at_s[job.spec.job_id].values()) <= job.at_s + IN_TIME_S
@@ -122,7 +122,7 @@
 def _find_full_service_s(site: Site, in_time: set[str]) -> float:
     """Return the first whole second from which on every second has its share done in time."""
     by_second: dict[int, list[bool]] = defaultdict(list)
-    for job in site.handed:
+    for job in site.submitted:
         by_second[math.floor(job.at_s - site.back_at_s)].append(job.spec.job_id in in_time)
     poor = [
         second
--- a/tests/lib/back_site.py
+++ b/tests/lib/back_site.py
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Handed:
+class SubmittedJob:
     """A submitted job and its outcome for the caller."""
 
     spec: JobSpec
@@ -68,7 +68,7 @@
     names: tuple[str, ...] = ()
     previous_owners: dict[str, str] = field(default_factory=dict)
     back_at_s: float = 0.0
-    handed: list[Handed] = field(default_factory=list)
+    submitted: list[SubmittedJob] = field(default_factory=list)
     troubled: list[Span] = field(default_factory=list)
     absent: set[str] = field(default_factory=set)
 
--- a/tests/lib/drawn_days.py
+++ b/tests/lib/drawn_days.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class HandedIn:
+class SubmittedJob:
     """A submitted job and whether it was accepted."""
 
     job_id: str
@@ -148,7 +148,7 @@
     platform.keeps_host_ids, platform.start_time_sources = keeps_host_ids, tuple(StartTimeSource)
     loop = asyncio.get_running_loop()
     heartbeats = asyncio.create_task(platform.keep_heartbeats(day.heartbeat_s or TROUBLES_S * 10))
-    jobs: list[asyncio.Task[HandedIn]] = []
+    jobs: list[asyncio.Task[SubmittedJob]] = []
     feeding = asyncio.create_task(_feed(platform, day.job_period_s, jobs))
     spans = await asyncio.gather(*(_play_trouble(platform, each) for each in day.troubles))
     ended_at_s = loop.time()
@@ -156,9 +156,9 @@
     owner = get_owner(platform)
     await asyncio.sleep(FEED_AFTER_S - RECOVERY_S)
     feeding.cancel()
-    handed_in = await asyncio.gather(*jobs)
-    undone = await _wait_until_shown(platform, {job.job_id for job in handed_in if job.is_accepted})
-    late = [job for job in handed_in if job.at_s > ended_at_s + RECOVERY_S]
+    submitted = await asyncio.gather(*jobs)
+    undone = await _wait_until_shown(platform, {job.job_id for job in submitted if job.is_accepted})
+    late = [job for job in submitted if job.at_s > ended_at_s + RECOVERY_S]
     served = sum(job.is_accepted and job.job_id not in undone for job in late)
     unserved = [f"{served} of {len(late)} jobs served"] * (served < len(late) * SERVED_SHARE_MIN)
     unserved += [f"no owner {RECOVERY_S:g} s after the last trouble"] * (owner is None)
@@ -192,7 +192,7 @@
 
 
 async def _feed(
-    platform: PlatformStandin, period_s: float, jobs: list[asyncio.Task[HandedIn]]
+    platform: PlatformStandin, period_s: float, jobs: list[asyncio.Task[SubmittedJob]]
 ) -> None:
     """Submit jobs to the running nodes in turn."""
     for number in itertools.count(LASTING_NUMBER + 1):
@@ -202,7 +202,7 @@
         await asyncio.sleep(period_s)
 
 
-async def _hand_in(platform: PlatformStandin, node: str, number: int) -> HandedIn:
+async def _hand_in(platform: PlatformStandin, node: str, number: int) -> SubmittedJob:
     at_s, spec, outcome = asyncio.get_running_loop().time(), make_job(number, SMALL), None
     node_before = platform.nodes[node]
     try:
@@ -211,7 +211,7 @@
     except TimeoutError:
         # A timeout is allowed only if the node was killed: its callers see their connection end.
         assert platform.nodes.get(node) is not node_before, f"{node} has not answered"
-    return HandedIn(spec.job_id, at_s, outcome is JobRequestOutcome.DONE)
+    return SubmittedJob(spec.job_id, at_s, outcome is JobRequestOutcome.DONE)
 
 
 async def _wait_until_shown(platform: PlatformStandin, jobs: set[str]) -> set[str]:
--- a/tests/lib/drawn_limits.py
+++ b/tests/lib/drawn_limits.py
@@ -135,7 +135,7 @@
         group.create_task(_change_limit(platform, day))
         group.create_task(_lose_steward(platform, day, spans))
         for trouble in day.troubles:
-            group.create_task(_trouble(platform, trouble, spans))
+            group.create_task(_inject_fault(platform, trouble, spans))
     undone = await _wait_until_done(platform, feeder)
     watching.cancel()
     return LimitFindings(
@@ -165,7 +165,7 @@
     configure(platform, 3, LIMIT)
 
 
-async def _trouble(
+async def _inject_fault(
     platform: PlatformStandin, trouble: Trouble, spans: list[tuple[float, float]]
 ) -> None:
     await asyncio.sleep(trouble.at_s)
