--- a/tests/lib/back_callers.py
+++ b/tests/lib/back_callers.py
@@ -90,7 +90,7 @@
 
 
 async def wait_until_done(site: Site) -> tuple[str, ...]:
-    """Wait until all accepted jobs are shown as succeeded; return those that are not in time."""
+    """Wait until all accepted jobs are shown as succeeded; return those that still are not."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + DONE_WITHIN_S
     undone = [job.spec for job in site.submitted if job.accepted_at_s is not None]
--- a/tests/lib/back_figures.py
+++ b/tests/lib/back_figures.py
@@ -54,6 +54,7 @@
 
 
 def measure(site: Site, undone: tuple[str, ...], opened: dict[str, float]) -> BackFigures:
+    """Return the recovery times and violations of a platform whose jobs have ended."""
     back_at_s = site.back_at_s
     now_s = asyncio.get_running_loop().time()
     late = [job for job in site.submitted if back_at_s + RECOVERY_S < job.at_s]
--- a/tests/unit/test_recorded_ends.py
+++ b/tests/unit/test_recorded_ends.py
@@ -21,7 +21,7 @@
 
 class RecordedEndsTest(TestCase):
     def _count_violations(self, recorded_at_s: float) -> int:
-        """Record a run's end at ``recorded_at_s`` and run its task again; return the violations."""
+        """Record a run's end at ``recorded_at_s``, run its task again and count the violations."""
 
         async def work() -> int:
             ledger = RunLedger()
