--- a/tests/functional/test_answers_while_stopping.py
+++ b/tests/functional/test_answers_while_stopping.py
@@ -1,4 +1,4 @@
-"""What a node answers about a job while it passes the job's pool on."""
+"""Responses of a node about a job while it hands over the job's pool."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 JOB = 7
 
 
-class AskedInAStopTest(TestCase):
+class JobRequestsWhileStoppingTest(TestCase):
     def test_accepted_job_is_never_unknown_while_its_owner_stops(self) -> None:
         async def work() -> None:
             platform = await start_platform(nodes=3)
@@ -27,16 +27,16 @@
             assert owner is not None
             node = platform.nodes[owner].assembled
             other = get_others(platform)[0]
-            # The store is slow: the owner has not read the job when it is asked for it.
+            # With a slow store, the owner has not read the job when its status is requested.
             spec = make_job(JOB)
             platform.store.faults.latency_s = 0.3
             outcome = await hand_in(platform, other, spec)
             self.assertEqual(JobRequestOutcome.DONE, outcome)
-            asking = asyncio.create_task(node.job_service.get_status(QUEUE, spec.job_id))
+            request = asyncio.create_task(node.job_service.get_status(QUEUE, spec.job_id))
             await asyncio.sleep(0.01)
             stopping = asyncio.create_task(node.node.stop(make_stop_budget(platform)))
-            told = await asking
-            self.assertNotEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
+            response = await request
+            self.assertNotEqual(JobRequestOutcome.NO_SUCH_JOB, response.outcome)
             await stopping
 
         run_virtual(work())
--- a/tests/functional/test_clock_set_back.py
+++ b/tests/functional/test_clock_set_back.py
@@ -1,4 +1,4 @@
-"""A node whose clock was set back begins anew while its former life is still listed."""
+"""A node restarts with its clock set back while its previous incarnation is still listed."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 NAMES = (POOL, "weave", "print", "fold", "bind", "trim")
 POOLS = tuple(map(PoolPolicy, NAMES))
 SET_BACK_MS = 3_600_000
-# The former life is listed for its time to live.
+# Short enough that the previous incarnation is still listed: its entry has not expired.
 RESTART_S = 0.1
 WATCH_S = 8.0
 
@@ -33,11 +33,13 @@
 
 
 async def _count_records(set_back_ms: int) -> int:
-    """Return how many records of owners follow after a node with several pools began anew."""
+    """Return how many ownership records follow the restart of a node with several pools."""
     ahead_ms = set_back_ms
 
-    def make(node: str, life: str, address: str, capacity: int, started_at_ms: int) -> Member:
-        return Member(node, life, address, capacity, started_at_ms + ahead_ms)
+    def make(
+        node: str, incarnation: str, address: str, capacity: int, started_at_ms: int
+    ) -> Member:
+        return Member(node, incarnation, address, capacity, started_at_ms + ahead_ms)
 
     with mock.patch.object(platform_standin, "Member", make):
         platform = PlatformStandin(plan_second)
@@ -60,11 +62,13 @@
         platform.start_node(name)
         await asyncio.sleep(WATCH_S)
     assert not find_violations(platform)
-    taken = [line for line in map(json.loads, platform.events) if line["event"] == "pool_taken"]
-    return max(line["token"] for line in taken) - token
+    acquisitions = [
+        line for line in map(json.loads, platform.events) if line["event"] == "pool_taken"
+    ]
+    return max(line["token"] for line in acquisitions) - token
 
 
 class ClockSetBackTest(TestCase):
-    def test_pools_are_taken_about_as_often_as_with_a_clock_that_goes_on(self) -> None:
+    def test_pools_are_acquired_about_as_often_as_with_a_steady_clock(self) -> None:
         usual = run_virtual(_count_records(0))
         self.assertLessEqual(run_virtual(_count_records(SET_BACK_MS)), 2 * usual)
--- a/tests/functional/test_done_while_unheard.py
+++ b/tests/functional/test_done_while_unreachable.py
@@ -1,4 +1,4 @@
-"""A task that was done while its owner did not hear its host is not done again."""
+"""Tasks that end while their host is unreachable for the owner are not run again."""
 
 import asyncio
 
@@ -24,16 +24,16 @@
 
 TASKS = 4
 JOB = make_job(1, StepSpec(TASKS, cpu_millicores=1000, memory_mb=100))
-# A lease (4 s), what a host's clock may be slow, and two looks.
+# Covers a lease (4 s), the tolerated drift of a host's clock, and two polls.
 LAPSED_S = 6.0
-# So slow, a store has a pool open in as long as a small node takes.
+# At this store latency, a pool takes as long to open as on a small node.
 SLOW_STORE_S = 1.0
-# What the last owner granted until it stopped has lapsed by then.
+# All leases that the previous owner granted before it stopped have lapsed by then.
 LATE_S = 2.7
 
 
-class DoneWhileUnheardTest(TestCase):
-    def test_end_of_a_run_that_had_counted_as_lapsed_is_taken(self) -> None:
+class DoneWhileUnreachableTest(TestCase):
+    def test_end_of_a_run_that_counted_as_lapsed_is_accepted(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_second, hosts=1)
             await hand_in(platform, "node0", JOB)
@@ -47,7 +47,7 @@
 
         run_virtual(work())
 
-    def test_owner_that_is_late_itself_takes_no_unheard_host_for_silent(self) -> None:
+    def test_late_owner_does_not_count_uncontacted_hosts_as_silent(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_second, nodes=4)
             await hand_in(platform, "node0", JOB)
--- a/tests/functional/test_failing_hosts.py
+++ b/tests/functional/test_failing_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that are silent, late or fail all, and jobs that can never be done."""
+"""Hosts that are silent, slow or fail every task, and jobs that always fail."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class HostsTest(TestCase):
+class FailingHostsTest(TestCase):
     def test_silent_host_keeps_its_tasks_until_its_lease_has_lapsed(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(6.0, Resources(1000, 100)))
@@ -41,7 +41,7 @@
 
         run_virtual(work())
 
-    def test_orders_carried_out_late_run_no_task_twice(self) -> None:
+    def test_orders_executed_late_run_no_task_twice(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             platform.hosts.faults.lost_share = 0.2
@@ -56,7 +56,7 @@
 
         run_virtual(work())
 
-    def test_host_that_fails_all_is_left_out_and_the_jobs_are_done(self) -> None:
+    def test_host_that_fails_all_is_excluded_and_the_jobs_are_done(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             bad = next(iter(platform.hosts.hosts.values()))
@@ -69,12 +69,12 @@
 
         run_virtual(work())
 
-    def test_jobs_that_can_never_be_done_keep_no_host_from_others(self) -> None:
+    def test_jobs_that_always_fail_take_no_host_from_others(self) -> None:
         async def work() -> None:
-            hopeless = {make_job(number).job_id for number in range(1, 9)}
+            failing = {make_job(number).job_id for number in range(1, 9)}
 
             def plan(task: TaskKey) -> TaskPlan:
-                end = RunEnd.FAILED if task.job_id in hopeless else RunEnd.DONE
+                end = RunEnd.FAILED if task.job_id in failing else RunEnd.DONE
                 return TaskPlan(0.2, Resources(1000, 100), end)
 
             platform = await start_platform(plan, hosts=2)
@@ -88,7 +88,7 @@
 
         run_virtual(work())
 
-    def test_job_that_can_never_be_done_fails_after_its_attempts(self) -> None:
+    def test_job_that_always_fails_is_failed_after_its_attempts(self) -> None:
         async def work() -> None:
             def plan(task: TaskKey) -> TaskPlan:
                 end = RunEnd.FAILED if task.index == 2 else RunEnd.DONE
--- a/tests/functional/test_lost_start_answers.py
+++ b/tests/functional/test_lost_start_answers.py
@@ -1,4 +1,4 @@
-"""Answers to starts are lost, and the tasks end before the start is sent again."""
+"""Responses to start orders are lost, and tasks end before the order is sent again."""
 
 import asyncio
 
@@ -18,17 +18,17 @@
 from tests.lib.virtual import run_virtual
 
 JOBS = 10
-# Shorter than the time after which a start without answer is sent again.
+# Shorter than the time after which a start order without a response is sent again.
 TASK_S = 0.2
 
 
 def plan_short(task: TaskKey) -> TaskPlan:
-    """Have each task take 0.2 s and a third of a host."""
+    """Plan 0.2 s of work and about a third of a host's CPU for each task."""
     return TaskPlan(TASK_S, Resources(5000, 100))
 
 
 class LostStartAnswersTest(TestCase):
-    def test_task_that_ended_meanwhile_is_not_run_again(self) -> None:
+    def test_task_that_ended_before_the_resend_is_not_run_again(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_short)
             platform.hosts.faults.lost_share = 0.4
@@ -40,7 +40,7 @@
 
         run_virtual(work())
 
-    def test_start_without_room_after_one_without_answer_is_stopped_first(self) -> None:
+    def test_start_refused_for_capacity_after_a_lost_response_is_stopped_first(self) -> None:
         async def work() -> None:
             platform = await start_platform(plan_short)
             platform.hosts.faults.lost_share = 0.4
