--- a/src/robinthread/_internal/claims/claim_service.py
+++ b/src/robinthread/_internal/claims/claim_service.py
@@ -1,4 +1,4 @@
-"""Claims as a daemon uses and serves them."""
+"""Claim requests of a daemon, and the partitions of claims that it owns."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -18,13 +18,13 @@
 from robinthread._internal.telemetry.counters import Counters
 from robinthread._internal.utils.rendezvous import pick_by_rendezvous
 
-RETRY_S: Final = 0.1
-RETAKE_S: Final = 0.2
+RETRY_DELAY_S: Final = 0.1
+RESTART_DELAY_S: Final = 0.2
 
 
 @dataclass(frozen=True)
 class ClaimContext:
-    """What the claims of a daemon need from it."""
+    """Dependencies that the claim service gets from its daemon."""
 
     name: str
     hall: str
@@ -36,7 +36,7 @@
 
 
 class ClaimService:
-    """Own partitions when it is this daemon's turn, and ask owners otherwise."""
+    """Own the partitions assigned to this daemon; request claims from any partition's owner."""
 
     def __init__(
         self,
@@ -55,13 +55,17 @@
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._is_closed = False
         self._pacer = AppendPacer(self._get_rate_per_s)
-        self._turns: tuple[frozenset[str], dict[int, str]] = (frozenset(), {})
-        router.on(ClaimAsk, self._on_ask)
-        router.on(HolderAsk, self._on_holder_ask)
+        self._assignment: tuple[frozenset[str], dict[int, str]] = (frozenset(), {})
+        router.on(ClaimAsk, self._on_claim_request)
+        router.on(HolderAsk, self._on_holder_request)
         router.on_notice(ClaimRelease, self._on_release)
 
-    async def ask(self, claim: Claim, timeout_s: float) -> ClaimReply:
-        """Ask the owner of the key for a claim; any refusal means not claimed for us."""
+    async def request_claim(self, claim: Claim, timeout_s: float) -> ClaimReply:
+        """Request a claim from the owner of the key's partition.
+
+        Any code but ``OK`` means that the claim is not confirmed for ``claim.holder``.
+        ``CLAIM_OWNER_UNREACHABLE`` is returned if no owner replied in ``timeout_s``.
+        """
         ask = ClaimAsk(
             claim.key,
             claim.digest,
@@ -76,23 +80,27 @@
             owner = self._find_owner(claim.key)
             if owner is None or not self._context.can_hear(owner):
                 break
-            reply = await self._ask_once(owner, ask, left_s)
+            reply = await self._request_once(owner, ask, left_s)
             if reply.code != ResultCode.CLAIM_OWNER_UNREACHABLE:
                 return reply
-            # A partition changes hands when daemons come and go: its new owner
-            # needs a moment to read the stream.
-            await asyncio.sleep(RETRY_S)
+            # A partition gets another owner when daemons join or leave, and the
+            # new owner must read the stream before it grants claims.
+            await asyncio.sleep(RETRY_DELAY_S)
         return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
 
     def release(self, claim: Claim) -> None:
-        """Tell the owner that the claim's request did not run and never will."""
+        """Notify the partition's owner that the claimed request did not and will not run."""
         owner = self._find_owner(claim.key)
         if owner is not None:
             message = ClaimRelease(claim.key, claim.holder, claim.incarnation, claim.ask_id)
             self._router.tell(owner.peer_address, message)
 
     async def find_holder(self, key: bytes) -> DaemonMember | None:
-        """Return the live daemon that holds the claim on ``key``, if there is one."""
+        """Return the daemon that holds the claim on ``key``.
+
+        None means that the key is not claimed, that its holder has left or restarted,
+        or that no owner of the partition replied.
+        """
         owner = self._find_owner(key)
         if owner is None:
             return None
@@ -106,22 +114,23 @@
         member = self._context.get_state().daemons.get(reply.holder)
         return member if member and member.incarnation == reply.incarnation else None
 
-    def adopt_turns(self) -> None:
-        """Take the partitions whose turn has come here, and leave the others.
+    def update_owned_partitions(self) -> None:
+        """Acquire the partitions assigned to this daemon, and stop owning the others.
 
-        Called on changes of members.
+        Called when members change.
         """
         if self._is_closed:
             return
-        turns = self._get_turns()
+        assignment = self._get_assignment()
         for partition in range(self._settings.claim_partitions):
-            is_ours = turns.get(partition) == self._context.name
+            is_ours = assignment.get(partition) == self._context.name
             owner = self._owners.get(partition)
             task = self._tasks.get(partition)
             if is_ours and (owner is None or task is None or task.done()):
                 self._start_owner(partition)
             elif not is_ours and task is not None and not task.done():
-                # A late take of ours would depose the daemon whose turn it is.
+                # If this daemon's acquisition landed late, it would take the partition
+                # away from the daemon that it is assigned to.
                 task.cancel()
 
     def count_held(self) -> int:
@@ -129,7 +138,7 @@
         return sum(len(owner.table) for owner in self._owners.values())
 
     def close(self) -> None:
-        """Stop owning."""
+        """Stop owning partitions."""
         self._is_closed = True
         for task in self._tasks.values():
             task.cancel()
@@ -151,12 +160,12 @@
         self._owners[partition] = owner
         task = asyncio.get_running_loop().create_task(owner.run())
         self._tasks[partition] = task
-        task.add_done_callback(self._note_ended)
+        task.add_done_callback(self._schedule_restart)
 
-    def _note_ended(self, task: asyncio.Task[None]) -> None:
-        """Take the partition again after a pause if it is still this daemon's turn."""
+    def _schedule_restart(self, task: asyncio.Task[None]) -> None:
+        """Acquire the partition again after ``RESTART_DELAY_S`` if it is still assigned here."""
         if not task.cancelled() and not self._is_closed:
-            asyncio.get_running_loop().call_later(RETAKE_S, self.adopt_turns)
+            asyncio.get_running_loop().call_later(RESTART_DELAY_S, self.update_owned_partitions)
 
     def _get_rate_per_s(self) -> float:
         owned = sum(owner.is_owner for owner in self._owners.values())
@@ -165,16 +174,18 @@
 
     def _find_owner(self, key: bytes) -> DaemonMember | None:
         partition = get_partition(key, self._settings.claim_partitions)
-        return self._context.get_state().daemons.get(self._get_turns().get(partition, ""))
+        return self._context.get_state().daemons.get(self._get_assignment().get(partition, ""))
 
-    def _get_turns(self) -> dict[int, str]:
+    def _get_assignment(self) -> dict[int, str]:
         state = self._context.get_state()
         names = frozenset(_iter_eligible(state))
-        if self._turns[0] != names:
-            self._turns = (names, make_turns(names, self._settings.claim_partitions))
-        return self._turns[1]
+        if self._assignment[0] != names:
+            self._assignment = (names, assign_partitions(names, self._settings.claim_partitions))
+        return self._assignment[1]
 
-    async def _ask_once(self, owner: DaemonMember, ask: ClaimAsk, timeout_s: float) -> ClaimReply:
+    async def _request_once(
+        self, owner: DaemonMember, ask: ClaimAsk, timeout_s: float
+    ) -> ClaimReply:
         try:
             reply = await self._router.ask(owner.peer_address, ask, timeout_s)
         except PeerTimeoutError:
@@ -182,7 +193,7 @@
         assert isinstance(reply, ClaimReply)
         return reply
 
-    async def _on_ask(self, sender: Sender, ask: ClaimAsk) -> ClaimReply:
+    async def _on_claim_request(self, sender: Sender, ask: ClaimAsk) -> ClaimReply:
         owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
         if owner is None:
             return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
@@ -190,7 +201,7 @@
             Claim(ask.key, ask.digest, ask.expires_at_s, ask.holder, ask.incarnation, ask.ask_id)
         )
 
-    async def _on_holder_ask(self, sender: Sender, ask: HolderAsk) -> ClaimReply:
+    async def _on_holder_request(self, sender: Sender, ask: HolderAsk) -> ClaimReply:
         owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
         held = owner.table.get(ask.key) if owner else None
         if held is None:
@@ -204,12 +215,12 @@
 
 
 def _iter_eligible(state: FleetState) -> Iterable[str]:
-    outside = [m.name for m in state.daemons.values() if m.hall not in state.cut_halls]
-    return outside or list(state.daemons)
+    in_connected_halls = [m.name for m in state.daemons.values() if m.hall not in state.cut_halls]
+    return in_connected_halls or list(state.daemons)
 
 
-def make_turns(names: Iterable[str], partitions: int) -> dict[int, str]:
-    """Return the daemon whose turn each partition is."""
+def assign_partitions(names: Iterable[str], partitions: int) -> dict[int, str]:
+    """Map each partition number to the name of the daemon that is to own it."""
     ordered = sorted(names)
     return {
         partition: pick_by_rendezvous(f"claims-{partition}", ordered)
--- a/src/robinthread/_internal/platform/store.py
+++ b/src/robinthread/_internal/platform/store.py
@@ -194,7 +194,7 @@
         timeout_s: float | None = None,
     ) -> HTTPResponse:
         kind = path.removeprefix("/log-").partition("?")[0]
-        with timed_call(self._metrics.note_store_call, kind):
+        with timed_call(self._metrics.record_store_call, kind):
             return await self._call_once(path, body, wait_s, timeout_s)
 
     async def _call_once(
@@ -211,13 +211,13 @@
             )
         except CallUnsentError as error:
             # The connection may only have taken longer than the timeout.
-            self._timeout.note_lost()
+            self._timeout.record_loss()
             raise StoreRefusedError(f"the store cannot be reached: {error}") from error
         except CallLostError as error:
-            self._timeout.note_lost()
+            self._timeout.record_loss()
             raise StoreNoAnswerError(str(error)) from error
         if not wait_s and timeout_s is None:
-            self._timeout.note_answer(time.monotonic() - sent_at_s)
+            self._timeout.record_response(time.monotonic() - sent_at_s)
         if response.code != 200:
             raise _make_error(response)
         return response
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -31,10 +31,10 @@
 from robinthread._internal.node.settings_holder import SettingsHolder
 from robinthread._internal.settings.policy_settings import PolicySettings
 from robinthread._internal.standins.advice_standin import AdviceStandin
-from robinthread._internal.standins.call_faults import Charge
+from robinthread._internal.standins.call_faults import ProcessorCharge
 from robinthread._internal.standins.job_host_standin import JobHostStandin, TaskPlan
 from robinthread._internal.standins.job_hosts_standin import JobHostsStandin
-from robinthread._internal.standins.machines_standin import LifeKeeper, MachinesStandin
+from robinthread._internal.standins.machines_standin import HostLifecycle, MachinesStandin
 from robinthread._internal.standins.node_settings_standin import make_settings
 from robinthread._internal.standins.open_connections import OpenConnections
 from robinthread._internal.standins.store_standin import StoreStandin
@@ -52,9 +52,9 @@
 # The time of day of hosts at the loop's zero.
 EPOCH_MS: Final = 1_700_000_000_000
 # After a host's last word its entry stays so long: three heartbeats of 1.5 s.
-ENTRY_LAPSES_S: Final = 4.5
+ENTRY_EXPIRES_AFTER_S: Final = 4.5
 # From a crash of a host until its machine has another one.
-HOST_BACK_S: Final = 3.0
+HOST_REPLACEMENT_S: Final = 3.0
 
 T = TypeVar("T")
 
@@ -111,9 +111,9 @@
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
         """Ask a node."""
-        self._platform.questions[address] += 1
-        if self._platform.charge_question is not None:
-            await self._platform.charge_question(self._caller)
+        self._platform.request_counts[address] += 1
+        if self._platform.charge_request is not None:
+            await self._platform.charge_request(self._caller)
         await asyncio.sleep(PEER_LATENCY_S)
         peer = self._platform.nodes.get(address)
         if peer is None or {self._caller, address} & self._platform.cut_nodes:
@@ -125,13 +125,13 @@
             async with asyncio.timeout(timeout_s):
                 if is_silent:
                     await _wait_for_ever()
-                if self._platform.charge_question is not None:
-                    await self._platform.charge_question(address)
+                if self._platform.charge_request is not None:
+                    await self._platform.charge_request(address)
                 answer = await peer.assembled.request_handler.handle(request)
                 if connections.silences > began_silences:
                     await _wait_for_ever()
         except TimeoutError as error:
-            connections.note_lost(self._caller, address)
+            connections.replace_silent(self._caller, address)
             raise PeerUnreachableError(address) from error
         return answer  # type: ignore[return-value]
 
@@ -155,7 +155,7 @@
     REPORT = "report"
 
 
-class _Lives(LifeKeeper):
+class _Lives(HostLifecycle):
     """Lives of hosts: an address, an entry in the store, and an end."""
 
     def __init__(self, platform: "PlatformStandin") -> None:
@@ -183,10 +183,10 @@
             else None,
         )
         hosts = platform.hosts
-        platform.advice.begin_life(host_id)
+        platform.advice.start_incarnation(host_id)
 
-        def takes_ticket(order: StartOrder) -> bool:
-            if not platform.asks_for_tickets:
+        def accepts_ticket(order: StartOrder) -> bool:
+            if not platform.requires_tickets:
                 return True
             return platform.advice.accepts(order.task.step_key, record.id, order.ticket)
 
@@ -195,9 +195,9 @@
             hosts.ledger,
             platform.plan_task,
             hosts.gangs,
-            takes_ticket,
+            accepts_ticket,
             lambda: platform.hosts_check_room,
-            platform.crash_for_a_while,
+            platform.crash_and_replace_host,
             host_started_at_ms if StartTimeSource.REPORT in platform.start_time_sources else None,
         )
         host.crashes_all_after_s = platform.crashing_machines.get(machine)
@@ -212,9 +212,9 @@
 class PlatformStandin:
     """Store, hosts, machines and nodes; ``plan_task`` tells how tasks behave.
 
-    ``questions`` counts what nodes were asked by others, by node.  The hosts of
+    ``request_counts`` counts what nodes were asked by others, by node.  The hosts of
     ``crashing_machines`` crash so many seconds after whatever they begin.  Where
-    ``charge_question`` is set, a question costs the processors of both nodes.  Where
+    ``charge_request`` is set, a question costs the processors of both nodes.  Where
     ``keeps_host_ids`` a machine's next host has the id of the last one, and ``start_time_sources``
     tells its lives apart; their time of day is ``clock_back_ms`` behind.
     """
@@ -225,8 +225,8 @@
         self.hosts = JobHostsStandin(seed)
         self.machines = MachinesStandin(RESERVE, _Lives(self), seed)
         self.advice = AdviceStandin()
-        self.asks_for_tickets = False
-        self.host_back_s = HOST_BACK_S
+        self.requires_tickets = False
+        self.host_replacement_s = HOST_REPLACEMENT_S
         self.keeps_host_ids = False
         self.start_time_sources: Collection[StartTimeSource] = ()
         self.clock_back_ms = 0
@@ -235,8 +235,8 @@
         self.nodes: dict[str, RunningNode] = {}
         self.cut_nodes: set[str] = set()
         self.peer_connections = OpenConnections()
-        self.questions: Counter[str] = Counter()
-        self.charge_question: Charge | None = None
+        self.request_counts: Counter[str] = Counter()
+        self.charge_request: ProcessorCharge | None = None
         self.events: list[bytes] = []
         self._lives = itertools.count(1)
 
@@ -254,21 +254,21 @@
         """Publish a configuration."""
         value = msgspec.msgpack.encode(_WireConfig(version, queues, pools, workspaces))
         self.store.put(OPERATORS, CONFIG_KEY, value)
-        self.hosts.ledger.limits.take_limits(
+        self.hosts.ledger.limits.record_limits(
             {workspace.name: workspace.limit for workspace in workspaces},
             asyncio.get_running_loop().time(),
         )
 
-    def ask_for_wave(self, wave: UpkeepWave) -> None:
+    def request_wave(self, wave: UpkeepWave) -> None:
         """Ask for a maintenance wave, whose bound is judged from now on."""
-        self.machines.waves.ask_for(wave)
+        self.machines.waves.record_request(wave)
         self.store.put(OPERATORS, f"{WAVE_PREFIX}{wave.number}", msgspec.msgpack.encode(wave))
 
     def list_host(self, record: UpstreamHost) -> None:
         """Have the store list a host."""
         self.store.put(HOSTS, record.id, msgspec.msgpack.encode(record))
 
-    async def keep_heartbeats(self, period_s: float) -> None:
+    async def send_heartbeats(self, period_s: float) -> None:
         """Have each listed host renew its entry every ``period_s``, in turn, until cancelled."""
         while True:
             entries = self.store.get_newest(HOSTS)
@@ -287,11 +287,11 @@
 
     def crash_host(self, host_id: str) -> None:
         """End a host's life; its entry goes later, as if its heartbeats stopped."""
-        self.machines.note_crashed(host_id)
+        self.machines.record_crash(host_id)
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 host.crash()
-        asyncio.get_running_loop().call_later(ENTRY_LAPSES_S, self._lapse_entry, host_id)
+        asyncio.get_running_loop().call_later(ENTRY_EXPIRES_AFTER_S, self._lapse_entry, host_id)
 
     def _lapse_entry(self, host_id: str) -> None:
         """Drop the entry of a host, unless it lives again under its id."""
@@ -306,11 +306,11 @@
                 host.resize(replace(host.record, capacity=capacity))
                 self.list_host(host.record)
 
-    def crash_for_a_while(self, host_id: str) -> None:
-        """End a host's life; its machine has another one ``host_back_s`` later."""
+    def crash_and_replace_host(self, host_id: str) -> None:
+        """End a host's life; its machine has another one ``host_replacement_s`` later."""
         self.crash_host(host_id)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.host_back_s, self.machines.restart, host_id)
+        loop.call_later(self.host_replacement_s, self.machines.restart, host_id)
 
     def start_node(
         self, name: str, capacity_millicores: int = 1000, policy: PolicySettings | None = None
--- a/src/robinthread/_internal/telemetry/counters.py
+++ b/src/robinthread/_internal/telemetry/counters.py
@@ -1,19 +1,19 @@
-"""Counters and gauges of a process, by OpenTelemetry."""
+"""Counters and gauges of a process, exported through OpenTelemetry."""
 
-from collections import Counter as TallyOf
+from collections import Counter
 from collections.abc import Callable
 
 from opentelemetry.metrics import CallbackOptions, Meter, NoOpMeterProvider, Observation
 
 
 class Counters:
-    """Named counters, kept once for the exporter and once for ``status``.
+    """Named counters, exported through a meter and also summed in ``tally`` for ``status``.
 
-    ``NoOpMeterProvider`` serves where nothing scrapes, as in tests.
+    Without a meter, as in tests, a no-op meter takes its place.
     """
 
     def __init__(self, meter: Meter | None = None) -> None:
-        self.tally: TallyOf[str] = TallyOf()
+        self.tally: Counter[str] = Counter()
         self._meter = meter or NoOpMeterProvider().get_meter("robinthread")
         self._counters = {}  # type: ignore[var-annotated]
 
@@ -25,8 +25,8 @@
             counter = self._counters[name] = self._meter.create_counter(f"robinthread_{name}")
         counter.add(amount)
 
-    def observe(self, name: str, read: Callable[[], float]) -> None:
-        """Publish a gauge whose value ``read`` returns."""
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
+        """Register a gauge whose value ``read`` returns at each collection."""
 
         def callback(options: CallbackOptions) -> list[Observation]:
             return [Observation(read())]
--- a/tests/functional/test_at_most_once.py
+++ b/tests/functional/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that must not run twice, whatever fails."""
+"""Requests that must run at most once, also when daemons crash or the log loses replies."""
 
 import asyncio
 from dataclasses import replace
@@ -26,7 +26,7 @@
             )
             self.assertEqual({ResultCode.RAN}, {answer.code for answer in answers})
             self.assertEqual(1, len({answer.body for answer in answers}))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -40,7 +40,7 @@
 
         run_virtual(work())
 
-    def test_late_duplicate_after_the_claim_is_gone_does_not_run(self) -> None:
+    def test_late_duplicate_after_the_claim_has_expired_does_not_run(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "late", left_s=5.0)
@@ -48,11 +48,11 @@
             await asyncio.sleep(60.0)
             late = await fleet.call("matale-d0", replace(request, try_number=2))
             self.assertEqual(Family.OUTCOME_UNKNOWN, late.code.family)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
-    def test_owner_of_the_claim_dies_and_its_successor_knows(self) -> None:
+    def test_claim_is_known_to_the_successor_of_a_crashed_owner(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "owner", left_s=60.0)
@@ -66,11 +66,11 @@
             await asyncio.sleep(15.0)
             again = await fleet.call(other, replace(request, try_number=2))
             self.assertEqual((first.code, first.body), (again.code, again.body))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
-    def test_holder_dies_and_nobody_runs_the_request_again(self) -> None:
+    def test_request_is_not_run_again_after_its_holder_crashes(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             request = make_request(get_daemon(fleet), "holder", run_s=2.0, left_s=60.0)
@@ -81,7 +81,7 @@
             await asyncio.sleep(15.0)
             again = await fleet.call("matale-d0", replace(request, try_number=2))
             self.assertEqual(ResultCode.HOLDER_LOST, again.code)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -118,7 +118,7 @@
             second = await own
             self.assertEqual(ResultCode.RAN, first.code)
             self.assertNotEqual(Family.DID_NOT_RUN, second.code.family)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
@@ -132,7 +132,7 @@
             ran = sum(answer.code is ResultCode.RAN for answer in answers)
             self.assertTrue(ran >= 30, ran)
             self.assertEqual(ran, len(fleet.ledger.started))
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
--- a/tests/functional/test_nodes_left_out.py
+++ b/tests/functional/test_isolated_nodes.py
@@ -1,4 +1,7 @@
-"""A node that the store turns away, or answers late, and what its callers get."""
+"""Nodes that reach the store, their peers or the membership list only in part.
+
+The tests check what callers of such a node get, and when a successor takes its steward role.
+"""
 
 import asyncio
 from typing import Any
@@ -24,17 +27,17 @@
 )
 from tests.lib.virtual import run_virtual
 
-# A relay takes one append, of which the slowest takes 1.2 s; callers wait 3 s.
-RELAYED_WITHIN_S = 2.0
+# A relayed request needs one append, which takes 1.2 s at most.  Callers wait for 3 s.
+RELAY_MAX_S = 2.0
 LOST_READS = 2
 
 
 def silence_relays(platform: PlatformStandin, node: str) -> None:
-    """Have what a node relays go out on connections that have gone silent."""
+    """Make all relay requests of a node time out, as on silent connections."""
     peers = platform.nodes[node].assembled.job_service._peers
     send_request = peers.send_request
 
-    async def lose(
+    async def time_out(
         address: str, request: Any, response_type: type, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Any:
         if isinstance(request, RelayRequest):
@@ -42,25 +45,25 @@
             raise PeerUnreachableError("silent")
         return await send_request(address, request, response_type, timeout_s)
 
-    peers.send_request = lose  # type: ignore[method-assign]
+    peers.send_request = time_out  # type: ignore[method-assign]
 
 
 def lose_first_reads_of_owners(client: StoreClient) -> None:
-    """Have the first reads of the owners go unanswered."""
+    """Make the first ``LOST_READS`` reads of the owners partition time out."""
     read = client.read_newest
     lost: list[str] = []
 
-    async def lose(partition: Partition, after_key: str, timeout_s: float) -> NewestPage:
+    async def time_out(partition: Partition, after_key: str, timeout_s: float) -> NewestPage:
         if partition == OWNERS_PARTITION and len(lost) < LOST_READS:
             lost.append(after_key)
             await asyncio.sleep(timeout_s)
             raise StoreNoAnswerError("lost")
         return await read(partition, after_key, timeout_s)
 
-    client.read_newest = lose  # type: ignore[method-assign]
+    client.read_newest = time_out  # type: ignore[method-assign]
 
 
-class NodesLeftOutTest(TestCase):
+class IsolatedNodesTest(TestCase):
     def test_relay_on_a_silent_connection_does_not_hold_its_caller_to_the_deadline(self) -> None:
         async def work() -> None:
             platform = await start_platform()
@@ -70,7 +73,7 @@
             silence_relays(platform, name)
             began_at_s = asyncio.get_running_loop().time()
             self.assertEqual(JobRequestOutcome.UNKNOWN, await hand_in(platform, name, make_job(1)))
-            self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAYED_WITHIN_S)
+            self.assertLess(asyncio.get_running_loop().time() - began_at_s, RELAY_MAX_S)
 
         run_virtual(work())
 
@@ -83,17 +86,17 @@
             client = late.owned._context.store
             assert isinstance(client, StoreClient)
             lose_first_reads_of_owners(client)
-            for _look in range(60):
+            for _attempt in range(60):
                 await asyncio.sleep(0.1)
                 if late.readiness.check():
-                    told = await get_status(platform, "late", make_job(1).job_id)
-                    self.assertIsNotNone(told)
+                    status = await get_status(platform, "late", make_job(1).job_id)
+                    self.assertIsNotNone(status)
             self.assertTrue(late.readiness.check())
 
         run_virtual(work())
 
-    def test_steward_that_may_live_is_given_its_turn(self) -> None:
-        """It is not listed and peers do not reach it, but the store and the platform do."""
+    def test_successor_waits_a_turn_for_a_steward_that_may_still_run(self) -> None:
+        """The last steward is unlisted and cut off from peers, but reaches store and platform."""
 
         async def work() -> None:
             platform = await start_platform(nodes=5)
@@ -116,5 +119,5 @@
 
 
 def is_steward(platform: PlatformStandin, name: str) -> bool:
-    """Tell whether a node gives the orders for machines."""
+    """Return whether a node is the steward, which orders machines."""
     return platform.nodes[name].assembled.node._steward is not None
--- a/tests/functional/test_owner_changes.py
+++ b/tests/functional/test_owner_changes.py
@@ -10,7 +10,7 @@
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
     cancel,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     get_status,
@@ -39,12 +39,12 @@
             took_s = await wait_until(lambda: get_owner(platform) is not None)
             self.assertTrue(took_s < 2.5, took_s)
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(30, sum(run.end == "done" for run in platform.hosts.ledger.runs))
 
         run_virtual(work())
 
-    def test_owner_cut_off_is_replaced_and_does_no_harm_when_it_is_back(self) -> None:
+    def test_owner_cut_off_is_replaced_and_causes_no_violation_after_healing(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(2.0, Resources(1000, 100)))
             specs = [make_job(number) for number in range(1, 6)]
@@ -58,7 +58,7 @@
             platform.heal_node(old)
             await wait_until_done(platform, specs)
             await asyncio.sleep(3)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         others: list[str] = []
 
@@ -85,7 +85,7 @@
             took_s = await wait_until(lambda: get_owner(platform) not in (None, owner))
             self.assertTrue(took_s < 0.5, took_s)
             await wait_for_status(platform, spec.job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(6, len(platform.hosts.ledger.runs))
 
         run_virtual(work())
@@ -102,11 +102,11 @@
             for name in ("node0", "node1", "node2"):
                 platform.start_node(name)
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
-    def test_cancel_holds_over_a_change_of_owner(self) -> None:
+    def test_cancel_persists_across_a_change_of_owner(self) -> None:
         async def work() -> None:
             platform = await start_platform(lambda task: TaskPlan(5.0, Resources(1000, 100)))
             spec = make_job(1)
@@ -120,6 +120,6 @@
             await asyncio.sleep(6)
             self.assertTrue(all(run.ended_at_s for run in platform.hosts.ledger.runs))
             self.assertEqual(JobStatus.CANCELLED, await get_status(platform, other, spec.job_id))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
--- a/tests/functional/test_silences_noticed.py
+++ b/tests/functional/test_silent_connection_recovery.py
@@ -1,4 +1,4 @@
-"""How long it takes until connections that have gone silent carry nothing any more."""
+"""Time until connections that have gone silent are replaced by new ones."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     get_status,
@@ -26,20 +26,20 @@
 
 HOSTS_COUNT = 12
 LASTING = StepSpec(4, cpu_millicores=1000, memory_mb=100, is_lasting=True)
-# Moments in the second in which a pool's looks at its hosts are spread.
-MOMENTS_S = (0.0, 0.25, 0.5, 0.75)
-# A look waits for up to 1 s and times out 0.4 s later; the next one is answered at once.
+# Offsets within the second over which a pool spreads the polls of its hosts.
+OFFSETS_S = (0.0, 0.25, 0.5, 0.75)
+# A poll waits for up to 1 s and times out 0.4 s later; the next one gets a response at once.
 HOSTS_MAX_S = 1.8
-# A read of the store waits for up to 1.5 s, and times out 1.0 s later where the store is slow;
-# 3 s is when a node that was cut off counts as reachable again.
+# A read of the store waits for up to 1.5 s, and times out 1.0 s later if the store is slow.
+# A node that was cut off counts as reachable again after 3 s.
 STORE_MAX_S = 3.0
-# A question to another node times out, and is asked again.
+# A request to another node times out and is sent again.
 PEERS_MAX_S = 1.5
 
 
-async def _start(moment_s: float) -> PlatformStandin:
+async def _start(offset_s: float) -> PlatformStandin:
     platform = PlatformStandin(plan_lasting)
-    # Without a reserve: no machine is let go.
+    # Without a reserve, no machine is released.
     platform.configure(1, (QUEUE,), (PoolPolicy(POOL),))
     for number in range(HOSTS_COUNT):
         platform.machines.add(POOL, f"r{number % 2}", HOST_CAPACITY)
@@ -49,13 +49,13 @@
     await asyncio.sleep(1)
     await hand_in(platform, get_others(platform)[0], make_job(1, LASTING))
     await get_status(platform, get_others(platform)[0], make_job(1).job_id)
-    await asyncio.sleep(3 + moment_s)
+    await asyncio.sleep(3 + offset_s)
     return platform
 
 
-async def _silence_hosts(moment_s: float) -> float:
-    """Return after how long each host has been heard on a new connection."""
-    platform = await _start(moment_s)
+async def _silence_hosts(offset_s: float) -> float:
+    """Silence the hosts' connections; return the seconds until all have reported on new ones."""
+    platform = await _start(offset_s)
     owner = platform.nodes[get_owner(platform) or ""].assembled.owned.owners[POOL]
     now_s = asyncio.get_running_loop().time()
     platform.hosts.faults.connections.silence()
@@ -67,14 +67,14 @@
     )
     took_s = asyncio.get_running_loop().time() - now_s
     await asyncio.sleep(8)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     assert all(run.ended_at_s is None for run in platform.hosts.ledger.runs)
     return took_s
 
 
-async def _silence_store(moment_s: float) -> float:
-    """Return after how long the store has confirmed each node anew."""
-    platform = await _start(moment_s)
+async def _silence_store(offset_s: float) -> float:
+    """Silence the store's connections; return the seconds until it has confirmed all nodes."""
+    platform = await _start(offset_s)
     owner = get_owner(platform)
     now_s = asyncio.get_running_loop().time()
     platform.store.faults.connections.silence()
@@ -92,29 +92,29 @@
     return took_s
 
 
-async def _silence_peers(moment_s: float) -> float:
-    """Return after how long each node tells the state of a job that another one owns."""
-    platform = await _start(moment_s)
+async def _silence_peers(offset_s: float) -> float:
+    """Silence the peers' connections; return the seconds until all nodes relay a job's status."""
+    platform = await _start(offset_s)
     now_s = asyncio.get_running_loop().time()
     platform.peer_connections.silence()
     others = get_others(platform)
     while True:
-        told = await asyncio.gather(
+        statuses = await asyncio.gather(
             *(get_status(platform, name, make_job(1).job_id) for name in others)
         )
-        if all(status is JobStatus.RUNNING for status in told):
+        if all(status is JobStatus.RUNNING for status in statuses):
             return asyncio.get_running_loop().time() - now_s
 
 
-class SilencesNoticedTest(TestCase):
-    def test_hosts_are_heard_again_and_nothing_that_runs_there_ends(self) -> None:
-        took_s = [run_virtual(_silence_hosts(moment_s)) for moment_s in MOMENTS_S]
+class SilentConnectionRecoveryTest(TestCase):
+    def test_hosts_are_contacted_again_and_their_runs_continue(self) -> None:
+        took_s = [run_virtual(_silence_hosts(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), HOSTS_MAX_S, took_s)
 
     def test_store_confirms_the_nodes_and_no_pool_changes_its_owner(self) -> None:
-        took_s = [run_virtual(_silence_store(moment_s)) for moment_s in MOMENTS_S]
+        took_s = [run_virtual(_silence_store(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), STORE_MAX_S, took_s)
 
-    def test_nodes_answer_each_other_again(self) -> None:
-        took_s = [run_virtual(_silence_peers(moment_s)) for moment_s in MOMENTS_S]
+    def test_nodes_respond_to_each_other_again(self) -> None:
+        took_s = [run_virtual(_silence_peers(offset_s)) for offset_s in OFFSETS_S]
         self.assertLess(max(took_s), PEERS_MAX_S, took_s)
--- a/tests/functional/test_steward_lost_in_wave.py
+++ b/tests/functional/test_steward_lost_in_wave.py
@@ -14,7 +14,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     get_owner,
     hand_in,
     make_job,
@@ -50,7 +50,7 @@
     await asyncio.sleep(2)
     assert _get_steward(platform) != get_owner(platform)
     machine = platform.machines.machines["m-0"]
-    platform.ask_for_wave(UpkeepWave(WAVE, (machine.name,), 60, 1))
+    platform.request_wave(UpkeepWave(WAVE, (machine.name,), 60, 1))
     await wait_until(lambda: bool(platform.machines.waves.begun.get(WAVE)))
     await wait_until(lambda: machine.state is MachineState.UP)
     await asyncio.sleep(COMES_UP_S)
@@ -60,7 +60,7 @@
     if lost_after_s is not None:
         platform.kill_node(_get_steward(platform))
     await asyncio.sleep(WATCH_S)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     lines = [json.loads(line) for line in platform.events[before:]]
     emptied = [
         line
--- a/tests/lib/drawn_waves.py
+++ b/tests/lib/drawn_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves among troubles on the stand-in, each day drawn wholly from its seed."""
+"""Maintenance waves during random faults on the stand-in; a seed determines the whole day."""
 
 import asyncio
 import enum
@@ -17,7 +17,7 @@
     HOST_CAPACITY,
     POOL,
     QUEUE,
-    find_breaks,
+    find_violations,
     hand_in,
     make_job,
     plan_second,
@@ -28,17 +28,17 @@
 QUEUES = (QUEUE, QueuePolicy("folds", "fold.example", "/folds/", OTHER_POOL, 0, 3, 1.6, 600))
 POOLS = (PoolPolicy(POOL), PoolPolicy(OTHER_POOL), PoolPolicy(RESERVE, is_reserve=True))
 MACHINES = 20
-# Waves and troubles begin within so long; then all waves are to end within so long.
+# Waves and faults begin within TROUBLES_S; then all waves must end within DONE_WITHIN_S.
 TROUBLES_S = 40.0
 DONE_WITHIN_S = 120.0
-# Each pool in turn has jobs so often.
+# Jobs come every JOB_PERIOD_S, for one pool after the other, TURN_S each.
 TURN_S = 5.0
 JOB_PERIOD_S = 0.4
 LATE_ORDER_S = (2.0, 12.0)
 
 
 class WaveTrouble(enum.Enum):
-    """What goes wrong with machines and their steward, beside ``TroubleKind``."""
+    """Faults of machines and of the steward, in addition to ``TroubleKind``."""
 
     KILL_STEWARD = "kill steward"
     PART_STEWARD = "steward cut off from the store alone"
@@ -49,7 +49,7 @@
     WAVE_AGAIN = "first wave asked for again, with other machines and another bound"
 
 
-GENERAL = (
+GENERAL_TROUBLES = (
     TroubleKind.KILL_NODE,
     TroubleKind.KILL_ALL,
     TroubleKind.STOP_NODE,
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class WaveEvent:
-    """One trouble at a time, for so long; ``draw`` decides what it strikes and how."""
+    """One fault, which lasts ``length_s``; ``draw`` picks its target and variant."""
 
     at_s: float
     kind: WaveTrouble | TroubleKind
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class WaveDay:
-    """A day: machines in each pool, waves with their times, and troubles."""
+    """A day: nodes, hosts in each pool, waves with their times, and faults."""
 
     seed: int
     nodes: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class WaveFindings:
-    """What was seen on a day and must not be."""
+    """Violations found on a day."""
 
     seed: int
     over_bound: tuple[str, ...]
@@ -97,19 +97,19 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day passed without violations."""
         return not (self.over_bound or self.shown_early or self.undone or self.breaks)
 
 
 def draw_wave_day(seed: int) -> WaveDay:
-    """Draw a day."""
+    """Draw a day from its seed."""
     drawn = random.Random(seed)
     names = [f"m-{number}" for number in range(MACHINES)]
     waves = tuple(
         (drawn.uniform(0, TROUBLES_S / 2), _draw_wave(drawn, number, names))
         for number in range(1, drawn.choice((1, 2, 2, 3)) + 1)
     )
-    kinds: list[WaveTrouble | TroubleKind] = [*WaveTrouble, *GENERAL]
+    kinds: list[WaveTrouble | TroubleKind] = [*WaveTrouble, *GENERAL_TROUBLES]
     chosen = drawn.sample(kinds, KINDS_A_DAY)
     count = drawn.choice((0, 2, 4, 8))
     events = tuple(_iter_events(drawn, chosen, count))
@@ -146,26 +146,26 @@
         platform.start_node(f"node{number}")
     await asyncio.sleep(3)
     feeding = asyncio.create_task(feed_in_turns(platform, JOB_PERIOD_S))
-    asked = [_ask(platform, at_s, wave) for at_s, wave in day.waves]
+    asked = [_request_wave(platform, at_s, wave) for at_s, wave in day.waves]
     await asyncio.gather(*asked, *(_bring_about(platform, event) for event in day.events))
     undone = await _wait_until_begun(platform, day)
     feeding.cancel()
     return WaveFindings(
         day.seed,
-        tuple(platform.machines.waves.breaks),
+        tuple(platform.machines.waves.violations),
         tuple(_find_shown_early(platform, day)),
         tuple(undone),
-        tuple(find_breaks(platform)),
+        tuple(find_violations(platform)),
     )
 
 
-async def _ask(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
+async def _request_wave(platform: PlatformStandin, at_s: float, wave: UpkeepWave) -> None:
     await asyncio.sleep(at_s)
-    platform.ask_for_wave(wave)
+    platform.request_wave(wave)
 
 
 async def feed_in_turns(platform: PlatformStandin, period_s: float) -> None:
-    """Hand jobs in for one pool after the other, one every ``period_s``, until cancelled."""
+    """Submit a job every ``period_s``, for one pool after the other, until cancelled."""
     loop = asyncio.get_running_loop()
     tasks = set()
     for number in itertools.count(1):
@@ -214,20 +214,20 @@
             machines.delay_lists((0.2, 0.5, 1.5)[event.draw % 3])
         case WaveTrouble.HOSTS_LATE:
             machines.host_late_s = (0.3, 1.0, 4.0)[event.draw % 3]
-            machines.shown_early = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
+            machines.state_before_host = (MachineState.UP, MachineState.DOWN)[event.draw % 2]
         case WaveTrouble.WAVE_AGAIN:
             names = sorted(machines.machines)
-            platform.ask_for_wave(_draw_wave(random.Random(event.draw), 1, names))
+            platform.request_wave(_draw_wave(random.Random(event.draw), 1, names))
 
 
 def get_steward(platform: PlatformStandin) -> str | None:
-    """Return the name of the node that orders machines."""
+    """Return the name of the steward, the node that orders machines, or None."""
     nodes = platform.nodes.items()
     return next((name for name, node in nodes if node.assembled.node._steward is not None), None)
 
 
 async def _wait_until_begun(platform: PlatformStandin, day: WaveDay) -> list[str]:
-    """Wait until all machines of all waves have begun; return those that have not."""
+    """Wait until all machines of all waves have begun upkeep; return those that have not."""
     for _ in range(int(DONE_WITHIN_S)):
         if not (left := _list_left(platform, day)):
             return []
@@ -240,14 +240,14 @@
     return [
         f"{machine} of wave {wave.number}"
         for _at_s, asked in day.waves
-        for wave in [waves.asked[asked.number]]
+        for wave in [waves.requested[asked.number]]
         for machine in wave.machines
         if not waves.has_begun(machine, wave.number)
     ]
 
 
 def _find_shown_early(platform: PlatformStandin, day: WaveDay) -> list[str]:
-    """Return the waves that are shown as done and have machines that have not begun."""
+    """Return the waves shown as done although some of their machines have not begun upkeep."""
     left = {line.rpartition(" ")[2] for line in _list_left(platform, day)}
     shown = platform.store.get_newest(STATUS).items()
     return [key for key, value in shown if value == b"done" and key.rpartition("/")[2] in left]
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -110,9 +110,9 @@
         for proxy in self.host_proxies.values():
             proxy.refuse()
 
-    def ask_for_wave(self, wave: UpkeepWave) -> None:
+    def request_wave(self, wave: UpkeepWave) -> None:
         """Ask for a maintenance wave as operators do."""
-        self.machines.waves.ask_for(wave)
+        self.machines.waves.record_request(wave)
         value = {
             "wave": wave.number,
             "machines": wave.machines,
@@ -218,10 +218,10 @@
     async def _watch(
         self, life: JobHostStandin, token: int, body: dict[str, Any]
     ) -> dict[str, Any]:
-        report = life.look(token, body["observed"], body.get("deadline_ms"))
+        report = life.poll(token, body["observed"], body.get("deadline_ms"))
         if body.get("wait_ms") and not report.ended:
             await life.wait_for_end(body["wait_ms"] / 1000)
-            report = life.look(token, 0, None, body["observed"])
+            report = life.poll(token, 0, None, body["observed"])
         return _encode_report(report)
 
 
