--- a/src/robinthread/_internal/claims/claim.py
+++ b/src/robinthread/_internal/claims/claim.py
@@ -13,7 +13,7 @@
     """A claim as stored in the partition's stream and in its owner's table.
 
     The struct is encoded as an array because claims are the only state that grows
-    with the callers' load.  ``ask_id`` makes a repeated claim request of the same
+    with the callers' load.  ``claim_id`` makes a repeated claim request of the same
     holder idempotent.  The claim may be dropped after ``expires_at_s``, Unix time.
     """
 
@@ -22,7 +22,7 @@
     expires_at_s: float
     holder: str
     incarnation: str
-    ask_id: int
+    claim_id: int
 
 
 def make_key(caller: str, request_id: str) -> bytes:
--- a/src/robinthread/_internal/claims/claim_service.py
+++ b/src/robinthread/_internal/claims/claim_service.py
@@ -10,7 +10,12 @@
 from robinthread._internal.claims.partition_owner import PartitionOwner, make_claim_refusal
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
-from robinthread._internal.peers.messages import ClaimAsk, ClaimRelease, ClaimReply, HolderAsk
+from robinthread._internal.peers.messages import (
+    ClaimRelease,
+    ClaimReply,
+    ClaimRequest,
+    HolderRequest,
+)
 from robinthread._internal.peers.router import PeerRouter, PeerTimeoutError, Sender
 from robinthread._internal.platform_log.service import LogService
 from robinthread._internal.results import ResultCode
@@ -30,7 +35,7 @@
     hall: str
     get_incarnation: Callable[[], str]
     get_state: Callable[[], FleetState]
-    can_hear: Callable[[DaemonMember], bool]
+    is_reachable: Callable[[DaemonMember], bool]
     make_id: Callable[[], str]
     wall_clock: Callable[[], float]
 
@@ -56,8 +61,8 @@
         self._is_closed = False
         self._pacer = AppendPacer(self._get_rate_per_s)
         self._assignment: tuple[frozenset[str], dict[int, str]] = (frozenset(), {})
-        router.on(ClaimAsk, self._on_claim_request)
-        router.on(HolderAsk, self._on_holder_request)
+        router.on(ClaimRequest, self._on_claim_request)
+        router.on(HolderRequest, self._on_holder_request)
         router.on_notice(ClaimRelease, self._on_release)
 
     async def request_claim(self, claim: Claim, timeout_s: float) -> ClaimReply:
@@ -66,21 +71,21 @@
         Any code but ``OK`` means that the claim is not confirmed for ``claim.holder``.
         ``CLAIM_OWNER_UNREACHABLE`` is returned if no owner replied in ``timeout_s``.
         """
-        ask = ClaimAsk(
+        request = ClaimRequest(
             claim.key,
             claim.digest,
             claim.expires_at_s,
             claim.holder,
             claim.incarnation,
-            claim.ask_id,
+            claim.claim_id,
         )
         loop = asyncio.get_running_loop()
         ends_at_s = loop.time() + timeout_s
         while (left_s := ends_at_s - loop.time()) > 0:
             owner = self._find_owner(claim.key)
-            if owner is None or not self._context.can_hear(owner):
+            if owner is None or not self._context.is_reachable(owner):
                 break
-            reply = await self._request_once(owner, ask, left_s)
+            reply = await self._request_once(owner, request, left_s)
             if reply.code != ResultCode.CLAIM_OWNER_UNREACHABLE:
                 return reply
             # A partition gets another owner when daemons join or leave, and the
@@ -92,8 +97,8 @@
         """Notify the partition's owner that the claimed request did not and will not run."""
         owner = self._find_owner(claim.key)
         if owner is not None:
-            message = ClaimRelease(claim.key, claim.holder, claim.incarnation, claim.ask_id)
-            self._router.tell(owner.peer_address, message)
+            message = ClaimRelease(claim.key, claim.holder, claim.incarnation, claim.claim_id)
+            self._router.send_notice(owner.peer_address, message)
 
     async def find_holder(self, key: bytes) -> DaemonMember | None:
         """Return the daemon that holds the claim on ``key``.
@@ -105,8 +110,8 @@
         if owner is None:
             return None
         try:
-            reply = await self._router.ask(
-                owner.peer_address, HolderAsk(key), self._settings.claim_timeout_s
+            reply = await self._router.send_request(
+                owner.peer_address, HolderRequest(key), self._settings.claim_timeout_s
             )
         except PeerTimeoutError:
             return None
@@ -184,26 +189,33 @@
         return self._assignment[1]
 
     async def _request_once(
-        self, owner: DaemonMember, ask: ClaimAsk, timeout_s: float
+        self, owner: DaemonMember, request: ClaimRequest, timeout_s: float
     ) -> ClaimReply:
         try:
-            reply = await self._router.ask(owner.peer_address, ask, timeout_s)
+            reply = await self._router.send_request(owner.peer_address, request, timeout_s)
         except PeerTimeoutError:
             return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
         assert isinstance(reply, ClaimReply)
         return reply
 
-    async def _on_claim_request(self, sender: Sender, ask: ClaimAsk) -> ClaimReply:
-        owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
+    async def _on_claim_request(self, sender: Sender, request: ClaimRequest) -> ClaimReply:
+        owner = self._owners.get(get_partition(request.key, self._settings.claim_partitions))
         if owner is None:
             return make_claim_refusal(ResultCode.CLAIM_OWNER_UNREACHABLE)
         return await owner.claim(
-            Claim(ask.key, ask.digest, ask.expires_at_s, ask.holder, ask.incarnation, ask.ask_id)
+            Claim(
+                request.key,
+                request.digest,
+                request.expires_at_s,
+                request.holder,
+                request.incarnation,
+                request.claim_id,
+            )
         )
 
-    async def _on_holder_request(self, sender: Sender, ask: HolderAsk) -> ClaimReply:
-        owner = self._owners.get(get_partition(ask.key, self._settings.claim_partitions))
-        held = owner.table.get(ask.key) if owner else None
+    async def _on_holder_request(self, sender: Sender, request: HolderRequest) -> ClaimReply:
+        owner = self._owners.get(get_partition(request.key, self._settings.claim_partitions))
+        held = owner.table.get(request.key) if owner else None
         if held is None:
             return ClaimReply(ResultCode.NOT_FOUND)
         return ClaimReply(ResultCode.OK, held.holder, held.incarnation)
@@ -211,7 +223,7 @@
     def _on_release(self, sender: Sender, release: ClaimRelease) -> None:
         owner = self._owners.get(get_partition(release.key, self._settings.claim_partitions))
         if owner is not None:
-            owner.release(release.key, release.holder, release.incarnation, release.ask_id)
+            owner.release(release.key, release.holder, release.incarnation, release.claim_id)
 
 
 def _iter_eligible(state: FleetState) -> Iterable[str]:
--- a/src/robinthread/_internal/claims/partition_owner.py
+++ b/src/robinthread/_internal/claims/partition_owner.py
@@ -97,9 +97,9 @@
         self._wake.set()
         return await asyncio.shield(future)
 
-    def release(self, key: bytes, holder: str, incarnation: str, ask_id: int) -> None:
+    def release(self, key: bytes, holder: str, incarnation: str, claim_id: int) -> None:
         """Drop a claim whose request did not run, if it is still the one held."""
-        if self.table.release(key, holder, incarnation, ask_id):
+        if self.table.release(key, holder, incarnation, claim_id):
             self._counters.add("claims_released")
 
     async def run(self) -> None:
@@ -249,10 +249,10 @@
 def _reply_for_held(held: Claim, requested: Claim) -> ClaimReply:
     if held.digest != requested.digest:
         return make_claim_refusal(ResultCode.BODY_DIFFERS)
-    is_same_request = (held.holder, held.incarnation, held.ask_id) == (
+    is_same_request = (held.holder, held.incarnation, held.claim_id) == (
         requested.holder,
         requested.incarnation,
-        requested.ask_id,
+        requested.claim_id,
     )
     code = ResultCode.OK if is_same_request else ResultCode.REPEATED
     return ClaimReply(code, held.holder, held.incarnation)
--- a/src/robinthread/_internal/claims/table.py
+++ b/src/robinthread/_internal/claims/table.py
@@ -43,13 +43,13 @@
         """Return the claim on ``key``, or None if the key is not claimed."""
         return self._held.get(key)
 
-    def release(self, key: bytes, holder: str, incarnation: str, ask_id: int) -> bool:
+    def release(self, key: bytes, holder: str, incarnation: str, claim_id: int) -> bool:
         """Drop a claim whose holder reports that it did not run; return whether it was held."""
         held = self._held.get(key)
-        if held is None or (held.holder, held.incarnation, held.ask_id) != (
+        if held is None or (held.holder, held.incarnation, held.claim_id) != (
             holder,
             incarnation,
-            ask_id,
+            claim_id,
         ):
             return False
         del self._held[key]
@@ -71,7 +71,7 @@
             claim.expires_at_s,
             intern(claim.holder),
             intern(claim.incarnation),
-            claim.ask_id,
+            claim.claim_id,
         )
         expiry_s = int(claim.expires_at_s)
         if expiry_s not in self._keys_by_expiry_s:
--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -22,7 +22,7 @@
 from robinthread._internal.follow.follower import Follower, LogTruncatedError
 from robinthread._internal.follow.publisher import Author, Publisher
 from robinthread._internal.models.fleet_state import FleetState
-from robinthread._internal.peers.messages import ImageAsk, ImageReply
+from robinthread._internal.peers.messages import ImageReply, ImageRequest
 from robinthread._internal.peers.router import PeerRouter, PeerTimeoutError, Sender
 from robinthread._internal.platform_log.errors import LogReplyLostError, LogUnavailableError
 from robinthread._internal.results import Fault, ResultCode
@@ -86,7 +86,7 @@
         self._peer_digests: dict[str, tuple[int, str]] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self.follower.watch(self._on_folded)
-        self.router.on(ImageAsk, self._on_image_ask)
+        self.router.on(ImageRequest, self._on_image_request)
 
     @property
     def state(self) -> FleetState:
@@ -144,7 +144,7 @@
         except TimeoutError:
             self.counters.add("stops_cut_short")
         await self.publish(DaemonLeft(self.settings.name, self.incarnation))
-        self.presence.say_goodbye()
+        self.presence.send_goodbyes()
         await asyncio.sleep(stop.farewell_s)
         self.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -197,13 +197,13 @@
             return
         except (LogUnavailableError, LogReplyLostError):
             self.counters.add("snapshot_reads_failed")
-        await self._ask_images()
+        await self._request_images()
 
-    async def _ask_images(self) -> None:
+    async def _request_images(self) -> None:
         for address in self.settings.peer_seeds:
             try:
-                reply = await self.router.ask(
-                    address, ImageAsk(), self.settings.peers.ask_timeout_s
+                reply = await self.router.send_request(
+                    address, ImageRequest(), self.settings.peers.ask_timeout_s
                 )
             except PeerTimeoutError:
                 continue
@@ -212,7 +212,7 @@
             if snapshot is not None:
                 self.follower.take_image(snapshot.image)
 
-    async def _on_image_ask(self, sender: Sender, ask: ImageAsk) -> ImageReply:
+    async def _on_image_request(self, sender: Sender, request: ImageRequest) -> ImageReply:
         if not self.follower.is_ready or self.is_halted:
             return ImageReply(b"")
         return ImageReply(encode_snapshot(self.follower.folder.make_image()))
--- a/src/robinthread/_internal/daemon/wiring.py
+++ b/src/robinthread/_internal/daemon/wiring.py
@@ -37,7 +37,7 @@
         daemon.settings.hall,
         lambda: daemon.incarnation,
         lambda: daemon.state,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
         daemon.make_id,
         daemon.environment.wall_clock,
     )
@@ -63,7 +63,7 @@
         daemon.settings.name,
         context,
         daemon.settings.dispatch,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
     )
 
 
@@ -75,7 +75,7 @@
         lambda: daemon.incarnation,
         lambda: daemon.state,
         lambda: daemon.follower.is_ready and not daemon.is_halted,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
         daemon.environment.upstream,
         daemon.router,
         daemon.environment.wall_clock,
@@ -97,7 +97,7 @@
         lambda: daemon.dispatch.dispatchers,
         daemon.is_hall_lead,
         daemon.publish,
-        daemon.router.tell,
+        daemon.router.send_notice,
         daemon.environment.upstream,
         daemon.counters,
         daemon.events,
--- a/src/robinthread/_internal/dispatch/dispatch_service.py
+++ b/src/robinthread/_internal/dispatch/dispatch_service.py
@@ -13,10 +13,10 @@
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.peers.messages import (
     AnyMessage,
-    SlotAsk,
-    SlotAskCancel,
     SlotRelease,
     SlotReply,
+    SlotRequest,
+    SlotRequestCancel,
 )
 from robinthread._internal.peers.router import PeerTimeoutError, Sender
 from robinthread._internal.results import ResultCode
@@ -39,19 +39,19 @@
         name: str,
         context: DispatchContext,
         settings: DispatchSettings,
-        can_hear: Callable[[DaemonMember], bool],
+        is_reachable: Callable[[DaemonMember], bool],
     ) -> None:
         self.dispatchers: dict[str, Dispatcher] = {}
         self._name = name
         self._context = context
         self._settings = settings
-        self._can_hear = can_hear
+        self._is_reachable = is_reachable
         self._publish = context.publish
         self._host_monitors: dict[str, asyncio.Task[None]] = {}
         self._no_report_since_s: dict[str, float] = {}
         router = context.router
-        router.on(SlotAsk, self._on_slot_request)
-        router.on_notice(SlotAskCancel, self._on_cancel)
+        router.on(SlotRequest, self._on_slot_request)
+        router.on_notice(SlotRequestCancel, self._on_cancel)
         router.on_notice(SlotRelease, self._on_release)
         router.on_late_reply(self._on_late_reply)
 
@@ -74,21 +74,23 @@
         members = self._context.get_state().iter_hall_daemons(hall)
         return pick_by_rendezvous(pool, [member.name for member in members])
 
-    async def request_slot(self, hall: str, ask: SlotAsk, timeout_s: float) -> SlotReply:
+    async def request_slot(self, hall: str, request: SlotRequest, timeout_s: float) -> SlotReply:
         """Request a slot from the pool's dispatcher in ``hall``.
 
         The code is ``NO_HOST_REACHABLE`` if its daemon is unreachable or does not
         reply within ``timeout_s``.
         """
-        member = self._context.get_state().daemons.get(self.get_dispatching_daemon(ask.pool, hall))
-        if member is None or not self._can_hear(member):
+        member = self._context.get_state().daemons.get(
+            self.get_dispatching_daemon(request.pool, hall)
+        )
+        if member is None or not self._is_reachable(member):
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
         try:
-            reply = await self._context.router.ask(
+            reply = await self._context.router.send_request(
                 member.peer_address,
-                ask,
+                request,
                 timeout_s,
-                lambda ask_id: SlotAskCancel(ask.pool, ask.hall, ask_id),
+                lambda frame_id: SlotRequestCancel(request.pool, request.hall, frame_id),
             )
         except PeerTimeoutError:
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
@@ -103,7 +105,7 @@
         daemon_name = self.get_dispatching_daemon(release.pool, release.hall)
         member = self._context.get_state().daemons.get(daemon_name)
         if member is not None:
-            self._context.router.tell(member.peer_address, release)
+            self._context.router.send_notice(member.peer_address, release)
 
     def close(self) -> None:
         """Cancel the monitors of all hosts."""
@@ -159,16 +161,16 @@
             self._context.events.note("host_silent", host.name, host.pool)
             await self._publish(HostFailed(host.name, host.token))
 
-    async def _on_slot_request(self, sender: Sender, ask: SlotAsk) -> SlotReply:
-        dispatcher = self.dispatchers.get(ask.pool)
-        if dispatcher is None or ask.hall != self._context.hall:
+    async def _on_slot_request(self, sender: Sender, request: SlotRequest) -> SlotReply:
+        dispatcher = self.dispatchers.get(request.pool)
+        if dispatcher is None or request.hall != self._context.hall:
             return SlotReply(ResultCode.NOT_READY, retry_after_s=0.1)
-        return await dispatcher.request_slot(sender, ask)
+        return await dispatcher.request_slot(sender, request)
 
-    def _on_cancel(self, sender: Sender, cancel: SlotAskCancel) -> None:
+    def _on_cancel(self, sender: Sender, cancel: SlotRequestCancel) -> None:
         dispatcher = self.dispatchers.get(cancel.pool)
         if dispatcher is not None:
-            dispatcher.cancel(sender, cancel.ask_id)
+            dispatcher.cancel(sender, cancel.frame_id)
 
     def _on_release(self, sender: Sender, release: SlotRelease) -> None:
         dispatcher = self.dispatchers.get(release.pool)
@@ -184,4 +186,4 @@
             release = SlotRelease(
                 host.pool, host.hall, message.lease_id, host.name, SlotOutcome.UNUSED, 0.0, b""
             )
-            self._context.router.tell(address, release)
+            self._context.router.send_notice(address, release)
--- a/src/robinthread/_internal/dispatch/dispatcher.py
+++ b/src/robinthread/_internal/dispatch/dispatcher.py
@@ -16,7 +16,7 @@
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host import Host
 from robinthread._internal.models.urgency import Urgency
-from robinthread._internal.peers.messages import Preempt, SlotAsk, SlotRelease, SlotReply
+from robinthread._internal.peers.messages import Preempt, SlotRelease, SlotReply, SlotRequest
 from robinthread._internal.peers.router import PeerRouter, Sender
 from robinthread._internal.results import ResultCode
 from robinthread._internal.settings.dispatch_settings import DispatchSettings
@@ -82,15 +82,15 @@
                 found.host = host
         self.grant_waiting()
 
-    async def request_slot(self, sender: Sender, ask: SlotAsk) -> SlotReply:
+    async def request_slot(self, sender: Sender, request: SlotRequest) -> SlotReply:
         """Lease a slot, at once or when one becomes free, or refuse the request early."""
-        refusal = self._refuse(ask) or self._refuse_to_queue(ask)
+        refusal = self._refuse(request) or self._refuse_to_queue(request)
         if refusal is not None:
             self._context.counters.add(f"slot_refusals_{refusal.code}")
             return refusal
         loop = asyncio.get_running_loop()
         waiting = WaitingRequest(
-            ask, sender.name, sender.address, sender.frame_id, loop.time(), loop.create_future()
+            request, sender.name, sender.address, sender.frame_id, loop.time(), loop.create_future()
         )
         self.queue.put(waiting)
         self.grant_waiting()
@@ -101,10 +101,10 @@
         finally:
             self.queue.remove(waiting)
 
-    def cancel(self, sender: Sender, ask_id: int) -> None:
-        """Cancel the waiting request that ``sender`` sent in frame ``ask_id``."""
+    def cancel(self, sender: Sender, frame_id: int) -> None:
+        """Cancel the waiting request that ``sender`` sent in frame ``frame_id``."""
         for waiting in self.queue.iter_all():
-            if waiting.sender_name == sender.name and waiting.frame_id == ask_id:
+            if waiting.sender_name == sender.name and waiting.frame_id == frame_id:
                 self._finish(waiting, SlotReply(ResultCode.CANCELLED_BEFORE_START))
 
     def release(self, release: SlotRelease) -> None:
@@ -129,7 +129,7 @@
             waiting = self._pick_next()
             if waiting is None:
                 return
-            slots = self._selector.pick(waiting.ask)
+            slots = self._selector.pick(waiting.request)
             assert slots is not None
             self._grant(waiting, slots)
 
@@ -193,17 +193,17 @@
         """Return the number of free slots on hosts that may get work."""
         return self._selector.count_idle_slots()
 
-    def _refuse(self, ask: SlotAsk) -> SlotReply | None:
+    def _refuse(self, request: SlotRequest) -> SlotReply | None:
         now_s = asyncio.get_running_loop().time()
         serving = [slots for slots in self.hosts.values() if slots.host.is_serving]
         if not serving:
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
-        if self._outcomes.jobs.is_set_aside(ask.job, now_s):
+        if self._outcomes.jobs.is_set_aside(request.job, now_s):
             return SlotReply(ResultCode.JOB_CANNOT_RUN, retry_after_s=self._settings.set_aside_s)
         if len(self.queue) >= self._settings.queue_max:
-            return SlotReply(ResultCode.QUEUE_FULL, retry_after_s=self._estimate_wait_s(ask))
-        wait_s = self._estimate_wait_s(ask)
-        left_s = ask.deadline_at_s - self._context.wall_clock()
+            return SlotReply(ResultCode.QUEUE_FULL, retry_after_s=self._estimate_wait_s(request))
+        wait_s = self._estimate_wait_s(request)
+        left_s = request.deadline_at_s - self._context.wall_clock()
         if left_s <= 0:
             return SlotReply(ResultCode.DEADLINE_PASSED)
         if wait_s + self.estimate.get_min_time_left_s() > left_s:
@@ -212,55 +212,55 @@
             )
         return None
 
-    def _refuse_to_queue(self, ask: SlotAsk) -> SlotReply | None:
-        if ask.may_wait or (
-            not self.queue.count_ahead(ask.urgency)
-            and not self._teams.is_over_quota(ask.team)
-            and (found := self._selector.pick(ask)) is not None
+    def _refuse_to_queue(self, request: SlotRequest) -> SlotReply | None:
+        if request.may_wait or (
+            not self.queue.count_ahead(request.urgency)
+            and not self._teams.is_over_quota(request.team)
+            and (found := self._selector.pick(request)) is not None
             and not self._selector.is_steered(found.host.name)
         ):
             return None
-        return SlotReply(ResultCode.NO_SLOT_FREE, retry_after_s=self._estimate_wait_s(ask))
+        return SlotReply(ResultCode.NO_SLOT_FREE, retry_after_s=self._estimate_wait_s(request))
 
-    def _estimate_wait_s(self, ask: SlotAsk) -> float:
+    def _estimate_wait_s(self, request: SlotRequest) -> float:
         limit = sum(slots.limit for slots in self.hosts.values() if slots.host.is_serving)
-        ahead = self.queue.count_ahead(ask.urgency) + 1 - self.count_idle_slots()
-        if ask.urgency == Urgency.URGENT:
+        ahead = self.queue.count_ahead(request.urgency) + 1 - self.count_idle_slots()
+        if request.urgency == Urgency.URGENT:
             # Less urgent work is preempted, so urgent requests wait only for each other.
-            return max(0, self.queue.count_class(ask.urgency)) * self.estimate.mean_s / limit
+            return max(0, self.queue.count_class(request.urgency)) * self.estimate.mean_s / limit
         return max(0, ahead) * self.estimate.mean_s / max(1, limit)
 
     def _pick_next(self) -> WaitingRequest | None:
         for waiting in tuple(self.queue.iter_heads(self._teams.get_share)):
-            left_s = waiting.ask.deadline_at_s - self._context.wall_clock()
+            left_s = waiting.request.deadline_at_s - self._context.wall_clock()
             if left_s < self.estimate.get_min_time_left_s():
-                retry_after_s = max(RETRY_AFTER_MIN_S, self._estimate_wait_s(waiting.ask))
+                retry_after_s = max(RETRY_AFTER_MIN_S, self._estimate_wait_s(waiting.request))
                 self._finish(
                     waiting,
                     SlotReply(ResultCode.DEADLINE_UNREACHABLE, retry_after_s=retry_after_s),
                 )
                 return self._pick_next()
-            if self._teams.is_over_quota(waiting.ask.team):
+            if self._teams.is_over_quota(waiting.request.team):
                 continue
-            if self._selector.pick(waiting.ask) is not None:
+            if self._selector.pick(waiting.request) is not None:
                 return waiting
         return None
 
     def _grant(self, waiting: WaitingRequest, slots: HostSlots) -> None:
-        ask = waiting.ask
+        request = waiting.request
         now_s = asyncio.get_running_loop().time()
-        left_s = ask.deadline_at_s - self._context.wall_clock()
+        left_s = request.deadline_at_s - self._context.wall_clock()
         lease = SlotLease(
             f"{self._lease_prefix}-{next(self._lease_ids)}",
             waiting.sender_address,
-            ask.team,
-            ask.urgency,
-            ask.is_repeatable,
+            request.team,
+            request.urgency,
+            request.is_repeatable,
             now_s,
             now_s + left_s + self._settings.lease_grace_s,
         )
         slots.leases[lease.id] = lease
-        self._teams.add_slot(ask.team)
+        self._teams.add_slot(request.team)
         self._context.counters.add("slots_leased")
         reply = SlotReply(
             ResultCode.OK,
@@ -279,9 +279,9 @@
     def _set_timers(self, waiting: WaitingRequest) -> None:
         """Start the timers of a waiting request: its deadline and, if urgent, preemption."""
         loop = asyncio.get_running_loop()
-        left_s = max(0.0, waiting.ask.deadline_at_s - self._context.wall_clock())
+        left_s = max(0.0, waiting.request.deadline_at_s - self._context.wall_clock())
         loop.call_later(left_s, self._finish, waiting, SlotReply(ResultCode.DEADLINE_PASSED))
-        if waiting.ask.urgency == Urgency.URGENT:
+        if waiting.request.urgency == Urgency.URGENT:
             loop.call_later(self._settings.preempt_after_s, self._preempt_for, waiting)
 
     def _preempt_for(self, waiting: WaitingRequest) -> None:
@@ -295,5 +295,5 @@
         self._context.counters.add("preemptions")
         self._context.events.note("preempt", lease.id, slots.host.name)
         loop = asyncio.get_running_loop()
-        self._context.router.tell(lease.holder_address, Preempt(lease.id))
+        self._context.router.send_notice(lease.holder_address, Preempt(lease.id))
         loop.call_later(self._settings.preempt_after_s, self._preempt_for, waiting)
--- a/src/robinthread/_internal/dispatch/host_selector.py
+++ b/src/robinthread/_internal/dispatch/host_selector.py
@@ -5,7 +5,7 @@
 
 from robinthread._internal.dispatch.host_slots import HostSlots
 from robinthread._internal.models.host_phase import HostPhase
-from robinthread._internal.peers.messages import SlotAsk
+from robinthread._internal.peers.messages import SlotRequest
 from robinthread._internal.settings.dispatch_settings import DispatchSettings
 
 LEAVING_PHASES: Final = (HostPhase.PERMITTED, HostPhase.DRAINING, HostPhase.LEAVING)
@@ -56,15 +56,15 @@
             if slots.has_capacity() and not slots.health.is_suspended(now_s)
         )
 
-    def pick(self, ask: SlotAsk) -> HostSlots | None:
+    def pick(self, request: SlotRequest) -> HostSlots | None:
         """Return the best host for a request, or None if no host may take it now.
 
         A host that the request avoids is returned only if no other host fits.
         """
         now_s = asyncio.get_running_loop().time()
         with_capacity = [slots for slots in self._hosts.values() if slots.has_capacity()]
-        fit = [slots for slots in with_capacity if self._is_fit(slots, ask, now_s)]
-        preferred = [slots for slots in fit if slots.host.name not in ask.avoid]
+        fit = [slots for slots in with_capacity if self._is_fit(slots, request, now_s)]
+        preferred = [slots for slots in fit if slots.host.name not in request.avoid]
         return min(preferred or fit, key=self._get_preference, default=None)
 
     def _get_preference(self, slots: HostSlots) -> tuple[bool, bool, bool, int, float, str]:
@@ -78,14 +78,14 @@
             name,
         )
 
-    def _is_fit(self, slots: HostSlots, ask: SlotAsk, now_s: float) -> bool:
+    def _is_fit(self, slots: HostSlots, request: SlotRequest, now_s: float) -> bool:
         health = slots.health
         if health.is_suspended(now_s):
             return False
         if not health.is_on_probation or self._is_all_on_probation():
             return True
         is_overdue = now_s > health.suspended_until_s + self._settings.suspend_max_s
-        return slots.in_use == 0 and (ask.is_repeatable or is_overdue)
+        return slots.in_use == 0 and (request.is_repeatable or is_overdue)
 
     def _is_all_on_probation(self) -> bool:
         return all(
--- a/src/robinthread/_internal/dispatch/waiting_queue.py
+++ b/src/robinthread/_internal/dispatch/waiting_queue.py
@@ -8,7 +8,7 @@
 
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.urgency import Urgency
-from robinthread._internal.peers.messages import SlotAsk, SlotReply
+from robinthread._internal.peers.messages import SlotReply, SlotRequest
 
 UNLIMITED_SLOTS: Final = 1_000_000
 
@@ -17,7 +17,7 @@
 class WaitingRequest:
     """A waiting slot request and its sender; ``arrived_at_s`` is event-loop time in seconds."""
 
-    ask: SlotAsk
+    request: SlotRequest
     sender_name: str
     sender_address: str
     frame_id: int
@@ -50,9 +50,9 @@
 
     def put(self, waiting: WaitingRequest) -> None:
         """Append a request to the queue of its class and team."""
-        teams = self._classes[waiting.ask.urgency]
-        teams.setdefault(waiting.ask.team, deque()).append(waiting)
-        self._counts[waiting.ask.urgency] += 1
+        teams = self._classes[waiting.request.urgency]
+        teams.setdefault(waiting.request.team, deque()).append(waiting)
+        self._counts[waiting.request.urgency] += 1
 
     def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingRequest]:
         """Iterate over each team's first request, by class, then by the team's share in use."""
@@ -62,22 +62,22 @@
 
     def remove(self, waiting: WaitingRequest) -> None:
         """Remove a request; does nothing if it is no longer queued."""
-        teams = self._classes[waiting.ask.urgency]
-        asks = teams.get(waiting.ask.team)
-        if asks is None or waiting not in asks:
+        teams = self._classes[waiting.request.urgency]
+        requests = teams.get(waiting.request.team)
+        if requests is None or waiting not in requests:
             return
-        asks.remove(waiting)
-        self._counts[waiting.ask.urgency] -= 1
-        if not asks:
-            del teams[waiting.ask.team]
+        requests.remove(waiting)
+        self._counts[waiting.request.urgency] -= 1
+        if not requests:
+            del teams[waiting.request.team]
 
     def iter_all(self) -> Iterator[WaitingRequest]:
         """Iterate over all waiting requests."""
         return (
             waiting
             for teams in tuple(self._classes.values())
-            for asks in tuple(teams.values())
-            for waiting in tuple(asks)
+            for requests in tuple(teams.values())
+            for waiting in tuple(requests)
         )
 
 
--- a/src/robinthread/_internal/entry/answer_cache.py
+++ b/src/robinthread/_internal/entry/answer_cache.py
@@ -11,7 +11,7 @@
 from robinthread._internal.claims.claim_service import ClaimService
 from robinthread._internal.entry.caller_answer import CallerAnswer
 from robinthread._internal.entry.running_request import RunningRequest
-from robinthread._internal.peers.messages import AnswerAsk
+from robinthread._internal.peers.messages import AnswerRequest
 from robinthread._internal.results import Family, ResultCode
 from robinthread._internal.settings.entry_settings import EntrySettings
 
@@ -90,20 +90,20 @@
         cached = self._answers.get(key)
         return self._repeat_answer(cached) if cached else _UNKNOWN
 
-    async def find(self, ask: AnswerAsk) -> CallerAnswer:
+    async def find(self, request: AnswerRequest) -> CallerAnswer:
         """Return the answer to a duplicate that another daemon got."""
-        running = self.running.get(ask.key)
+        running = self.running.get(request.key)
         if running is not None:
-            if running.digest != ask.digest:
+            if running.digest != request.digest:
                 return _DIFFERS
             try:
-                return await asyncio.wait_for(asyncio.shield(running.answer), ask.wait_s)
+                return await asyncio.wait_for(asyncio.shield(running.answer), request.wait_s)
             except TimeoutError:
                 return CallerAnswer(ResultCode.ANSWER_TIMED_OUT)
-        cached = self._answers.get(ask.key)
+        cached = self._answers.get(request.key)
         if cached is None:
             return _UNKNOWN
-        if cached.claim.digest != ask.digest:
+        if cached.claim.digest != request.digest:
             return _DIFFERS
         return self._repeat_answer(cached)
 
--- a/src/robinthread/_internal/entry/entry_service.py
+++ b/src/robinthread/_internal/entry/entry_service.py
@@ -25,10 +25,10 @@
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.peers.messages import (
-    AnswerAsk,
     AnswerReply,
-    CancelAsk,
+    AnswerRequest,
     CancelReply,
+    CancelRequest,
     ClaimReply,
     Preempt,
     SlotReply,
@@ -54,7 +54,7 @@
     get_incarnation: Callable[[], str]
     get_state: Callable[[], FleetState]
     is_ready: Callable[[], bool]
-    can_hear: Callable[[DaemonMember], bool]
+    is_reachable: Callable[[DaemonMember], bool]
     upstream: UpstreamService
     router: PeerRouter
     wall_clock: Callable[[], float]
@@ -86,8 +86,8 @@
         self._slots = SlotFinder(
             context.hall, dispatch, context.get_state, context.wall_clock, context.random
         )
-        context.router.on(AnswerAsk, self._on_answer_ask)
-        context.router.on(CancelAsk, self._on_cancel_ask)
+        context.router.on(AnswerRequest, self._on_answer_request)
+        context.router.on(CancelRequest, self._on_cancel_request)
         context.router.on(Preempt, self._on_preempt)
 
     @property
@@ -119,8 +119,8 @@
         if holder is None or holder.name == self._context.name:
             return ResultCode.NOT_FOUND
         try:
-            reply = await self._context.router.ask(
-                holder.peer_address, CancelAsk(key), self._claim_settings.claim_timeout_s
+            reply = await self._context.router.send_request(
+                holder.peer_address, CancelRequest(key), self._claim_settings.claim_timeout_s
             )
         except PeerTimeoutError:
             return ResultCode.HOLDER_LOST
@@ -206,14 +206,14 @@
             return CallerAnswer(ResultCode.HOLDER_LOST)
         if holder.name == self._context.name:
             return self._known.repeat(key)
-        if not self._context.can_hear(holder):
+        if not self._context.is_reachable(holder):
             return CallerAnswer(ResultCode.HOLDER_LOST)
         left_s = running.request.deadline_at_s - self._context.wall_clock()
         wait_s = max(0.0, left_s)
-        ask = AnswerAsk(key, running.digest, wait_s)
+        request = AnswerRequest(key, running.digest, wait_s)
         try:
-            reply = await self._context.router.ask(
-                holder.peer_address, ask, wait_s + DUPLICATE_WAIT_MARGIN_S
+            reply = await self._context.router.send_request(
+                holder.peer_address, request, wait_s + DUPLICATE_WAIT_MARGIN_S
             )
         except PeerTimeoutError:
             return CallerAnswer(ResultCode.HOLDER_LOST)
@@ -268,10 +268,10 @@
     async def _on_preempt(self, sender: Sender, preempt: Preempt) -> None:
         await self._tries.preempt(preempt)
 
-    async def _on_answer_ask(self, sender: Sender, ask: AnswerAsk) -> AnswerReply:
-        answer = await self._known.find(ask)
+    async def _on_answer_request(self, sender: Sender, request: AnswerRequest) -> AnswerReply:
+        answer = await self._known.find(request)
         return AnswerReply(answer.code, answer.body, answer.retry_after_s)
 
-    async def _on_cancel_ask(self, sender: Sender, ask: CancelAsk) -> CancelReply:
-        code = await self._cancel_here(ask.key)
+    async def _on_cancel_request(self, sender: Sender, request: CancelRequest) -> CancelReply:
+        code = await self._cancel_here(request.key)
         return CancelReply(code if code is not None else ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/entry/slot_finder.py
+++ b/src/robinthread/_internal/entry/slot_finder.py
@@ -10,7 +10,7 @@
 from robinthread._internal.entry.busy_halls import BusyHalls
 from robinthread._internal.entry.running_request import RunningRequest
 from robinthread._internal.models.fleet_state import FleetState
-from robinthread._internal.peers.messages import SlotAsk, SlotReply
+from robinthread._internal.peers.messages import SlotReply, SlotRequest
 from robinthread._internal.results import ResultCode
 
 OTHER_HALL_CODES: Final = frozenset(
@@ -54,25 +54,25 @@
             for hall in halls:
                 if self._busy_halls.is_busy(pool, hall):
                     continue
-                reply = await self._ask_hall(running, hall, may_wait=False)
+                reply = await self._request_slot(running, hall, may_wait=False)
                 if reply.code == ResultCode.NO_SLOT_FREE:
                     self._busy_halls.note(pool, hall, reply.retry_after_s)
                 elif reply.code not in OTHER_HALL_CODES:
                     return reply
         for hall in sorted(halls, key=lambda hall: self._busy_halls.get_wait_s(pool, hall)):
-            reply = await self._ask_hall(running, hall, may_wait=True)
+            reply = await self._request_slot(running, hall, may_wait=True)
             if reply.code not in OTHER_HALL_CODES:
                 return reply
             refusal = _prefer_refusal(refusal, reply)
         return refusal
 
-    async def _ask_hall(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotReply:
+    async def _request_slot(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotReply:
         left_s = running.request.deadline_at_s - self._wall_clock()
         if left_s <= 0:
             return SlotReply(ResultCode.DEADLINE_PASSED)
-        ask = self._make_ask(running, hall, may_wait)
+        request = self._make_request(running, hall, may_wait)
         task = asyncio.get_running_loop().create_task(
-            self._dispatch.request_slot(hall, ask, left_s)
+            self._dispatch.request_slot(hall, request, left_s)
         )
         running.slot_wait = task
         try:
@@ -97,9 +97,9 @@
             del weights[index]
             yield others.pop(index)
 
-    def _make_ask(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotAsk:
+    def _make_request(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotRequest:
         request = running.request
-        return SlotAsk(
+        return SlotRequest(
             request.pool,
             hall,
             request.team,
--- a/src/robinthread/_internal/operators/status_call.py
+++ b/src/robinthread/_internal/operators/status_call.py
@@ -112,6 +112,6 @@
         name=name,
         hall=member.hall,
         next_offset=offsets.get(name, 0),
-        is_heard=daemon.presence.can_hear(member),
+        is_heard=daemon.presence.is_reachable(member),
         operator_address=member.operator_address,
     )
--- a/src/robinthread/_internal/peers/messages.py
+++ b/src/robinthread/_internal/peers/messages.py
@@ -20,7 +20,7 @@
     digest_offset: int
 
 
-class ClaimAsk(PeerMessage, frozen=True, array_like=True, tag=2):
+class ClaimRequest(PeerMessage, frozen=True, array_like=True, tag=2):
     """Ask the owner of a key's partition to claim it for ``holder``."""
 
     key: bytes
@@ -28,7 +28,7 @@
     expires_at_s: float
     holder: str
     incarnation: str
-    ask_id: int
+    claim_id: int
 
 
 class ClaimReply(PeerMessage, frozen=True, array_like=True, tag=3):
@@ -45,10 +45,10 @@
     key: bytes
     holder: str
     incarnation: str
-    ask_id: int
+    claim_id: int
 
 
-class SlotAsk(PeerMessage, frozen=True, array_like=True, tag=5):
+class SlotRequest(PeerMessage, frozen=True, array_like=True, tag=5):
     """Ask the dispatcher of a pool in a data hall for a slot, at once or by queueing."""
 
     pool: str
@@ -85,12 +85,12 @@
     job: bytes
 
 
-class SlotAskCancel(PeerMessage, frozen=True, array_like=True, tag=8):
+class SlotRequestCancel(PeerMessage, frozen=True, array_like=True, tag=8):
     """A waiting ask is given up."""
 
     pool: str
     hall: str
-    ask_id: int
+    frame_id: int
 
 
 class Preempt(PeerMessage, frozen=True, array_like=True, tag=9):
@@ -99,7 +99,7 @@
     lease_id: str
 
 
-class AnswerAsk(PeerMessage, frozen=True, array_like=True, tag=10):
+class AnswerRequest(PeerMessage, frozen=True, array_like=True, tag=10):
     """Ask the holder of a claim for the answer to a duplicate."""
 
     key: bytes
@@ -115,7 +115,7 @@
     retry_after_s: float = 0.0
 
 
-class ImageAsk(PeerMessage, frozen=True, array_like=True, tag=12):
+class ImageRequest(PeerMessage, frozen=True, array_like=True, tag=12):
     """Ask a peer for its fleet state."""
 
 
@@ -125,7 +125,7 @@
     data: bytes
 
 
-class CancelAsk(PeerMessage, frozen=True, array_like=True, tag=14):
+class CancelRequest(PeerMessage, frozen=True, array_like=True, tag=14):
     """Ask the holder of a request to cancel it."""
 
     key: bytes
@@ -143,7 +143,7 @@
     incarnation: str
 
 
-class HolderAsk(PeerMessage, frozen=True, array_like=True, tag=17):
+class HolderRequest(PeerMessage, frozen=True, array_like=True, tag=17):
     """Ask the owner of a key's partition who holds the claim on it."""
 
     key: bytes
@@ -151,22 +151,22 @@
 
 AnyMessage = (
     Heartbeat
-    | ClaimAsk
+    | ClaimRequest
     | ClaimReply
     | ClaimRelease
-    | SlotAsk
+    | SlotRequest
     | SlotReply
     | SlotRelease
-    | SlotAskCancel
+    | SlotRequestCancel
     | Preempt
-    | AnswerAsk
+    | AnswerRequest
     | AnswerReply
-    | ImageAsk
+    | ImageRequest
     | ImageReply
-    | CancelAsk
+    | CancelRequest
     | CancelReply
     | Goodbye
-    | HolderAsk
+    | HolderRequest
 )
 
 
--- a/src/robinthread/_internal/peers/presence.py
+++ b/src/robinthread/_internal/peers/presence.py
@@ -62,9 +62,9 @@
         self._turns = itertools.count()
         router.on_notice(Heartbeat, self._on_heartbeat)
         router.on_notice(Goodbye, self._on_goodbye)
-        router.on_heard(self._note_heard)
+        router.on_frame(self._note_heard)
 
-    def can_hear(self, member: DaemonMember) -> bool:
+    def is_reachable(self, member: DaemonMember) -> bool:
         """Tell whether ``member`` was heard of late, itself or through its hall."""
         if member.name == self._context.name:
             return True
@@ -94,10 +94,10 @@
                 await self._judge()
             await asyncio.sleep(self._settings.heartbeat_s)
 
-    def say_goodbye(self) -> None:
+    def send_goodbyes(self) -> None:
         """Tell hall mates that this daemon stops as planned."""
         for member in self._iter_mates():
-            self._router.tell(member.peer_address, Goodbye(self._context.get_incarnation()))
+            self._router.send_notice(member.peer_address, Goodbye(self._context.get_incarnation()))
 
     def _start_clocks(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -108,14 +108,14 @@
     def _beat_to_mates(self) -> None:
         beat = self._make_heartbeat()
         for member in self._iter_mates():
-            self._router.tell(member.peer_address, beat)
+            self._router.send_notice(member.peer_address, beat)
 
     def _beat_to_halls(self) -> None:
         beat = self._make_heartbeat()
         turn = next(self._turns)
         for hall in self._list_other_halls():
             members = tuple(self._context.get_state().iter_hall_daemons(hall))
-            self._router.tell(members[turn % len(members)].peer_address, beat)
+            self._router.send_notice(members[turn % len(members)].peer_address, beat)
 
     def _make_heartbeat(self) -> Heartbeat:
         digest_offset, digest = self._context.get_digest()
@@ -131,7 +131,7 @@
             doublings = min(self._evictions[member.name], EVICTION_DOUBLINGS_MAX)
             if self._get_silence_s(member) >= self._settings.evict_after_s * 2**doublings:
                 self._evictions[member.name] += 1
-                self._router.fail_asks(member.peer_address)
+                self._router.fail_pending_requests(member.peer_address)
                 await self._context.publish(DaemonLeft(member.name, member.incarnation))
         if self._is_lead():
             await self._judge_halls()
@@ -184,4 +184,4 @@
         self._context.check_digest(sender.name, beat.digest_offset, beat.digest)
 
     def _on_goodbye(self, sender: Sender, goodbye: Goodbye) -> None:
-        self._router.fail_asks(sender.address)
+        self._router.fail_pending_requests(sender.address)
--- a/src/robinthread/_internal/peers/router.py
+++ b/src/robinthread/_internal/peers/router.py
@@ -85,21 +85,21 @@
         """Hand replies that nobody waits for any more, with their sender's address."""
         self._on_late_reply = callback
 
-    def on_heard(self, callback: Callable[[str], None]) -> None:
+    def on_frame(self, callback: Callable[[str], None]) -> None:
         """Call ``callback`` with the sender's name for each frame."""
         self._on_heard = callback
 
-    def fail_asks(self, address: str) -> None:
+    def fail_pending_requests(self, address: str) -> None:
         """End the asks that wait for the peer at ``address``, which is gone."""
         for pending in self._replies.values():
             if pending.address == address and not pending.future.done():
                 pending.future.set_exception(PeerTimeoutError(f"{address} is gone"))
 
-    def tell(self, address: str, message: AnyMessage) -> None:
+    def send_notice(self, address: str, message: AnyMessage) -> None:
         """Send a message that needs no reply."""
         self._send(address, message, reply_to=0)
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         message: AnyMessage,
@@ -175,7 +175,7 @@
         self, address: str, frame_id: int, make_cancel: Callable[[int], AnyMessage] | None
     ) -> None:
         if make_cancel is not None:
-            self.tell(address, make_cancel(frame_id))
+            self.send_notice(address, make_cancel(frame_id))
 
     async def _handle(self, frame: Frame) -> None:
         handler = self._handlers.get(type(frame.message))
