--- a/src/robinthread/_internal/entry/answer_cache.py
+++ b/src/robinthread/_internal/entry/answer_cache.py
@@ -60,7 +60,7 @@
             self._bytes -= len(entry.answer.body)
 
 
-class KnownAnswers:
+class RequestAnswers:
     """Requests without a final answer in ``running``, and kept answers of others."""
 
     def __init__(
@@ -76,7 +76,7 @@
         """Return the kept answer for ``key``."""
         return self._answers.get(key)
 
-    def keep(self, running: RunningRequest, answer: CallerAnswer) -> None:
+    def store(self, running: RunningRequest, answer: CallerAnswer) -> None:
         """Keep the final answer of a request that holds a claim."""
         claim = running.claim
         if claim is None:
@@ -85,10 +85,10 @@
         entry = CachedAnswer(claim, answer, expires_at_s)
         self._answers.put(claim.key, entry, self._context.wall_clock())
 
-    def repeat(self, key: bytes) -> CallerAnswer:
+    def get_for_duplicate(self, key: bytes) -> CallerAnswer:
         """Return the kept answer to a duplicate whose claim this daemon holds."""
         cached = self._answers.get(key)
-        return self._repeat_answer(cached) if cached else _UNKNOWN
+        return self._get_answer_and_release(cached) if cached else _UNKNOWN
 
     async def find(self, request: AnswerRequest) -> CallerAnswer:
         """Return the answer to a duplicate that another daemon got."""
@@ -105,9 +105,9 @@
             return _UNKNOWN
         if cached.claim.digest != request.digest:
             return _DIFFERS
-        return self._repeat_answer(cached)
+        return self._get_answer_and_release(cached)
 
-    def _repeat_answer(self, cached: CachedAnswer) -> CallerAnswer:
+    def _get_answer_and_release(self, cached: CachedAnswer) -> CallerAnswer:
         """Return a kept answer; release its claim again if the owner has missed that."""
         if cached.answer.code.family is Family.DID_NOT_RUN:
             self._claims.release(cached.claim)
--- a/src/robinthread/_internal/entry/entry_service.py
+++ b/src/robinthread/_internal/entry/entry_service.py
@@ -10,17 +10,17 @@
 from robinthread._internal.claims.claim import Claim
 from robinthread._internal.claims.claim_service import ClaimService
 from robinthread._internal.dispatch.dispatch_service import DispatchService
-from robinthread._internal.entry.answer_cache import KnownAnswers
+from robinthread._internal.entry.answer_cache import RequestAnswers
 from robinthread._internal.entry.caller_answer import CallerAnswer
 from robinthread._internal.entry.caller_request import CallerRequest
+from robinthread._internal.entry.refusal_answers import (
+    make_cancelled_answer,
+    make_refusal_answer,
+    qualify_refusal,
+)
 from robinthread._internal.entry.retry_budget import RetryPolicy
 from robinthread._internal.entry.running_request import RunningRequest
 from robinthread._internal.entry.slot_finder import SlotFinder
-from robinthread._internal.entry.truths import (
-    admit_earlier_tries,
-    answer_cancelled,
-    answer_refused,
-)
 from robinthread._internal.entry.try_runner import TryRunner
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
@@ -79,7 +79,7 @@
         self._settings = settings
         self._claim_settings = claim_settings
         self._claims = claims
-        self._known = KnownAnswers(context, settings, claims)
+        self._answers = RequestAnswers(context, settings, claims)
         self._retries = RetryPolicy(context, settings)
         self._ids = itertools.count(1)
         self._tries = TryRunner(context, settings, dispatch, lambda: next(self._ids))
@@ -93,26 +93,26 @@
     @property
     def running_count(self) -> int:
         """Return the number of requests without a final answer."""
-        return len(self._known.running)
+        return len(self._answers.running)
 
     async def serve(self, request: CallerRequest) -> CallerAnswer:
         """Return the final answer to ``request``."""
         key, digest = request.make_key(), request.make_digest()
-        running = self._known.running.get(key)
+        running = self._answers.running.get(key)
         if running is not None:
-            return await self._join(running, digest)
-        cached = self._known.get(key)
+            return await self._join_running(running, digest)
+        cached = self._answers.get(key)
         if cached is not None and cached.answer.code.family is not Family.DID_NOT_RUN:
             if cached.claim.digest != digest:
                 return CallerAnswer(ResultCode.BODY_DIFFERS)
             return cached.answer
-        answer = self._refuse(request) or await self._carry(request, key, digest)
+        answer = self._refuse(request) or await self._execute(request, key, digest)
         return self._count(answer)
 
     async def cancel(self, key: bytes) -> ResultCode:
         """Cancel a request wherever it is; the code tells what it came to."""
         self._context.counters.add("cancellations")
-        known = await self._cancel_here(key)
+        known = await self._cancel_local(key)
         if known is not None:
             return known
         holder = await self._claims.find_holder(key)
@@ -129,55 +129,55 @@
 
     async def wait_until_idle(self) -> None:
         """Wait until no request is without its final answer."""
-        while self._known.running:
-            await asyncio.wait([running.answer for running in self._known.running.values()])
+        while self._answers.running:
+            await asyncio.wait([running.answer for running in self._answers.running.values()])
             await asyncio.sleep(0)
 
     def _refuse(self, request: CallerRequest) -> CallerAnswer | None:
         refusal = self._find_refusal(request)
-        return admit_earlier_tries(request, refusal) if refusal else None
+        return qualify_refusal(request, refusal) if refusal else None
 
     def _find_refusal(self, request: CallerRequest) -> CallerAnswer | None:
         if self.is_stopping:
             return CallerAnswer(ResultCode.STOPPING, retry_after_s=0.1)
         if not self._context.is_ready():
             return CallerAnswer(ResultCode.NOT_READY, retry_after_s=1.0)
-        if len(self._known.running) >= self._settings.requests_max:
+        if len(self._answers.running) >= self._settings.requests_max:
             return CallerAnswer(ResultCode.QUEUE_FULL, retry_after_s=1.0)
         if request.pool not in self._context.get_state().pools:
             return CallerAnswer(ResultCode.NO_SUCH_POOL)
         return None
 
-    async def _carry(self, request: CallerRequest, key: bytes, digest: bytes) -> CallerAnswer:
+    async def _execute(self, request: CallerRequest, key: bytes, digest: bytes) -> CallerAnswer:
         future: asyncio.Future[CallerAnswer] = asyncio.get_running_loop().create_future()
-        running = self._known.running[key] = RunningRequest(request, digest, future)
+        running = self._answers.running[key] = RunningRequest(request, digest, future)
         answer = CallerAnswer(ResultCode.INTERNAL)
         try:
-            answer = await self._carry_claimed(running, key)
+            answer = await self._execute_with_claim(running, key)
         finally:
-            del self._known.running[key]
-            self._known.keep(running, answer)
+            del self._answers.running[key]
+            self._answers.store(running, answer)
             future.set_result(answer)
         return answer
 
-    async def _carry_claimed(self, running: RunningRequest, key: bytes) -> CallerAnswer:
+    async def _execute_with_claim(self, running: RunningRequest, key: bytes) -> CallerAnswer:
         request = running.request
         if request.is_repeatable:
-            return admit_earlier_tries(request, await self._place(running, key))
+            return qualify_refusal(request, await self._run_tries(running, key))
         if request.deadline_at_s > self._context.wall_clock() + self._horizon_s:
             return CallerAnswer(ResultCode.BAD_REQUEST)
         claim = running.claim = self._make_claim(running, key)
         reply = await self._claims.request_claim(claim, self._claim_settings.claim_timeout_s)
         if reply.code == ResultCode.REPEATED:
             running.claim = None
-            return await self._ask_holder(running, key, reply)
+            return await self._request_answer_from_holder(running, key, reply)
         if reply.code != ResultCode.OK:
             self._claims.release(claim)
             refusal = CallerAnswer(ResultCode(reply.code), retry_after_s=1.0)
             is_proven = reply.code == ResultCode.CLAIMS_FULL
-            return refusal if is_proven else admit_earlier_tries(request, refusal)
+            return refusal if is_proven else qualify_refusal(request, refusal)
         self._context.events.note("claimed", request.request_id, request.pool)
-        answer = await self._place(running, key)
+        answer = await self._run_tries(running, key)
         if answer.code.family is Family.DID_NOT_RUN:
             self._claims.release(claim)
         return answer
@@ -196,7 +196,7 @@
             next(self._ids),
         )
 
-    async def _ask_holder(
+    async def _request_answer_from_holder(
         self, running: RunningRequest, key: bytes, claim: ClaimReply
     ) -> CallerAnswer:
         """Answer a duplicate with what the claim's holder says."""
@@ -205,7 +205,7 @@
         if holder is None or holder.incarnation != claim.incarnation:
             return CallerAnswer(ResultCode.HOLDER_LOST)
         if holder.name == self._context.name:
-            return self._known.repeat(key)
+            return self._answers.get_for_duplicate(key)
         if not self._context.is_reachable(holder):
             return CallerAnswer(ResultCode.HOLDER_LOST)
         left_s = running.request.deadline_at_s - self._context.wall_clock()
@@ -220,30 +220,30 @@
         assert isinstance(reply, AnswerReply)
         return CallerAnswer(ResultCode(reply.code), reply.body, reply.retry_after_s)
 
-    async def _place(self, running: RunningRequest, key: bytes) -> CallerAnswer:
+    async def _run_tries(self, running: RunningRequest, key: bytes) -> CallerAnswer:
         """Try hosts until the request has its final answer."""
-        self._retries.note_first_try()
+        self._retries.record_first_try()
         while True:
             if running.is_cancelled:
-                return answer_cancelled(running)
+                return make_cancelled_answer(running)
             slot = await self._slots.find(running)
             if running.is_cancelled and slot.code == ResultCode.OK:
-                self._tries.give_back_unused(running, slot)
-                return answer_cancelled(running)
+                self._tries.release_unused_slot(running, slot)
+                return make_cancelled_answer(running)
             if slot.code != ResultCode.OK:
                 return self._answer_without_slot(running, slot)
             result = await self._tries.run(running, key, slot)
-            final = self._retries.judge(running, result, slot)
+            final = self._retries.evaluate(running, result, slot)
             if final is not None:
                 return final
             await self._retries.back_off(running)
 
     def _answer_without_slot(self, running: RunningRequest, slot: SlotReply) -> CallerAnswer:
         if running.is_cancelled:
-            return answer_cancelled(running)
-        return answer_refused(running, ResultCode(slot.code), slot.retry_after_s)
+            return make_cancelled_answer(running)
+        return make_refusal_answer(running, ResultCode(slot.code), slot.retry_after_s)
 
-    async def _join(self, running: RunningRequest, digest: bytes) -> CallerAnswer:
+    async def _join_running(self, running: RunningRequest, digest: bytes) -> CallerAnswer:
         if running.digest != digest:
             return CallerAnswer(ResultCode.BODY_DIFFERS)
         self._context.counters.add("duplicates")
@@ -253,10 +253,10 @@
         self._context.counters.add(f"answers_{answer.code.family.name.lower()}")
         return answer
 
-    async def _cancel_here(self, key: bytes) -> ResultCode | None:
-        running = self._known.running.get(key)
+    async def _cancel_local(self, key: bytes) -> ResultCode | None:
+        running = self._answers.running.get(key)
         if running is None:
-            cached = self._known.get(key)
+            cached = self._answers.get(key)
             return cached.answer.code if cached else None
         running.is_cancelled = True
         if running.slot_wait is not None:
@@ -269,9 +269,9 @@
         await self._tries.preempt(preempt)
 
     async def _on_answer_request(self, sender: Sender, request: AnswerRequest) -> AnswerReply:
-        answer = await self._known.find(request)
+        answer = await self._answers.find(request)
         return AnswerReply(answer.code, answer.body, answer.retry_after_s)
 
     async def _on_cancel_request(self, sender: Sender, request: CancelRequest) -> CancelReply:
-        code = await self._cancel_here(request.key)
+        code = await self._cancel_local(request.key)
         return CancelReply(code if code is not None else ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/entry/truths.py
+++ b/src/robinthread/_internal/entry/refusal_answers.py
@@ -6,7 +6,9 @@
 from robinthread._internal.results import Family, ResultCode
 
 
-def answer_refused(running: RunningRequest, code: ResultCode, retry_after_s: float) -> CallerAnswer:
+def make_refusal_answer(
+    running: RunningRequest, code: ResultCode, retry_after_s: float
+) -> CallerAnswer:
     """Answer a request that is given up: with its last try's truth if it had one."""
     tried = running.may_have_run
     if tried is None:
@@ -14,7 +16,7 @@
     return CallerAnswer(tried.code, tried.body, retry_after_s)
 
 
-def admit_earlier_tries(request: CallerRequest, answer: CallerAnswer) -> CallerAnswer:
+def qualify_refusal(request: CallerRequest, answer: CallerAnswer) -> CallerAnswer:
     """Say "did not run" only where no earlier try of the caller's can have run.
 
     A refusal that no claim stands behind proves nothing about tries that went
@@ -25,6 +27,6 @@
     return CallerAnswer(ResultCode.EARLIER_TRY_UNKNOWN, retry_after_s=answer.retry_after_s)
 
 
-def answer_cancelled(running: RunningRequest) -> CallerAnswer:
+def make_cancelled_answer(running: RunningRequest) -> CallerAnswer:
     """Answer a cancelled request: before its start, or with its last try's truth."""
-    return answer_refused(running, ResultCode.CANCELLED_BEFORE_START, 0.0)
+    return make_refusal_answer(running, ResultCode.CANCELLED_BEFORE_START, 0.0)
--- a/src/robinthread/_internal/entry/retry_budget.py
+++ b/src/robinthread/_internal/entry/retry_budget.py
@@ -7,8 +7,8 @@
 
 from robinthread._internal.dispatch.slot_outcome import SlotOutcome
 from robinthread._internal.entry.caller_answer import CallerAnswer
+from robinthread._internal.entry.refusal_answers import make_cancelled_answer, make_refusal_answer
 from robinthread._internal.entry.running_request import RunningRequest
-from robinthread._internal.entry.truths import answer_cancelled, answer_refused
 from robinthread._internal.entry.try_result import TryResult
 from robinthread._internal.peers.messages import SlotReply
 from robinthread._internal.results import ResultCode
@@ -32,11 +32,11 @@
         self._share = share
         self._tokens = BURST_MAX
 
-    def note_first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Earn a share of a retry."""
         self._tokens = min(BURST_MAX, self._tokens + self._share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend a retry; return whether there was one."""
         if self._tokens < 1:
             return False
@@ -52,23 +52,23 @@
         self._settings = settings
         self._budget = RetryBudget(settings.retry_share)
 
-    def note_first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Count a request towards the budget of retries."""
-        self._budget.note_first_try()
+        self._budget.record_first_try()
 
-    def judge(
+    def evaluate(
         self, running: RunningRequest, result: TryResult, slot: SlotReply
     ) -> CallerAnswer | None:
         """Return the final answer, or None where another try is safe and allowed."""
         if result.outcome is SlotOutcome.RAN:
             return CallerAnswer(ResultCode.RAN, result.body)
         if result.outcome is SlotOutcome.UNUSED:
-            return answer_refused(running, result.code, 0.0)
+            return make_refusal_answer(running, result.code, 0.0)
         is_safe = result.outcome in SAFE_OUTCOMES
         if not is_safe:
             running.may_have_run = result
         if running.is_cancelled:
-            return answer_cancelled(running)
+            return make_cancelled_answer(running)
         is_stopped = result.outcome is SlotOutcome.STOPPED
         if result.outcome in INTERRUPTED_OUTCOMES and (
             running.request.is_repeatable or not is_stopped
@@ -78,8 +78,8 @@
         if not is_safe and not running.request.is_repeatable:
             return CallerAnswer(result.code, result.body)
         running.avoid = (*running.avoid, slot.host)
-        if running.tries >= self._settings.tries_max or not self._budget.take():
-            return answer_refused(running, ResultCode.RETRY_BUDGET_SPENT, 1.0)
+        if running.tries >= self._settings.tries_max or not self._budget.try_spend():
+            return make_refusal_answer(running, ResultCode.RETRY_BUDGET_SPENT, 1.0)
         self._context.counters.add("retries")
         return None
 
--- a/src/robinthread/_internal/entry/slot_finder.py
+++ b/src/robinthread/_internal/entry/slot_finder.py
@@ -56,7 +56,7 @@
                     continue
                 reply = await self._request_slot(running, hall, may_wait=False)
                 if reply.code == ResultCode.NO_SLOT_FREE:
-                    self._busy_halls.note(pool, hall, reply.retry_after_s)
+                    self._busy_halls.record_full(pool, hall, reply.retry_after_s)
                 elif reply.code not in OTHER_HALL_CODES:
                     return reply
         for hall in sorted(halls, key=lambda hall: self._busy_halls.get_wait_s(pool, hall)):
--- a/src/robinthread/_internal/entry/try_runner.py
+++ b/src/robinthread/_internal/entry/try_runner.py
@@ -48,11 +48,11 @@
         """Try a request on the slot's host until its answer or its deadline."""
         request = running.request
         left_s = request.deadline_at_s - self._context.wall_clock()
-        is_crowded = len(self._by_lease) >= self._settings.upstream_connections_max
-        if left_s <= 0 or is_crowded:
-            code = ResultCode.QUEUE_FULL if is_crowded else ResultCode.DEADLINE_PASSED
+        is_at_connection_limit = len(self._by_lease) >= self._settings.upstream_connections_max
+        if left_s <= 0 or is_at_connection_limit:
+            code = ResultCode.QUEUE_FULL if is_at_connection_limit else ResultCode.DEADLINE_PASSED
             result = TryResult(SlotOutcome.UNUSED, code)
-            self._give_back(running, slot, result, 0.0)
+            self._release_slot(running, slot, result, 0.0)
             return result
         task = Task(
             f"{self._context.get_incarnation()}-{self._next_id()}",
@@ -76,17 +76,17 @@
             del self._by_lease[slot.lease_id]
             running.lease_id = running.task_id = ""
             if result.outcome is SlotOutcome.LOST:
-                self._start_task(self._stop_and_give_back(running, slot, task, run_s))
+                self._start_task(self._stop_and_release_slot(running, slot, task, run_s))
             else:
-                self._give_back(running, slot, result, run_s)
+                self._release_slot(running, slot, result, run_s)
         self._context.events.note(
             result.outcome.name.lower(), request.request_id, slot.host, run_s * 1000
         )
         return result
 
-    def give_back_unused(self, running: RunningRequest, slot: SlotReply) -> None:
+    def release_unused_slot(self, running: RunningRequest, slot: SlotReply) -> None:
         """Give back a slot that nothing was sent to."""
-        self._give_back(running, slot, _UNUSED, 0.0)
+        self._release_slot(running, slot, _UNUSED, 0.0)
 
     async def interrupt(self, running: RunningRequest, action: ControlAction) -> bool:
         """Stop or checkpoint the task that a request has on a worker now."""
@@ -104,7 +104,7 @@
         if not is_done and running.request.is_repeatable:
             await self.interrupt(running, ControlAction.STOP)
 
-    async def _stop_and_give_back(
+    async def _stop_and_release_slot(
         self, running: RunningRequest, slot: SlotReply, task: Task, run_s: float
     ) -> None:
         """Stop a task that nobody waits for, and say whether its slot is free."""
@@ -112,14 +112,14 @@
         call = ControlCall(ControlAction.STOP, token, task.id)
         is_stopped = await self._control(slot.address, call)
         outcome = SlotOutcome.TIMED_OUT if is_stopped else SlotOutcome.LOST
-        self._give_back(running, slot, TryResult(outcome, ResultCode.OK), run_s)
+        self._release_slot(running, slot, TryResult(outcome, ResultCode.OK), run_s)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _give_back(
+    def _release_slot(
         self, running: RunningRequest, slot: SlotReply, result: TryResult, run_s: float
     ) -> None:
         host = self._context.get_state().hosts.get(slot.host)
--- a/src/robinthread/_internal/entry/worker_try.py
+++ b/src/robinthread/_internal/entry/worker_try.py
@@ -27,11 +27,11 @@
         return TryResult(SlotOutcome.UNSENT, ResultCode.NO_HOST_REACHABLE)
     except UpstreamLostError:
         return TryResult(SlotOutcome.LOST, ResultCode.ANSWER_TIMED_OUT)
-    return _judge_reply(reply, task)
+    return _classify_reply(reply, task)
 
 
-def _judge_reply(reply: WorkerReply, task: Task) -> TryResult:
-    if reply.task_id != task.id or not reply.is_whole:
+def _classify_reply(reply: WorkerReply, task: Task) -> TryResult:
+    if reply.task_id != task.id or not reply.is_intact:
         return TryResult(SlotOutcome.WRONG_ANSWER, ResultCode.ANSWER_NOT_WHOLE)
     outcome, code = _RESULTS[reply.status]
     return TryResult(outcome, code, reply.body)
--- a/src/robinthread/_internal/peers/presence.py
+++ b/src/robinthread/_internal/peers/presence.py
@@ -54,15 +54,15 @@
         self._context = context
         self._settings = settings
         self._router = router
-        self._heard_at_s: dict[str, float] = {}
-        self._hall_heard_at_s: dict[str, float] = {}
-        self._mates_silent_halls: dict[str, tuple[str, ...]] = {}
+        self._last_frame_at_s: dict[str, float] = {}
+        self._hall_last_frame_at_s: dict[str, float] = {}
+        self._silent_halls_by_peer: dict[str, tuple[str, ...]] = {}
         self._evictions: Counter[str] = Counter()
-        self._offsets: dict[str, int] = {}
-        self._turns = itertools.count()
+        self._applied_offsets: dict[str, int] = {}
+        self._rotation = itertools.count()
         router.on_notice(Heartbeat, self._on_heartbeat)
         router.on_notice(Goodbye, self._on_goodbye)
-        router.on_frame(self._note_heard)
+        router.on_frame(self._record_frame)
 
     def is_reachable(self, member: DaemonMember) -> bool:
         """Tell whether ``member`` was heard of late, itself or through its hall."""
@@ -80,42 +80,44 @@
 
     def get_offsets(self) -> dict[str, int]:
         """Return the applied offsets that daemons have told of."""
-        return dict(self._offsets)
+        return dict(self._applied_offsets)
 
     async def run(self) -> None:
         """Beat and judge until cancelled."""
-        self._start_clocks()
-        every = max(1, round(self._settings.hall_heartbeat_s / self._settings.heartbeat_s))
-        for beat in itertools.count():
-            self._beat_to_mates()
-            if beat % every == 0:
-                self._beat_to_halls()
+        self._start_silence_timers()
+        rounds_per_hall_heartbeat = max(
+            1, round(self._settings.hall_heartbeat_s / self._settings.heartbeat_s)
+        )
+        for round_number in itertools.count():
+            self._send_hall_heartbeats()
+            if round_number % rounds_per_hall_heartbeat == 0:
+                self._send_cross_hall_heartbeats()
             if self._context.is_fresh():
-                await self._judge()
+                await self._check_silence()
             await asyncio.sleep(self._settings.heartbeat_s)
 
     def send_goodbyes(self) -> None:
         """Tell hall mates that this daemon stops as planned."""
-        for member in self._iter_mates():
+        for member in self._iter_hall_peers():
             self._router.send_notice(member.peer_address, Goodbye(self._context.get_incarnation()))
 
-    def _start_clocks(self) -> None:
+    def _start_silence_timers(self) -> None:
         now_s = asyncio.get_running_loop().time()
         for member in self._context.get_state().daemons.values():
-            self._heard_at_s.setdefault(member.name, now_s)
-            self._hall_heard_at_s.setdefault(member.hall, now_s)
+            self._last_frame_at_s.setdefault(member.name, now_s)
+            self._hall_last_frame_at_s.setdefault(member.hall, now_s)
 
-    def _beat_to_mates(self) -> None:
-        beat = self._make_heartbeat()
-        for member in self._iter_mates():
-            self._router.send_notice(member.peer_address, beat)
+    def _send_hall_heartbeats(self) -> None:
+        heartbeat = self._make_heartbeat()
+        for member in self._iter_hall_peers():
+            self._router.send_notice(member.peer_address, heartbeat)
 
-    def _beat_to_halls(self) -> None:
-        beat = self._make_heartbeat()
-        turn = next(self._turns)
+    def _send_cross_hall_heartbeats(self) -> None:
+        heartbeat = self._make_heartbeat()
+        turn = next(self._rotation)
         for hall in self._list_other_halls():
             members = tuple(self._context.get_state().iter_hall_daemons(hall))
-            self._router.send_notice(members[turn % len(members)].peer_address, beat)
+            self._router.send_notice(members[turn % len(members)].peer_address, heartbeat)
 
     def _make_heartbeat(self) -> Heartbeat:
         digest_offset, digest = self._context.get_digest()
@@ -126,33 +128,34 @@
             digest_offset,
         )
 
-    async def _judge(self) -> None:
-        for member in tuple(self._iter_mates()):
+    async def _check_silence(self) -> None:
+        for member in tuple(self._iter_hall_peers()):
             doublings = min(self._evictions[member.name], EVICTION_DOUBLINGS_MAX)
             if self._get_silence_s(member) >= self._settings.evict_after_s * 2**doublings:
                 self._evictions[member.name] += 1
                 self._router.fail_pending_requests(member.peer_address)
                 await self._context.publish(DaemonLeft(member.name, member.incarnation))
-        if self._is_lead():
-            await self._judge_halls()
+        if self._is_hall_leader():
+            await self._check_halls()
 
-    async def _judge_halls(self) -> None:
+    async def _check_halls(self) -> None:
         state = self._context.get_state()
         for hall in self._list_other_halls():
             is_silent = self.is_hall_silent(hall) and all(
-                hall in self._mates_silent_halls.get(mate.name, ()) for mate in self._iter_mates()
+                hall in self._silent_halls_by_peer.get(peer.name, ())
+                for peer in self._iter_hall_peers()
             )
             if is_silent and hall not in state.cut_halls:
                 await self._context.publish(HallCut(hall))
             if hall in state.cut_halls and not self.is_hall_silent(hall):
                 await self._context.publish(HallHealed(hall))
 
-    def _is_lead(self) -> bool:
-        mates = [member.name for member in self._iter_mates()]
-        lead = pick_by_rendezvous(self._context.hall, [self._context.name, *mates])
-        return lead == self._context.name
+    def _is_hall_leader(self) -> bool:
+        peer_names = [member.name for member in self._iter_hall_peers()]
+        leader = pick_by_rendezvous(self._context.hall, [self._context.name, *peer_names])
+        return leader == self._context.name
 
-    def _iter_mates(self) -> Iterator[DaemonMember]:
+    def _iter_hall_peers(self) -> Iterator[DaemonMember]:
         return (
             member
             for member in self._context.get_state().iter_hall_daemons(self._context.hall)
@@ -165,23 +168,23 @@
 
     def _get_silence_s(self, member: DaemonMember) -> float:
         now_s = asyncio.get_running_loop().time()
-        return now_s - self._heard_at_s.setdefault(member.name, now_s)
+        return now_s - self._last_frame_at_s.setdefault(member.name, now_s)
 
     def _get_hall_silence_s(self, hall: str) -> float:
         now_s = asyncio.get_running_loop().time()
-        return now_s - self._hall_heard_at_s.setdefault(hall, now_s)
+        return now_s - self._hall_last_frame_at_s.setdefault(hall, now_s)
 
-    def _note_heard(self, name: str) -> None:
+    def _record_frame(self, name: str) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._heard_at_s[name] = now_s
+        self._last_frame_at_s[name] = now_s
         member = self._context.get_state().daemons.get(name)
         if member is not None:
-            self._hall_heard_at_s[member.hall] = now_s
+            self._hall_last_frame_at_s[member.hall] = now_s
 
-    def _on_heartbeat(self, sender: Sender, beat: Heartbeat) -> None:
-        self._offsets[sender.name] = beat.next_offset
-        self._mates_silent_halls[sender.name] = beat.silent_halls
-        self._context.check_digest(sender.name, beat.digest_offset, beat.digest)
+    def _on_heartbeat(self, sender: Sender, heartbeat: Heartbeat) -> None:
+        self._applied_offsets[sender.name] = heartbeat.next_offset
+        self._silent_halls_by_peer[sender.name] = heartbeat.silent_halls
+        self._context.check_digest(sender.name, heartbeat.digest_offset, heartbeat.digest)
 
     def _on_goodbye(self, sender: Sender, goodbye: Goodbye) -> None:
         self._router.fail_pending_requests(sender.address)
--- a/src/robinthread/_internal/peers/router.py
+++ b/src/robinthread/_internal/peers/router.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class _PendingAsk:
+class _PendingRequest:
     address: str
     future: asyncio.Future[AnyMessage]
 
@@ -59,13 +59,13 @@
         self._transport = transport
         self._clock = clock
         self._counters = counters
-        self._ids = itertools.count(first_frame_id)
+        self._frame_ids = itertools.count(first_frame_id)
         self._handlers: dict[type, Handler] = {}
-        self._notices: dict[type, Callable[[Sender, Any], None]] = {}
-        self._replies: dict[int, _PendingAsk] = {}
+        self._notice_callbacks: dict[type, Callable[[Sender, Any], None]] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._on_late_reply: Callable[[str, AnyMessage], None] = lambda address, message: None
         self._on_heard: Callable[[str], None] = lambda name: None
-        self._seen: OrderedDict[tuple[str, int], None] = OrderedDict()
+        self._seen_frames: OrderedDict[tuple[str, int], None] = OrderedDict()
         self._tasks: set[asyncio.Task[None]] = set()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Frame)
@@ -74,12 +74,12 @@
         """Hand messages of ``message_type`` to ``handler``."""
         self._handlers[message_type] = handler
 
-    def on_notice(self, message_type: type, take: Callable[[Sender, Any], None]) -> None:
-        """Hand one-way messages of ``message_type`` to ``take`` at once, without a task.
+    def on_notice(self, message_type: type, handle_notice: Callable[[Sender, Any], None]) -> None:
+        """Hand one-way messages of ``message_type`` to ``handle_notice`` at once, without a task.
 
         For what comes often and takes no time, such as heartbeats.
         """
-        self._notices[message_type] = take
+        self._notice_callbacks[message_type] = handle_notice
 
     def on_late_reply(self, callback: Callable[[str, AnyMessage], None]) -> None:
         """Hand replies that nobody waits for any more, with their sender's address."""
@@ -91,7 +91,7 @@
 
     def fail_pending_requests(self, address: str) -> None:
         """End the asks that wait for the peer at ``address``, which is gone."""
-        for pending in self._replies.values():
+        for pending in self._pending_requests.values():
             if pending.address == address and not pending.future.done():
                 pending.future.set_exception(PeerTimeoutError(f"{address} is gone"))
 
@@ -111,23 +111,23 @@
         Where the asker stops waiting, the peer is told so by the message that
         ``make_cancel`` makes of the ask's frame id.
         """
-        frame_id = next(self._ids)
+        frame_id = next(self._frame_ids)
         if address == self.address:
-            return await self._ask_self(frame_id, message, timeout_s)
+            return await self._handle_own_request(frame_id, message, timeout_s)
         future: asyncio.Future[AnyMessage] = asyncio.get_running_loop().create_future()
-        self._replies[frame_id] = _PendingAsk(address, future)
+        self._pending_requests[frame_id] = _PendingRequest(address, future)
         try:
             self._send(address, message, reply_to=0, frame_id=frame_id)
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError as error:
             self._counters.add("peer_timeouts")
-            self._cancel_ask(address, frame_id, make_cancel)
+            self._send_cancel(address, frame_id, make_cancel)
             raise PeerTimeoutError(f"no reply from {address}") from error
         except asyncio.CancelledError:
-            self._cancel_ask(address, frame_id, make_cancel)
+            self._send_cancel(address, frame_id, make_cancel)
             raise
         finally:
-            del self._replies[frame_id]
+            del self._pending_requests[frame_id]
 
     async def run(self) -> None:
         """Receive frames until cancelled or closed."""
@@ -154,7 +154,7 @@
         self._clock.merge(frame.stamp)
         self._on_heard(frame.sender)
         if frame.reply_to:
-            pending = self._replies.get(frame.reply_to)
+            pending = self._pending_requests.get(frame.reply_to)
             if pending is None or pending.future.done():
                 self._on_late_reply(frame.sender_address, frame.message)
             else:
@@ -163,15 +163,15 @@
         if self._is_repeated(frame):
             self._counters.add("peer_frames_repeated")
             return
-        take = self._notices.get(type(frame.message))
-        if take is not None:
-            take(Sender(frame.sender, frame.sender_address, frame.id), frame.message)
+        handle_notice = self._notice_callbacks.get(type(frame.message))
+        if handle_notice is not None:
+            handle_notice(Sender(frame.sender, frame.sender_address, frame.id), frame.message)
             return
         task = asyncio.get_running_loop().create_task(self._handle(frame))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _cancel_ask(
+    def _send_cancel(
         self, address: str, frame_id: int, make_cancel: Callable[[int], AnyMessage] | None
     ) -> None:
         if make_cancel is not None:
@@ -186,7 +186,9 @@
         if reply is not None:
             self._send(frame.sender_address, reply, reply_to=frame.id)
 
-    async def _ask_self(self, frame_id: int, message: AnyMessage, timeout_s: float) -> AnyMessage:
+    async def _handle_own_request(
+        self, frame_id: int, message: AnyMessage, timeout_s: float
+    ) -> AnyMessage:
         handler = self._handlers[type(message)]
         sender = Sender(self.name, self.address, frame_id)
         try:
@@ -200,7 +202,7 @@
         frame = Frame(
             self.name,
             self.address if frame_id or reply_to else "",
-            frame_id or next(self._ids),
+            frame_id or next(self._frame_ids),
             reply_to,
             self._clock.tick(),
             message,
@@ -214,9 +216,9 @@
 
     def _is_repeated(self, frame: Frame) -> bool:
         key = (frame.sender, frame.id)
-        if key in self._seen:
+        if key in self._seen_frames:
             return True
-        self._seen[key] = None
-        if len(self._seen) > SEEN_FRAMES_MAX:
-            self._seen.popitem(last=False)
+        self._seen_frames[key] = None
+        if len(self._seen_frames) > SEEN_FRAMES_MAX:
+            self._seen_frames.popitem(last=False)
         return False
--- a/src/robinthread/_internal/upstream/reply.py
+++ b/src/robinthread/_internal/upstream/reply.py
@@ -26,7 +26,7 @@
     digest: str
 
     @property
-    def is_whole(self) -> bool:
+    def is_intact(self) -> bool:
         """Tell whether length and digest match the body."""
         return self.length == len(self.body) and self.digest == make_body_digest(self.body)
 
