--- a/src/robinthread/_internal/peers/__init__.py
+++ b/src/robinthread/_internal/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons."""
+"""Communication between daemons: messages, transport, routing and liveness."""
--- a/src/robinthread/_internal/peers/messages.py
+++ b/src/robinthread/_internal/peers/messages.py
@@ -1,18 +1,24 @@
 """Messages between daemons.
 
-Frozen ``msgspec.Struct`` in array form stands in for frozen data classes
-here: it costs a third of the bytes, and letter 1 bounds these.
+Messages are frozen ``msgspec.Struct`` classes encoded as arrays, not frozen data
+classes: this takes a third of the bytes, and the project's requirements limit the
+bytes that daemons exchange.  The order of fields and the tags are the wire format.
 """
 
 import msgspec
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 class Heartbeat(PeerMessage, frozen=True, array_like=True, tag=1):
-    """A daemon lives; ``silent_halls`` are those that it has not heard for too long."""
+    """Periodic liveness message of a daemon.
+
+    ``next_offset`` is the offset up to which the daemon has applied the log.
+    ``silent_halls`` are the data halls from which it has received no frame for
+    ``hall_silent_after_s``.  ``digest`` is that of its state at ``digest_offset``.
+    """
 
     next_offset: int
     silent_halls: tuple[str, ...]
@@ -21,7 +27,7 @@
 
 
 class ClaimRequest(PeerMessage, frozen=True, array_like=True, tag=2):
-    """Ask the owner of a key's partition to claim it for ``holder``."""
+    """Request to the owner of a key's partition to claim the key for ``holder``."""
 
     key: bytes
     digest: bytes
@@ -32,7 +38,10 @@
 
 
 class ClaimReply(PeerMessage, frozen=True, array_like=True, tag=3):
-    """Outcome of a claim; ``holder`` and ``incarnation`` tell who has it."""
+    """Outcome of a claim or holder request.
+
+    ``holder`` and ``incarnation`` identify the daemon that holds the claim.
+    """
 
     code: int
     holder: str = ""
@@ -40,7 +49,7 @@
 
 
 class ClaimRelease(PeerMessage, frozen=True, array_like=True, tag=4):
-    """The holder of a claim says that the request did not run and never will."""
+    """Notice from a claim's holder that the claimed request did not and will not run."""
 
     key: bytes
     holder: str
@@ -49,7 +58,11 @@
 
 
 class SlotRequest(PeerMessage, frozen=True, array_like=True, tag=5):
-    """Ask the dispatcher of a pool in a data hall for a slot, at once or by queueing."""
+    """Request for a slot to the dispatcher of a pool in a data hall.
+
+    ``may_wait`` lets the dispatcher queue the request if no slot is free.  Hosts in
+    ``avoid`` are leased only if no other host fits.
+    """
 
     pool: str
     hall: str
@@ -63,7 +76,7 @@
 
 
 class SlotReply(PeerMessage, frozen=True, array_like=True, tag=6):
-    """A slot lease, or a refusal and when to come back."""
+    """A slot lease, or a refusal with the time after which to retry."""
 
     code: int
     lease_id: str = ""
@@ -74,7 +87,7 @@
 
 
 class SlotRelease(PeerMessage, frozen=True, array_like=True, tag=7):
-    """A slot lease is given back; ``outcome`` is a ``SlotOutcome``."""
+    """Notice that a slot lease is released; ``outcome`` is a ``SlotOutcome``."""
 
     pool: str
     hall: str
@@ -86,7 +99,7 @@
 
 
 class SlotRequestCancel(PeerMessage, frozen=True, array_like=True, tag=8):
-    """A waiting ask is given up."""
+    """Notice that cancels the waiting slot request sent in frame ``frame_id``."""
 
     pool: str
     hall: str
@@ -94,13 +107,13 @@
 
 
 class Preempt(PeerMessage, frozen=True, array_like=True, tag=9):
-    """The dispatcher asks a lease's holder to checkpoint its task, or to stop it."""
+    """Notice from a dispatcher to a lease's holder to checkpoint or stop its task."""
 
     lease_id: str
 
 
 class AnswerRequest(PeerMessage, frozen=True, array_like=True, tag=10):
-    """Ask the holder of a claim for the answer to a duplicate."""
+    """Request to a claim's holder for its answer, to be returned to a duplicate request."""
 
     key: bytes
     digest: bytes
@@ -108,7 +121,7 @@
 
 
 class AnswerReply(PeerMessage, frozen=True, array_like=True, tag=11):
-    """The holder's final answer."""
+    """The claim holder's final answer to the caller's request."""
 
     code: int
     body: bytes
@@ -116,35 +129,35 @@
 
 
 class ImageRequest(PeerMessage, frozen=True, array_like=True, tag=12):
-    """Ask a peer for its fleet state."""
+    """Request to a peer for a snapshot of its fleet state."""
 
 
 class ImageReply(PeerMessage, frozen=True, array_like=True, tag=13):
-    """A folder's image, encoded and compressed, and its digest; empty where not ready."""
+    """Encoded, compressed snapshot of the fleet state with its digest; empty if not ready."""
 
     data: bytes
 
 
 class CancelRequest(PeerMessage, frozen=True, array_like=True, tag=14):
-    """Ask the holder of a request to cancel it."""
+    """Request to the holder of a caller's request to cancel it."""
 
     key: bytes
 
 
 class CancelReply(PeerMessage, frozen=True, array_like=True, tag=15):
-    """What the cancellation came to."""
+    """Result code of a cancellation."""
 
     code: int
 
 
 class Goodbye(PeerMessage, frozen=True, array_like=True, tag=16):
-    """A daemon stops as planned."""
+    """Notice that a daemon is shutting down as planned."""
 
     incarnation: str
 
 
 class HolderRequest(PeerMessage, frozen=True, array_like=True, tag=17):
-    """Ask the owner of a key's partition who holds the claim on it."""
+    """Request to the owner of a key's partition for the holder of the claim on the key."""
 
     key: bytes
 
@@ -171,11 +184,11 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """A message on its way.
+    """Envelope of a message on the wire.
 
-    ``id`` is unique for the sender's incarnation; ``reply_to`` is the id of
-    the frame that this one answers, zero for none.  ``sender_address`` is
-    empty where nobody will answer.
+    ``id`` is unique within the sender's incarnation.  ``reply_to`` is the id of the
+    request frame that this frame answers, 0 if it is no reply.  ``sender_address`` is
+    empty if the sender expects no reply.  ``stamp`` is the sender's hybrid clock.
     """
 
     sender: str
--- a/src/robinthread/_internal/peers/presence.py
+++ b/src/robinthread/_internal/peers/presence.py
@@ -1,4 +1,4 @@
-"""Who is heard: heartbeats, evictions, data halls cut off and healed."""
+"""Liveness of daemons: heartbeats, evictions, and data halls cut off or reconnected."""
 
 import asyncio
 import itertools
@@ -17,16 +17,17 @@
 from robinthread._internal.settings.peer_settings import PeerSettings
 from robinthread._internal.utils.rendezvous import pick_by_rendezvous
 
+# A member's eviction timeout doubles with each of its evictions, at most this many times.
 EVICTION_DOUBLINGS_MAX: Final = 5
 
 
 @dataclass(frozen=True)
 class PresenceContext:
-    """What presence needs from its daemon.
+    """Functions and values of the daemon that ``Presence`` uses.
 
-    ``publish`` appends a record and swallows its outcome, for every daemon
-    reads that from the log.  ``get_digest`` returns the last digest and the
-    offset that it stands for; ``check_digest`` compares a peer's.
+    ``publish`` appends a record and ignores the outcome, since every daemon reads it
+    from the log.  ``get_digest`` returns the offset of the last state digest and the
+    digest; ``check_digest`` compares a peer's digest with the local one.
     """
 
     name: str
@@ -40,12 +41,12 @@
 
 
 class Presence:
-    """Send heartbeats and judge silence.
+    """Send heartbeats and detect silent daemons and data halls.
 
-    A daemon beats to each daemon of its own data hall, and to one daemon of
-    every other hall in turn, so that its messages grow with halls, not with
-    daemons.  Safety never rests on these judgements: claims are fenced by
-    the log's order and acts on workers by tokens.
+    A daemon sends heartbeats to each daemon of its own data hall and to one daemon of
+    every other hall in rotation, so the number of messages across halls grows with the
+    number of halls, not of daemons.  Safety does not depend on this failure detection:
+    claims are fenced by the order of the log and calls to workers by fencing tokens.
     """
 
     def __init__(
@@ -65,7 +66,10 @@
         router.on_frame(self._record_frame)
 
     def is_reachable(self, member: DaemonMember) -> bool:
-        """Tell whether ``member`` was heard of late, itself or through its hall."""
+        """Return whether a frame came recently from ``member`` or, in another hall, from its hall.
+
+        Always true for this daemon itself.
+        """
         if member.name == self._context.name:
             return True
         if member.hall == self._context.hall:
@@ -73,17 +77,20 @@
         return not self.is_hall_silent(member.hall)
 
     def is_hall_silent(self, hall: str) -> bool:
-        """Tell whether no daemon of ``hall`` was heard of late."""
+        """Return whether no frame came from ``hall`` for ``hall_silent_after_s``.
+
+        False for this daemon's own hall.
+        """
         if hall == self._context.hall:
             return False
         return self._get_hall_silence_s(hall) >= self._settings.hall_silent_after_s
 
     def get_offsets(self) -> dict[str, int]:
-        """Return the applied offsets that daemons have told of."""
+        """Return the applied log offset by daemon, as reported in heartbeats."""
         return dict(self._applied_offsets)
 
     async def run(self) -> None:
-        """Beat and judge until cancelled."""
+        """Send heartbeats and check for silence until cancelled."""
         self._start_silence_timers()
         rounds_per_hall_heartbeat = max(
             1, round(self._settings.hall_heartbeat_s / self._settings.heartbeat_s)
@@ -97,7 +104,7 @@
             await asyncio.sleep(self._settings.heartbeat_s)
 
     def send_goodbyes(self) -> None:
-        """Tell hall mates that this daemon stops as planned."""
+        """Notify the other daemons of this hall that this daemon is shutting down as planned."""
         for member in self._iter_hall_peers():
             self._router.send_notice(member.peer_address, Goodbye(self._context.get_incarnation()))
 
--- a/src/robinthread/_internal/peers/pynng_transport.py
+++ b/src/robinthread/_internal/peers/pynng_transport.py
@@ -1,4 +1,4 @@
-"""Transport over pynng: one pull socket for all peers, one push socket a peer."""
+"""Peer transport over pynng: one pull socket for all peers, one push socket per peer."""
 
 import asyncio
 from typing import Final
@@ -19,7 +19,10 @@
 
 
 def _limit_threads() -> None:
-    """Keep the library from starting several threads a core; it asks only once."""
+    """Limit the library to ``LIBRARY_THREADS`` threads of each kind.
+
+    By default it starts several threads per core.  It reads the parameters only once.
+    """
     global _has_limited_threads
     if _has_limited_threads:
         return
@@ -34,7 +37,7 @@
 
 
 class _Peer:
-    """A peer's push socket, its queue and the one task that sends what had to wait."""
+    """A peer's push socket, its queue of unsent frames and the task that sends them."""
 
     def __init__(self, address: str) -> None:
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(QUEUE_FRAMES)
@@ -48,14 +51,14 @@
         self._task = asyncio.get_running_loop().create_task(self._send_queued())
 
     def put(self, data: bytes) -> None:
-        """Send a frame at once, or queue it; drop it where the queue is full."""
+        """Send a frame at once or queue it; drop it if the queue is full."""
         if self._queue.empty() and self._try_send(data):
             return
         if not self._queue.full():
             self._queue.put_nowait(data)
 
     def close(self) -> None:
-        """End the task and the socket."""
+        """Cancel the sending task and close the socket."""
         self._task.cancel()
         self._socket.close()
 
@@ -78,10 +81,10 @@
 
 
 class _Inbox:
-    """A pull socket read when its descriptor says so.
+    """A pull socket that is read when its file descriptor becomes readable.
 
-    The library's own awaitable costs a callback from another thread for each
-    frame: 0.6 ms of processor time for a heartbeat, against 0.4 ms here.
+    The library's own awaitable needs a callback from another thread for each frame,
+    which costs 0.6 ms of CPU time per heartbeat, against 0.4 ms with this class.
     """
 
     def __init__(self, socket: pynng.Pull0) -> None:
@@ -98,7 +101,7 @@
         return data
 
     def close(self) -> None:
-        """Stop reading and wake who waits."""
+        """Stop reading, close the socket and make a pending ``receive`` raise."""
         asyncio.get_running_loop().remove_reader(self._descriptor)
         self._socket.close()
         self._frames.put_nowait(None)
@@ -112,9 +115,9 @@
 
 
 def make_pynng_transport(listen_address: str) -> PeerTransport:
-    """Listen on ``listen_address``, such as ``tcp://127.0.0.1:7101``; port 0 picks one.
+    """Return a transport that listens on ``listen_address``, such as ``tcp://127.0.0.1:7101``.
 
-    Must be called on a running loop.
+    Port 0 selects a free port.  Must be called on a running event loop.
     """
     _limit_threads()
     pull = pynng.Pull0(recv_buffer_size=SOCKET_BUFFER_FRAMES)
--- a/src/robinthread/_internal/peers/router.py
+++ b/src/robinthread/_internal/peers/router.py
@@ -1,4 +1,4 @@
-"""Asks, replies and one-way messages over a transport."""
+"""Requests, replies and one-way notices over a peer transport."""
 
 import asyncio
 import itertools
@@ -14,16 +14,17 @@
 from robinthread._internal.telemetry.counters import Counters
 from robinthread._internal.timeline.hybrid_clock import HybridClock
 
+# Number of latest frames remembered to detect frames delivered twice.
 SEEN_FRAMES_MAX: Final = 4096
 
 
 class PeerTimeoutError(Exception):
-    """No reply came from the peer in time."""
+    """The peer did not reply within the timeout, or stopped or was evicted."""
 
 
 @dataclass(frozen=True)
 class Sender:
-    """Who sent a message, and the frame's id."""
+    """Name and address of a message's sender, and the id of the frame."""
 
     name: str
     address: str
@@ -40,10 +41,10 @@
 
 
 class PeerRouter:
-    """Match replies to asks and hand messages to the handler of their type.
+    """Match replies to requests and pass messages to the handler of their type.
 
-    A frame delivered twice is handled once.  Handlers run as tasks of their
-    own, so that a slow one holds up nobody.
+    A frame delivered twice is handled once.  Each handler call runs as its own task, so
+    a slow handler does not delay other messages.
     """
 
     def __init__(
@@ -71,32 +72,34 @@
         self._decoder = msgspec.msgpack.Decoder(Frame)
 
     def on(self, message_type: type, handler: Handler) -> None:
-        """Hand messages of ``message_type`` to ``handler``."""
+        """Register ``handler`` for messages of ``message_type``; it may return a reply."""
         self._handlers[message_type] = handler
 
     def on_notice(self, message_type: type, handle_notice: Callable[[Sender, Any], None]) -> None:
-        """Hand one-way messages of ``message_type`` to ``handle_notice`` at once, without a task.
+        """Call ``handle_notice`` directly, without a task, for notices of ``message_type``.
 
-        For what comes often and takes no time, such as heartbeats.
+        Meant for frequent messages that are cheap to process, such as heartbeats.
         """
         self._notice_callbacks[message_type] = handle_notice
 
     def on_late_reply(self, callback: Callable[[str, AnyMessage], None]) -> None:
-        """Hand replies that nobody waits for any more, with their sender's address."""
+        """Call ``callback`` with the sender's address and the reply if its request has ended."""
         self._on_late_reply = callback
 
     def on_frame(self, callback: Callable[[str], None]) -> None:
-        """Call ``callback`` with the sender's name for each frame."""
+        """Call ``callback`` with the sender's name for each received frame."""
         self._on_heard = callback
 
     def fail_pending_requests(self, address: str) -> None:
-        """End the asks that wait for the peer at ``address``, which is gone."""
+        """Fail the pending requests to the peer at ``address``, which stopped or was evicted."""
         for pending in self._pending_requests.values():
             if pending.address == address and not pending.future.done():
-                pending.future.set_exception(PeerTimeoutError(f"{address} is gone"))
+                pending.future.set_exception(
+                    PeerTimeoutError(f"peer {address} stopped or was evicted")
+                )
 
     def send_notice(self, address: str, message: AnyMessage) -> None:
-        """Send a message that needs no reply."""
+        """Send a message without waiting for a reply."""
         self._send(address, message, reply_to=0)
 
     async def send_request(
@@ -106,10 +109,11 @@
         timeout_s: float,
         make_cancel: Callable[[int], AnyMessage] | None = None,
     ) -> AnyMessage:
-        """Send a message and return its reply; raise ``PeerTimeoutError``.
+        """Send a request and return its reply.
 
-        Where the asker stops waiting, the peer is told so by the message that
-        ``make_cancel`` makes of the ask's frame id.
+        Raise ``PeerTimeoutError`` after ``timeout_s``.  On a timeout or cancellation,
+        the peer receives the message that ``make_cancel`` returns for the frame id of
+        the request.
         """
         frame_id = next(self._frame_ids)
         if address == self.address:
@@ -122,7 +126,7 @@
         except TimeoutError as error:
             self._counters.add("peer_timeouts")
             self._send_cancel(address, frame_id, make_cancel)
-            raise PeerTimeoutError(f"no reply from {address}") from error
+            raise PeerTimeoutError(f"no reply from peer {address} within {timeout_s} s") from error
         except asyncio.CancelledError:
             self._send_cancel(address, frame_id, make_cancel)
             raise
@@ -130,7 +134,7 @@
             del self._pending_requests[frame_id]
 
     async def run(self) -> None:
-        """Receive frames until cancelled or closed."""
+        """Receive and dispatch frames until cancelled or the transport is closed."""
         while True:
             try:
                 data = await self._transport.receive()
@@ -145,7 +149,7 @@
             self._receive(frame)
 
     def close(self) -> None:
-        """End running handlers and the transport."""
+        """Cancel running handlers and close the transport."""
         for task in tuple(self._tasks):
             task.cancel()
         self._transport.close()
@@ -194,7 +198,9 @@
         try:
             reply = await asyncio.wait_for(handler(sender, message), timeout_s)
         except TimeoutError as error:
-            raise PeerTimeoutError("no reply from this daemon itself") from error
+            raise PeerTimeoutError(
+                f"this daemon did not handle its own {type(message).__name__} within {timeout_s} s"
+            ) from error
         assert reply is not None
         return reply
 
--- a/src/robinthread/_internal/peers/transport.py
+++ b/src/robinthread/_internal/peers/transport.py
@@ -1,4 +1,4 @@
-"""Carrying frames between daemons, as plain functions."""
+"""Interface of the transport of frames between daemons."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 
 class TransportClosedError(Exception):
-    """The transport was closed while a frame was awaited."""
+    """The transport was closed while a receiver waited for a frame."""
 
 
 @dataclass(frozen=True)
 class PeerTransport:
-    """Best-effort frames: ``send(address, data)`` may lose them silently.
+    """Best-effort transport: ``send(address, data)`` may lose a frame without an error.
 
     ``receive`` raises ``TransportClosedError`` after ``close``.
     """
