--- a/src/robinthread/_internal/entry/__init__.py
+++ b/src/robinthread/_internal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers: identity, placement, retries, answers."""
+"""Callers' requests: identity, placement, retries and answers."""
--- a/src/robinthread/_internal/entry/answer_cache.py
+++ b/src/robinthread/_internal/entry/answer_cache.py
@@ -1,4 +1,4 @@
-"""Answers to requests that this daemon carries now or has carried."""
+"""Answers to requests that this daemon is executing or has executed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class CachedAnswer:
-    """A final answer, the claim it settled and when it may go (Unix time)."""
+    """A final answer, the claim of its request and its expiry, ``expires_at_s``, as Unix time."""
 
     claim: Claim
     answer: CallerAnswer
@@ -32,7 +32,7 @@
 
 
 class AnswerCache:
-    """Answers by key, bounded in bytes; the oldest go first."""
+    """Answers by request key, bounded in bytes; the oldest are evicted first."""
 
     def __init__(self, bytes_max: int) -> None:
         self._bytes_max = bytes_max
@@ -40,11 +40,11 @@
         self._entries: OrderedDict[bytes, CachedAnswer] = OrderedDict()
 
     def get(self, key: bytes) -> CachedAnswer | None:
-        """Return the kept answer for ``key``."""
+        """Return the stored answer for ``key``, or None if there is none."""
         return self._entries.get(key)
 
     def put(self, key: bytes, entry: CachedAnswer, now_s: float) -> None:
-        """Keep an answer, and drop expired and surplus ones."""
+        """Store an answer, then evict from the oldest on while over the limit or expired."""
         self._drop(key)
         self._entries[key] = entry
         self._bytes += len(entry.answer.body)
@@ -61,7 +61,7 @@
 
 
 class RequestAnswers:
-    """Requests without a final answer in ``running``, and kept answers of others."""
+    """Requests without a final answer, in ``running``, and stored answers of completed ones."""
 
     def __init__(
         self, context: EntryContext, settings: EntrySettings, claims: ClaimService
@@ -73,11 +73,11 @@
         self._answers = AnswerCache(settings.answers_max_bytes)
 
     def get(self, key: bytes) -> CachedAnswer | None:
-        """Return the kept answer for ``key``."""
+        """Return the stored answer for ``key``, or None if there is none."""
         return self._answers.get(key)
 
     def store(self, running: RunningRequest, answer: CallerAnswer) -> None:
-        """Keep the final answer of a request that holds a claim."""
+        """Store the final answer of a request; does nothing if the request holds no claim."""
         claim = running.claim
         if claim is None:
             return
@@ -86,12 +86,18 @@
         self._answers.put(claim.key, entry, self._context.wall_clock())
 
     def get_for_duplicate(self, key: bytes) -> CallerAnswer:
-        """Return the kept answer to a duplicate whose claim this daemon holds."""
+        """Return the stored answer to a duplicate request whose claim this daemon holds.
+
+        ``OUTCOME_UNKNOWN`` is returned if the answer is no longer stored.
+        """
         cached = self._answers.get(key)
         return self._get_answer_and_release(cached) if cached else _UNKNOWN
 
     async def find(self, request: AnswerRequest) -> CallerAnswer:
-        """Return the answer to a duplicate that another daemon got."""
+        """Return the answer to a duplicate request that another daemon received.
+
+        Waits up to ``request.wait_s`` if the original request is still running.
+        """
         running = self.running.get(request.key)
         if running is not None:
             if running.digest != request.digest:
@@ -108,7 +114,10 @@
         return self._get_answer_and_release(cached)
 
     def _get_answer_and_release(self, cached: CachedAnswer) -> CallerAnswer:
-        """Return a kept answer; release its claim again if the owner has missed that."""
+        """Return a stored answer, and release the claim again if the request did not run.
+
+        A duplicate that meets the claim shows that the owner missed the first release.
+        """
         if cached.answer.code.family is Family.DID_NOT_RUN:
             self._claims.release(cached.claim)
         return cached.answer
--- a/src/robinthread/_internal/entry/caller_answer.py
+++ b/src/robinthread/_internal/entry/caller_answer.py
@@ -1,4 +1,4 @@
-"""An answer to a caller."""
+"""The answer to a caller's request."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class CallerAnswer:
-    """The final answer to a request; ``retry_after_s`` is zero where none is told."""
+    """The final answer to a request; ``retry_after_s`` is 0 if no retry time is given."""
 
     code: ResultCode
     body: bytes = b""
--- a/src/robinthread/_internal/entry/caller_request.py
+++ b/src/robinthread/_internal/entry/caller_request.py
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A request as a caller sent it; ``deadline_at_s`` is a Unix time in seconds.
+    """A request as received from a caller; ``deadline_at_s`` is a Unix time in seconds.
 
-    ``try_number`` counts the caller's own tries of this request from one.
+    ``try_number`` counts the caller's own tries of this request, starting at 1.
     """
 
     caller: str
@@ -24,9 +24,9 @@
     try_number: int = 1
 
     def make_key(self) -> bytes:
-        """Return the key of the request over the whole fleet."""
+        """Return the key that identifies the request in the whole fleet."""
         return make_key(self.caller, self.request_id)
 
     def make_digest(self) -> bytes:
-        """Return a digest of what must not differ between tries."""
+        """Return a digest of the values that must be equal in all tries of the request."""
         return make_identity_digest(self.pool, self.deadline_at_s, self.body)
--- a/src/robinthread/_internal/entry/entry_service.py
+++ b/src/robinthread/_internal/entry/entry_service.py
@@ -1,4 +1,4 @@
-"""Serving callers' requests."""
+"""Execution of callers' requests."""
 
 import asyncio
 import itertools
@@ -42,12 +42,13 @@
 from robinthread._internal.upstream.control import ControlAction
 from robinthread._internal.upstream.service import UpstreamService
 
+# Time beyond the request's deadline in which the claim holder's reply may still arrive.
 DUPLICATE_WAIT_MARGIN_S: Final = 0.2
 
 
 @dataclass(frozen=True)
 class EntryContext:
-    """What the entry needs from its daemon."""
+    """Functions and values of the daemon that the entry service uses."""
 
     name: str
     hall: str
@@ -64,7 +65,10 @@
 
 
 class EntryService:
-    """Carry each request to one final, truthful answer."""
+    """Execute each request and return one final answer.
+
+    The answer never says that a request did not run unless that is certain.
+    """
 
     def __init__(
         self,
@@ -96,7 +100,7 @@
         return len(self._answers.running)
 
     async def serve(self, request: CallerRequest) -> CallerAnswer:
-        """Return the final answer to ``request``."""
+        """Execute ``request``, or join or repeat the same request, and return the final answer."""
         key, digest = request.make_key(), request.make_digest()
         running = self._answers.running.get(key)
         if running is not None:
@@ -110,7 +114,11 @@
         return self._count(answer)
 
     async def cancel(self, key: bytes) -> ResultCode:
-        """Cancel a request wherever it is; the code tells what it came to."""
+        """Cancel a request on whichever daemon runs it, and return the code of its final answer.
+
+        ``NOT_FOUND`` means that no daemon is known to hold it, and ``HOLDER_LOST`` that
+        the holder did not reply.
+        """
         self._context.counters.add("cancellations")
         known = await self._cancel_local(key)
         if known is not None:
@@ -128,7 +136,7 @@
         return ResultCode(reply.code)
 
     async def wait_until_idle(self) -> None:
-        """Wait until no request is without its final answer."""
+        """Wait until every request has its final answer."""
         while self._answers.running:
             await asyncio.wait([running.answer for running in self._answers.running.values()])
             await asyncio.sleep(0)
@@ -199,7 +207,7 @@
     async def _request_answer_from_holder(
         self, running: RunningRequest, key: bytes, claim: ClaimReply
     ) -> CallerAnswer:
-        """Answer a duplicate with what the claim's holder says."""
+        """Answer a duplicate request with the answer of the claim's holder."""
         self._context.counters.add("duplicates")
         holder = self._context.get_state().daemons.get(claim.holder)
         if holder is None or holder.incarnation != claim.incarnation:
@@ -221,7 +229,7 @@
         return CallerAnswer(ResultCode(reply.code), reply.body, reply.retry_after_s)
 
     async def _run_tries(self, running: RunningRequest, key: bytes) -> CallerAnswer:
-        """Try hosts until the request has its final answer."""
+        """Run tries of the request on hosts until it has a final answer."""
         self._retries.record_first_try()
         while True:
             if running.is_cancelled:
--- a/src/robinthread/_internal/entry/handler.py
+++ b/src/robinthread/_internal/entry/handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests over HTTP; see docs/interfaces/callers.md."""
+"""HTTP handlers of callers' requests; see docs/interfaces/callers.md."""
 
 from typing import Final
 
@@ -41,14 +41,14 @@
 
 
 class RequestsHandler(RequestHandler):
-    """Take a request and write its one final answer."""
+    """Serve or cancel a request and write its final answer."""
 
     def initialize(self, daemon: Daemon) -> None:  # type: ignore[override]
-        """Take the daemon."""
+        """Set the daemon whose services the handler uses."""
         self._daemon = daemon
 
     async def post(self, pool: str) -> None:
-        """Serve a request of ``pool``."""
+        """Execute a request in ``pool``."""
         try:
             request = self._parse(pool)
         except FaultError as error:
@@ -58,7 +58,7 @@
         self._write(await self._daemon.entry.serve(request))
 
     async def delete(self, pool: str) -> None:
-        """Cancel the request that the headers name."""
+        """Cancel the request identified by the caller and request id headers."""
         headers = self.request.headers
         key = make_key(headers.get(HEADER_CALLER, ""), headers.get(HEADER_REQUEST, ""))
         self._write(CallerAnswer(await self._daemon.entry.cancel(key)))
@@ -134,21 +134,21 @@
 
 
 class ReadyHandler(RequestHandler):
-    """Tell the balancer whether to send callers here."""
+    """Readiness check for the load balancer."""
 
     def initialize(self, daemon: Daemon) -> None:  # type: ignore[override]
-        """Take the daemon."""
+        """Set the daemon whose services the handler uses."""
         self._daemon = daemon
 
     def get(self) -> None:
-        """Answer 200 where ready, 503 otherwise."""
+        """Respond with 200 if the daemon is ready, otherwise with 503."""
         is_ready = self._daemon.is_ready
         self.set_status(200 if is_ready else 503)
         self.finish("ready\n" if is_ready else "not ready\n")
 
 
 def make_caller_application(daemon: Daemon) -> Application:
-    """Make the callers' listener."""
+    """Return the HTTP application for callers."""
     arguments = {"daemon": daemon}
     return Application(
         [
--- a/src/robinthread/_internal/entry/refusal_answers.py
+++ b/src/robinthread/_internal/entry/refusal_answers.py
@@ -1,4 +1,4 @@
-"""What may truthfully be said of a request that is given up."""
+"""Answers to requests that end without a result, as far as their outcome is known."""
 
 from robinthread._internal.entry.caller_answer import CallerAnswer
 from robinthread._internal.entry.caller_request import CallerRequest
@@ -9,7 +9,10 @@
 def make_refusal_answer(
     running: RunningRequest, code: ResultCode, retry_after_s: float
 ) -> CallerAnswer:
-    """Answer a request that is given up: with its last try's truth if it had one."""
+    """Return the answer to a request that is not tried again.
+
+    The code is that of the last try that may have run, or ``code`` if there is none.
+    """
     tried = running.may_have_run
     if tried is None:
         return CallerAnswer(code, retry_after_s=retry_after_s)
@@ -17,10 +20,10 @@
 
 
 def qualify_refusal(request: CallerRequest, answer: CallerAnswer) -> CallerAnswer:
-    """Say "did not run" only where no earlier try of the caller's can have run.
+    """Replace a "did not run" answer if an earlier try of the caller may have run.
 
-    A refusal that no claim stands behind proves nothing about tries that went
-    to other daemons.
+    A refusal without a claim does not prove that the caller's earlier tries, which may
+    have reached other daemons, did not run.
     """
     if request.try_number == 1 or answer.code.family is not Family.DID_NOT_RUN:
         return answer
@@ -28,5 +31,8 @@
 
 
 def make_cancelled_answer(running: RunningRequest) -> CallerAnswer:
-    """Answer a cancelled request: before its start, or with its last try's truth."""
+    """Return the answer to a cancelled request.
+
+    ``CANCELLED_BEFORE_START``, or the code of the last try if that may have run.
+    """
     return make_refusal_answer(running, ResultCode.CANCELLED_BEFORE_START, 0.0)
--- a/src/robinthread/_internal/entry/retry_budget.py
+++ b/src/robinthread/_internal/entry/retry_budget.py
@@ -1,4 +1,4 @@
-"""Whether a request gets another try, and how many all requests may get."""
+"""Decision on retries of a request, within a retry budget for all requests."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 if TYPE_CHECKING:
     from robinthread._internal.entry.entry_service import EntryContext
 
+# Outcomes after which the request certainly did not run, so a retry is always safe.
 SAFE_OUTCOMES: Final = frozenset({SlotOutcome.NOT_STARTED, SlotOutcome.UNSENT})
 INTERRUPTED_OUTCOMES: Final = frozenset({SlotOutcome.CHECKPOINTED, SlotOutcome.STOPPED})
+# Maximum number of retries that can be saved up.
 BURST_MAX: Final = 50.0
 
 
 class RetryBudget:
-    """Allow a retry for each ``1 / share`` first tries, with a small burst.
+    """Token bucket that allows one retry per ``1 / share`` first tries.
 
-    A failing fleet so gets at most ``1 + share`` times its load.
+    At most ``BURST_MAX`` retries are saved up.  Beyond these, retries raise the load of a
+    failing fleet to at most ``1 + share`` times the load of first tries.
     """
 
     def __init__(self, share: float) -> None:
@@ -33,11 +36,11 @@
         self._tokens = BURST_MAX
 
     def record_first_try(self) -> None:
-        """Earn a share of a retry."""
+        """Add ``share`` of a retry to the budget."""
         self._tokens = min(BURST_MAX, self._tokens + self._share)
 
     def try_spend(self) -> bool:
-        """Spend a retry; return whether there was one."""
+        """Spend one retry; return False if the budget holds none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -45,7 +48,7 @@
 
 
 class RetryPolicy:
-    """Judge tries that ended, within a budget of retries for all requests."""
+    """Decide after each try whether to retry, within the retry budget of all requests."""
 
     def __init__(self, context: EntryContext, settings: EntrySettings) -> None:
         self._context = context
@@ -53,13 +56,13 @@
         self._budget = RetryBudget(settings.retry_share)
 
     def record_first_try(self) -> None:
-        """Count a request towards the budget of retries."""
+        """Count the first try of a request towards the retry budget."""
         self._budget.record_first_try()
 
     def evaluate(
         self, running: RunningRequest, result: TryResult, slot: SlotReply
     ) -> CallerAnswer | None:
-        """Return the final answer, or None where another try is safe and allowed."""
+        """Return the final answer, or None if another try is safe and allowed."""
         if result.outcome is SlotOutcome.RAN:
             return CallerAnswer(ResultCode.RAN, result.body)
         if result.outcome is SlotOutcome.UNUSED:
@@ -84,7 +87,10 @@
         return None
 
     async def back_off(self, running: RunningRequest) -> None:
-        """Wait before the next try, longer after each one."""
+        """Wait a random time before the next try; its upper limit doubles with each try.
+
+        The upper limit is at most ``backoff_max_s``.
+        """
         ceiling_s = min(
             self._settings.backoff_max_s, self._settings.backoff_min_s * 2**running.tries
         )
--- a/src/robinthread/_internal/entry/running_request.py
+++ b/src/robinthread/_internal/entry/running_request.py
@@ -1,4 +1,4 @@
-"""A request that this daemon carries now."""
+"""State of a request that this daemon is executing."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,10 +14,11 @@
 class RunningRequest:
     """State of a request between its arrival and its final answer.
 
-    ``lease_id`` to ``task_id`` are of the try that is
-    on a worker now; ``checkpoint`` resumes the next one.  ``may_have_run`` is
-    the last try that reached a worker and was not refused by it: once there is
-    one, the answer cannot be that the request did not run.
+    ``lease_id``, ``host``, ``address``, ``token`` and ``task_id`` describe the try that
+    is running on a worker; ``checkpoint`` is the state from which the next try resumes.
+    ``slot_wait`` is the pending slot request.  ``may_have_run`` is the result of the last
+    try that may have run on a worker; if it is set, the answer cannot be that the request
+    did not run.
     """
 
     request: CallerRequest
--- a/src/robinthread/_internal/entry/slot_finder.py
+++ b/src/robinthread/_internal/entry/slot_finder.py
@@ -1,4 +1,4 @@
-"""Finding a slot for a request in any data hall."""
+"""Search for a free slot for a request in all data halls of its pool."""
 
 import asyncio
 import random
@@ -13,6 +13,7 @@
 from robinthread._internal.peers.messages import SlotReply, SlotRequest
 from robinthread._internal.results import ResultCode
 
+# Refusals after which the next data hall is tried.
 OTHER_HALL_CODES: Final = frozenset(
     {
         ResultCode.NO_HOST_REACHABLE,
@@ -24,7 +25,7 @@
 
 
 class SlotFinder:
-    """Ask the dispatchers of a pool for a slot, this data hall's first."""
+    """Request slots from the dispatchers of a pool, starting with this data hall's."""
 
     def __init__(
         self,
@@ -42,10 +43,11 @@
         self._busy_halls = BusyHalls()
 
     async def find(self, running: RunningRequest) -> SlotReply:
-        """Take a free slot in any hall, this one first; else wait where that is shortest.
+        """Lease a free slot in any hall, or queue where the estimated wait is shortest.
 
-        A hall that was just found full is not asked again for a moment, so
-        that an overload does not multiply messages.
+        This daemon's hall is tried first.  A hall that recently had no free slot is
+        skipped in the search for a free one, so that an overload does not multiply
+        messages.
         """
         pool = running.request.pool
         halls = tuple(self._iter_halls(pool))
@@ -113,5 +115,5 @@
 
 
 def _prefer_refusal(first: SlotReply, second: SlotReply) -> SlotReply:
-    """Return the refusal that tells the caller more: a full queue before no route."""
+    """Return the more informative refusal: any other code before ``NO_HOST_REACHABLE``."""
     return first if second.code == ResultCode.NO_HOST_REACHABLE else second
--- a/src/robinthread/_internal/entry/try_result.py
+++ b/src/robinthread/_internal/entry/try_result.py
@@ -1,4 +1,4 @@
-"""What one try on a worker came to."""
+"""Result of one try of a request on a worker."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True)
 class TryResult:
-    """A try's outcome for the dispatcher, its code for the caller, and the answer."""
+    """A try's outcome for the dispatcher, its result code for the caller, and the body.
+
+    ``body`` is the worker's answer, or the checkpoint of an interrupted task.
+    """
 
     outcome: SlotOutcome
     code: ResultCode
--- a/src/robinthread/_internal/entry/try_runner.py
+++ b/src/robinthread/_internal/entry/try_runner.py
@@ -1,4 +1,4 @@
-"""Tries of requests on workers, from a slot's lease to its release."""
+"""Tries of requests on workers, from the lease of a slot to its release."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class TryRunner:
-    """Send tasks to workers, interrupt them, and give their slots back.
+    """Send tasks to workers, interrupt them and release their slots.
 
-    ``next_id`` returns a number that no other try of this daemon has.
+    ``next_id`` returns a number that is unique within the daemon's incarnation.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, running: RunningRequest, key: bytes, slot: SlotReply) -> TryResult:
-        """Try a request on the slot's host until its answer or its deadline."""
+        """Run one try on the slot's host until its answer or the deadline; release the slot."""
         request = running.request
         left_s = request.deadline_at_s - self._context.wall_clock()
         is_at_connection_limit = len(self._by_lease) >= self._settings.upstream_connections_max
@@ -85,29 +85,33 @@
         return result
 
     def release_unused_slot(self, running: RunningRequest, slot: SlotReply) -> None:
-        """Give back a slot that nothing was sent to."""
+        """Release a leased slot to which no task was sent."""
         self._release_slot(running, slot, _UNUSED, 0.0)
 
     async def interrupt(self, running: RunningRequest, action: ControlAction) -> bool:
-        """Stop or checkpoint the task that a request has on a worker now."""
-        # A drain may have fenced the worker since the task was sent.
+        """Stop or checkpoint the running task of a request; return whether the worker did so."""
+        # A drain may have fenced the worker with a newer token since the task was sent.
         token = max(running.token, self._get_token(running.host))
         return await self._control(running.address, ControlCall(action, token, running.task_id))
 
     async def preempt(self, preempt: Preempt) -> None:
-        """Have a task make room, as the dispatcher of its slot asks."""
+        """Preempt a task at the request of the slot's dispatcher."""
         running = self._by_lease.get(preempt.lease_id)
         if running is None:
             return
         is_done = await self.interrupt(running, ControlAction.CHECKPOINT)
-        # Work that must not be repeated goes on from its checkpoint or stays.
+        # A task that must not be repeated keeps running if it cannot be checkpointed.
         if not is_done and running.request.is_repeatable:
             await self.interrupt(running, ControlAction.STOP)
 
     async def _stop_and_release_slot(
         self, running: RunningRequest, slot: SlotReply, task: Task, run_s: float
     ) -> None:
-        """Stop a task that nobody waits for, and say whether its slot is free."""
+        """Stop a task whose answer was lost, then release its slot.
+
+        The outcome is ``TIMED_OUT`` if the worker confirmed the stop, so that the slot is
+        free, and otherwise ``LOST``.
+        """
         token = max(slot.token, self._get_token(slot.host))
         call = ControlCall(ControlAction.STOP, token, task.id)
         is_stopped = await self._control(slot.address, call)
--- a/src/robinthread/_internal/entry/worker_try.py
+++ b/src/robinthread/_internal/entry/worker_try.py
@@ -1,4 +1,4 @@
-"""One try of a request on a worker."""
+"""A single try of a request on a worker."""
 
 from robinthread._internal.dispatch.slot_outcome import SlotOutcome
 from robinthread._internal.entry.try_result import TryResult
@@ -20,7 +20,7 @@
 async def run_try(
     upstream: UpstreamService, address: str, task: Task, timeout_s: float
 ) -> TryResult:
-    """Send ``task`` and tell which of the three truths holds for it."""
+    """Send ``task`` and return whether it ran, did not run or has an unknown outcome."""
     try:
         reply = await upstream.run(address, task, timeout_s)
     except UpstreamUnsentError:
