--- a/src/robinthread/_internal/upstream/__init__.py
+++ b/src/robinthread/_internal/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the workers on upstream hosts."""
+"""Client for the workers on upstream hosts."""
--- a/src/robinthread/_internal/upstream/control.py
+++ b/src/robinthread/_internal/upstream/control.py
@@ -1,11 +1,11 @@
-"""Control calls to a worker."""
+"""Control calls to workers and their replies."""
 
 import enum
 from dataclasses import dataclass
 
 
 class ControlAction(enum.Enum):
-    """What a control call asks of a worker."""
+    """Action that a control call requests from a worker."""
 
     FENCE = "fence"
     CHECKPOINT = "checkpoint"
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class ControlCall:
-    """A control call under a fencing token; ``task_id`` where it is about a task."""
+    """A control call with its fencing token; ``task_id`` is empty unless it concerns a task."""
 
     action: ControlAction
     token: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ControlReply:
-    """Whether the worker did as asked, and why not."""
+    """Whether the worker performed the action, and otherwise the reason."""
 
     is_done: bool
     reason: str = ""
--- a/src/robinthread/_internal/upstream/errors.py
+++ b/src/robinthread/_internal/upstream/errors.py
@@ -2,8 +2,8 @@
 
 
 class UpstreamUnsentError(Exception):
-    """The call was never sent: whatever it asked for did not happen."""
+    """The call was never sent, so it certainly had no effect."""
 
 
 class UpstreamLostError(Exception):
-    """The call was sent and no whole word came back."""
+    """The call may have been sent, but no complete reply came back: its effect is unknown."""
--- a/src/robinthread/_internal/upstream/http_client.py
+++ b/src/robinthread/_internal/upstream/http_client.py
@@ -1,4 +1,4 @@
-"""Client of workers over HTTP; see docs/interfaces/worker.md for the protocol."""
+"""HTTP client for workers; see docs/interfaces/worker.md for the protocol."""
 
 import base64
 from typing import TypeVar
@@ -28,7 +28,7 @@
 
 
 def make_http_upstream(client: AsyncHTTPClient, call_timeout_s: float) -> UpstreamService:
-    """Make the workers' calls; control and report calls end in ``call_timeout_s``."""
+    """Return the calls to workers; control and report calls time out after ``call_timeout_s``."""
 
     async def run(address: str, task: Task, timeout_s: float) -> WorkerReply:
         headers = {
@@ -63,10 +63,10 @@
 
 
 def _forbid_reuse(curl: pycurl.Curl) -> None:
-    """Close the connection after the task.
+    """Close the connection after the request instead of reusing it.
 
-    A worker's connections are shared by all daemons.  Each would keep idle ones
-    that count against the limit; so, connections are the leases in use.
+    A worker's connection limit is shared by all daemons.  Idle connections kept by each
+    daemon would count against it; without them, there is one connection per lease in use.
     """
     curl.setopt(pycurl.FORBID_REUSE, 1)
 
@@ -93,11 +93,11 @@
             headers[HEADER_DIGEST],
         )
     except (KeyError, ValueError) as error:
-        raise UpstreamLostError(f"malformed reply: {error}") from error
+        raise UpstreamLostError(f"malformed task reply: {error}") from error
 
 
 def _decode(body: bytes, type_: type[T]) -> T:
     try:
         return msgspec.json.decode(body, type=type_)
     except msgspec.MsgspecError as error:
-        raise UpstreamLostError(f"malformed reply: {error}") from error
+        raise UpstreamLostError(f"malformed {type_.__name__}: {error}") from error
--- a/src/robinthread/_internal/upstream/reply.py
+++ b/src/robinthread/_internal/upstream/reply.py
@@ -6,7 +6,7 @@
 
 
 class ReplyStatus(enum.Enum):
-    """What a worker says of a task."""
+    """Status of a task in a worker's reply."""
 
     RAN = "ran"
     RAN_FAILED = "ran_failed"
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True)
 class WorkerReply:
-    """A reply; ``length`` is in bytes, ``digest`` is ``make_body_digest`` of the body."""
+    """A reply; ``length`` (bytes) and ``digest`` are those of the body as the worker sent it.
+
+    ``digest`` is computed with ``make_body_digest``.
+    """
 
     status: ReplyStatus
     task_id: str
@@ -27,15 +30,15 @@
 
     @property
     def is_intact(self) -> bool:
-        """Tell whether length and digest match the body."""
+        """Return whether ``length`` and ``digest`` match the received body."""
         return self.length == len(self.body) and self.digest == make_body_digest(self.body)
 
 
 def make_body_digest(body: bytes) -> str:
-    """Return the digest that answers and identities carry."""
+    """Return the digest of a body that replies carry: the first 128 bits of SHA-256, in hex."""
     return hashlib.sha256(body).hexdigest()[:32]
 
 
 def make_reply(status: ReplyStatus, task_id: str, body: bytes = b"") -> WorkerReply:
-    """Make a whole reply."""
+    """Return a reply whose length and digest match ``body``."""
     return WorkerReply(status, task_id, body, len(body), make_body_digest(body))
--- a/src/robinthread/_internal/upstream/service.py
+++ b/src/robinthread/_internal/upstream/service.py
@@ -1,4 +1,4 @@
-"""The workers as plain functions."""
+"""Interface of the calls to workers."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True)
 class UpstreamService:
-    """The calls of a worker; the first argument of each is its address.
+    """Calls to a worker; the first argument of each is the worker's address.
 
-    ``run(address, task, timeout_s)`` returns the reply.  All raise
+    ``run(address, task, timeout_s)`` returns the task's reply.  All calls raise
     ``UpstreamUnsentError`` or ``UpstreamLostError``.
     """
 
--- a/src/robinthread/_internal/upstream/task.py
+++ b/src/robinthread/_internal/upstream/task.py
@@ -1,14 +1,14 @@
-"""A task as it is sent to a worker."""
+"""A task as sent to a worker."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Task:
-    """A request's try on a worker.
+    """A single try of a request on a worker.
 
-    ``token`` is the fencing token; a worker refuses one older than the newest
-    it has seen.  ``checkpoint`` resumes an earlier try where not empty.
+    ``token`` is the fencing token; a worker refuses a token older than the newest one that
+    it has received.  A ``checkpoint`` that is not empty resumes an earlier try.
     """
 
     id: str
