--- a/src/robinthread/_internal/peers/router.py
+++ b/src/robinthread/_internal/peers/router.py
@@ -65,7 +65,7 @@
         self._notice_callbacks: dict[type, Callable[[Sender, Any], None]] = {}
         self._pending_requests: dict[int, _PendingRequest] = {}
         self._on_late_reply: Callable[[str, AnyMessage], None] = lambda address, message: None
-        self._on_heard: Callable[[str], None] = lambda name: None
+        self._on_frame: Callable[[str], None] = lambda name: None
         self._seen_frames: OrderedDict[tuple[str, int], None] = OrderedDict()
         self._tasks: set[asyncio.Task[None]] = set()
         self._encoder = msgspec.msgpack.Encoder()
@@ -88,7 +88,7 @@
 
     def on_frame(self, callback: Callable[[str], None]) -> None:
         """Call ``callback`` with the sender's name for each received frame."""
-        self._on_heard = callback
+        self._on_frame = callback
 
     def fail_pending_requests(self, address: str) -> None:
         """Fail the pending requests to the peer at ``address``, which stopped or was evicted."""
@@ -156,7 +156,7 @@
 
     def _receive(self, frame: Frame) -> None:
         self._clock.merge(frame.stamp)
-        self._on_heard(frame.sender)
+        self._on_frame(frame.sender)
         if frame.reply_to:
             pending = self._pending_requests.get(frame.reply_to)
             if pending is None or pending.future.done():
