--- a/tests/functional/test_connections.py
+++ b/tests/functional/test_connections.py
@@ -29,10 +29,10 @@
             address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
             client = CurlAsyncHTTPClient(force_instance=True, max_clients=TASKS)
             upstream = make_http_upstream(client, 5.0)
-            lanes = asyncio.Semaphore(SLOTS)
+            semaphore = asyncio.Semaphore(SLOTS)
 
             async def run(number: int) -> ReplyStatus:
-                async with lanes:
+                async with semaphore:
                     task = Task(f"t{number}", f"k{number}", "p", 1, encode_job(Job(run_s=0.01)))
                     return (await upstream.run(address, task, 10.0)).status
 
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -30,13 +30,13 @@
 
         run_virtual(work())
 
-    def test_wave_under_load_cuts_nothing_and_holds_the_budget(self) -> None:
+    def test_wave_under_load_completes_all_requests_within_the_budget(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(budget=Budget(min_serving_hosts=6))
             daemon = get_daemon(fleet)
-            held = []
+            is_budget_met = []
             daemon.follower.watch(
-                lambda folded: held.append(
+                lambda folded: is_budget_met.append(
                     daemon.state.pools[POOL].budget.is_met_by(daemon.state.iter_pool_hosts(POOL))
                 )
             )
@@ -47,7 +47,7 @@
             )
             await wait_until(lambda: daemon.state.waves["w"].state is WaveState.DONE)
             self.assertEqual({ResultCode.RAN}, {answer.code for answer in answers})
-            self.assertTrue(all(held))
+            self.assertTrue(all(is_budget_met))
             self.assertEqual(0, fleet.ledger.cut_short_count)
             self.assertEqual(0, fleet.ledger.refused_busy_count)
             self.assertEqual({1}, {worker.boots_count for worker in fleet.workers.values()})
