--- a/tests/functional/test_connections.py
+++ b/tests/functional/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers end with their task, so that leases bound them."""
+"""Connections to workers are closed after each task, so leases limit their number."""
 
 import asyncio
 
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path: requests, a wave and a migration through the log."""
+"""End-to-end runs of a fleet: requests, a wave under load and a migration."""
 
 import asyncio
 
