--- a/src/robinthread/_internal/peers/messages.py
+++ b/src/robinthread/_internal/peers/messages.py
@@ -1,18 +1,24 @@
 """Messages between daemons.
 
-Frozen ``msgspec.Struct`` in array form stands in for frozen data classes
-here: it costs a third of the bytes, and letter 1 bounds these.
+Messages are frozen ``msgspec.Struct`` classes encoded as arrays, not frozen data
+classes: this takes a third of the bytes, and the project's requirements limit the
+bytes that daemons exchange.  The order of fields and the tags are the wire format.
 """
 
 import msgspec
 
 
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 class Heartbeat(PeerMessage, frozen=True, array_like=True, tag=1):
-    """A daemon lives; ``silent_halls`` are those that it has not heard for too long."""
+    """Periodic liveness message of a daemon.
+
+    ``next_offset`` is the offset up to which the daemon has applied the log.
+    ``silent_halls`` are the data halls from which it has received no frame for
+    ``hall_silent_after_s``.  ``digest`` is that of its state at ``digest_offset``.
+    """
 
     next_offset: int
     silent_halls: tuple[str, ...]
@@ -20,19 +26,22 @@
     digest_offset: int
 
 
-class ClaimAsk(PeerMessage, frozen=True, array_like=True, tag=2):
-    """Ask the owner of a key's partition to claim it for ``holder``."""
+class ClaimRequest(PeerMessage, frozen=True, array_like=True, tag=2):
+    """Request to the owner of a key's partition to claim the key for ``holder``."""
 
     key: bytes
     digest: bytes
     expires_at_s: float
     holder: str
     incarnation: str
-    ask_id: int
+    claim_id: int
 
 
 class ClaimReply(PeerMessage, frozen=True, array_like=True, tag=3):
-    """Outcome of a claim; ``holder`` and ``incarnation`` tell who has it."""
+    """Outcome of a claim or holder request.
+
+    ``holder`` and ``incarnation`` identify the daemon that holds the claim.
+    """
 
     code: int
     holder: str = ""
@@ -40,16 +49,20 @@
 
 
 class ClaimRelease(PeerMessage, frozen=True, array_like=True, tag=4):
-    """The holder of a claim says that the request did not run and never will."""
+    """Notice from a claim's holder that the claimed request did not and will not run."""
 
     key: bytes
     holder: str
     incarnation: str
-    ask_id: int
+    claim_id: int
+
 
+class SlotRequest(PeerMessage, frozen=True, array_like=True, tag=5):
+    """Request for a slot to the dispatcher of a pool in a data hall.
 
-class SlotAsk(PeerMessage, frozen=True, array_like=True, tag=5):
-    """Ask the dispatcher of a pool in a data hall for a slot, at once or by queueing."""
+    ``may_wait`` lets the dispatcher queue the request if no slot is free.  Hosts in
+    ``avoid`` are leased only if no other host fits.
+    """
 
     pool: str
     hall: str
@@ -63,7 +76,7 @@
 
 
 class SlotReply(PeerMessage, frozen=True, array_like=True, tag=6):
-    """A slot lease, or a refusal and when to come back."""
+    """A slot lease, or a refusal with the time after which to retry."""
 
     code: int
     lease_id: str = ""
@@ -74,7 +87,7 @@
 
 
 class SlotRelease(PeerMessage, frozen=True, array_like=True, tag=7):
-    """A slot lease is given back; ``outcome`` is a ``SlotOutcome``."""
+    """Notice that a slot lease is released; ``outcome`` is a ``SlotOutcome``."""
 
     pool: str
     hall: str
@@ -85,22 +98,22 @@
     job: bytes
 
 
-class SlotAskCancel(PeerMessage, frozen=True, array_like=True, tag=8):
-    """A waiting ask is given up."""
+class SlotRequestCancel(PeerMessage, frozen=True, array_like=True, tag=8):
+    """Notice that cancels the waiting slot request sent in frame ``frame_id``."""
 
     pool: str
     hall: str
-    ask_id: int
+    frame_id: int
 
 
 class Preempt(PeerMessage, frozen=True, array_like=True, tag=9):
-    """The dispatcher asks a lease's holder to checkpoint its task, or to stop it."""
+    """Notice from a dispatcher to a lease's holder to checkpoint or stop its task."""
 
     lease_id: str
 
 
-class AnswerAsk(PeerMessage, frozen=True, array_like=True, tag=10):
-    """Ask the holder of a claim for the answer to a duplicate."""
+class AnswerRequest(PeerMessage, frozen=True, array_like=True, tag=10):
+    """Request to a claim's holder for its answer, to be returned to a duplicate request."""
 
     key: bytes
     digest: bytes
@@ -108,74 +121,74 @@
 
 
 class AnswerReply(PeerMessage, frozen=True, array_like=True, tag=11):
-    """The holder's final answer."""
+    """The claim holder's final answer to the caller's request."""
 
     code: int
     body: bytes
     retry_after_s: float = 0.0
 
 
-class ImageAsk(PeerMessage, frozen=True, array_like=True, tag=12):
-    """Ask a peer for its fleet state."""
+class ImageRequest(PeerMessage, frozen=True, array_like=True, tag=12):
+    """Request to a peer for a snapshot of its fleet state."""
 
 
 class ImageReply(PeerMessage, frozen=True, array_like=True, tag=13):
-    """A folder's image, encoded and compressed, and its digest; empty where not ready."""
+    """Encoded, compressed snapshot of the fleet state with its digest; empty if not ready."""
 
     data: bytes
 
 
-class CancelAsk(PeerMessage, frozen=True, array_like=True, tag=14):
-    """Ask the holder of a request to cancel it."""
+class CancelRequest(PeerMessage, frozen=True, array_like=True, tag=14):
+    """Request to the holder of a caller's request to cancel it."""
 
     key: bytes
 
 
 class CancelReply(PeerMessage, frozen=True, array_like=True, tag=15):
-    """What the cancellation came to."""
+    """Result code of a cancellation."""
 
     code: int
 
 
 class Goodbye(PeerMessage, frozen=True, array_like=True, tag=16):
-    """A daemon stops as planned."""
+    """Notice that a daemon is shutting down as planned."""
 
     incarnation: str
 
 
-class HolderAsk(PeerMessage, frozen=True, array_like=True, tag=17):
-    """Ask the owner of a key's partition who holds the claim on it."""
+class HolderRequest(PeerMessage, frozen=True, array_like=True, tag=17):
+    """Request to the owner of a key's partition for the holder of the claim on the key."""
 
     key: bytes
 
 
 AnyMessage = (
     Heartbeat
-    | ClaimAsk
+    | ClaimRequest
     | ClaimReply
     | ClaimRelease
-    | SlotAsk
+    | SlotRequest
     | SlotReply
     | SlotRelease
-    | SlotAskCancel
+    | SlotRequestCancel
     | Preempt
-    | AnswerAsk
+    | AnswerRequest
     | AnswerReply
-    | ImageAsk
+    | ImageRequest
     | ImageReply
-    | CancelAsk
+    | CancelRequest
     | CancelReply
     | Goodbye
-    | HolderAsk
+    | HolderRequest
 )
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """A message on its way.
+    """Envelope of a message on the wire.
 
-    ``id`` is unique for the sender's incarnation; ``reply_to`` is the id of
-    the frame that this one answers, zero for none.  ``sender_address`` is
-    empty where nobody will answer.
+    ``id`` is unique within the sender's incarnation.  ``reply_to`` is the id of the
+    request frame that this frame answers, 0 if it is no reply.  ``sender_address`` is
+    empty if the sender expects no reply.  ``stamp`` is the sender's hybrid clock.
     """
 
     sender: str
--- a/src/robinthread/_internal/peers/router.py
+++ b/src/robinthread/_internal/peers/router.py
@@ -1,4 +1,4 @@
-"""Asks, replies and one-way messages over a transport."""
+"""Requests, replies and one-way notices over a peer transport."""
 
 import asyncio
 import itertools
@@ -14,16 +14,17 @@
 from robinthread._internal.telemetry.counters import Counters
 from robinthread._internal.timeline.hybrid_clock import HybridClock
 
+# Number of latest frames remembered to detect frames delivered twice.
 SEEN_FRAMES_MAX: Final = 4096
 
 
 class PeerTimeoutError(Exception):
-    """No reply came from the peer in time."""
+    """The peer did not reply within the timeout, or stopped or was evicted."""
 
 
 @dataclass(frozen=True)
 class Sender:
-    """Who sent a message, and the frame's id."""
+    """Name and address of a message's sender, and the id of the frame."""
 
     name: str
     address: str
@@ -31,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class _PendingAsk:
+class _PendingRequest:
     address: str
     future: asyncio.Future[AnyMessage]
 
@@ -40,10 +41,10 @@
 
 
 class PeerRouter:
-    """Match replies to asks and hand messages to the handler of their type.
+    """Match replies to requests and pass messages to the handler of their type.
 
-    A frame delivered twice is handled once.  Handlers run as tasks of their
-    own, so that a slow one holds up nobody.
+    A frame delivered twice is handled once.  Each handler call runs as its own task, so
+    a slow handler does not delay other messages.
     """
 
     def __init__(
@@ -59,78 +60,81 @@
         self._transport = transport
         self._clock = clock
         self._counters = counters
-        self._ids = itertools.count(first_frame_id)
+        self._frame_ids = itertools.count(first_frame_id)
         self._handlers: dict[type, Handler] = {}
-        self._notices: dict[type, Callable[[Sender, Any], None]] = {}
-        self._replies: dict[int, _PendingAsk] = {}
+        self._notice_callbacks: dict[type, Callable[[Sender, Any], None]] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._on_late_reply: Callable[[str, AnyMessage], None] = lambda address, message: None
-        self._on_heard: Callable[[str], None] = lambda name: None
-        self._seen: OrderedDict[tuple[str, int], None] = OrderedDict()
+        self._on_frame: Callable[[str], None] = lambda name: None
+        self._seen_frames: OrderedDict[tuple[str, int], None] = OrderedDict()
         self._tasks: set[asyncio.Task[None]] = set()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Frame)
 
     def on(self, message_type: type, handler: Handler) -> None:
-        """Hand messages of ``message_type`` to ``handler``."""
+        """Register ``handler`` for messages of ``message_type``; it may return a reply."""
         self._handlers[message_type] = handler
 
-    def on_notice(self, message_type: type, take: Callable[[Sender, Any], None]) -> None:
-        """Hand one-way messages of ``message_type`` to ``take`` at once, without a task.
+    def on_notice(self, message_type: type, handle_notice: Callable[[Sender, Any], None]) -> None:
+        """Call ``handle_notice`` directly, without a task, for notices of ``message_type``.
 
-        For what comes often and takes no time, such as heartbeats.
+        Meant for frequent messages that are cheap to process, such as heartbeats.
         """
-        self._notices[message_type] = take
+        self._notice_callbacks[message_type] = handle_notice
 
     def on_late_reply(self, callback: Callable[[str, AnyMessage], None]) -> None:
-        """Hand replies that nobody waits for any more, with their sender's address."""
+        """Call ``callback`` with the sender's address and the reply if its request has ended."""
         self._on_late_reply = callback
 
-    def on_heard(self, callback: Callable[[str], None]) -> None:
-        """Call ``callback`` with the sender's name for each frame."""
-        self._on_heard = callback
+    def on_frame(self, callback: Callable[[str], None]) -> None:
+        """Call ``callback`` with the sender's name for each received frame."""
+        self._on_frame = callback
 
-    def fail_asks(self, address: str) -> None:
-        """End the asks that wait for the peer at ``address``, which is gone."""
-        for pending in self._replies.values():
+    def fail_pending_requests(self, address: str) -> None:
+        """Fail the pending requests to the peer at ``address``, which stopped or was evicted."""
+        for pending in self._pending_requests.values():
             if pending.address == address and not pending.future.done():
-                pending.future.set_exception(PeerTimeoutError(f"{address} is gone"))
+                pending.future.set_exception(
+                    PeerTimeoutError(f"peer {address} stopped or was evicted")
+                )
 
-    def tell(self, address: str, message: AnyMessage) -> None:
-        """Send a message that needs no reply."""
+    def send_notice(self, address: str, message: AnyMessage) -> None:
+        """Send a message without waiting for a reply."""
         self._send(address, message, reply_to=0)
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         message: AnyMessage,
         timeout_s: float,
         make_cancel: Callable[[int], AnyMessage] | None = None,
     ) -> AnyMessage:
-        """Send a message and return its reply; raise ``PeerTimeoutError``.
+        """Send a request and return its reply.
 
-        Where the asker stops waiting, the peer is told so by the message that
-        ``make_cancel`` makes of the ask's frame id.
+        Raise ``PeerTimeoutError`` after ``timeout_s``.  On a timeout or cancellation,
+        the peer receives the message that ``make_cancel`` returns for the frame id of
+        the request.
         """
-        frame_id = next(self._ids)
+        frame_id = next(self._frame_ids)
         if address == self.address:
-            return await self._ask_self(frame_id, message, timeout_s)
+            return await self._handle_own_request(frame_id, message, timeout_s)
         future: asyncio.Future[AnyMessage] = asyncio.get_running_loop().create_future()
-        self._replies[frame_id] = _PendingAsk(address, future)
+        self._pending_requests[frame_id] = _PendingRequest(address, future)
         try:
             self._send(address, message, reply_to=0, frame_id=frame_id)
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError as error:
             self._counters.add("peer_timeouts")
-            self._cancel_ask(address, frame_id, make_cancel)
-            raise PeerTimeoutError(f"no reply from {address}") from error
+            self._send_cancel(address, frame_id, make_cancel)
+            raise PeerTimeoutError(f"no reply from peer {address} within {timeout_s} s") from error
         except asyncio.CancelledError:
-            self._cancel_ask(address, frame_id, make_cancel)
+            self._send_cancel(address, frame_id, make_cancel)
             raise
         finally:
-            del self._replies[frame_id]
+            del self._pending_requests[frame_id]
 
     async def run(self) -> None:
-        """Receive frames until cancelled or closed."""
+        """Receive and dispatch frames until cancelled or the transport is closed."""
         while True:
             try:
                 data = await self._transport.receive()
@@ -145,16 +149,16 @@
             self._receive(frame)
 
     def close(self) -> None:
-        """End running handlers and the transport."""
+        """Cancel running handlers and close the transport."""
         for task in tuple(self._tasks):
             task.cancel()
         self._transport.close()
 
     def _receive(self, frame: Frame) -> None:
         self._clock.merge(frame.stamp)
-        self._on_heard(frame.sender)
+        self._on_frame(frame.sender)
         if frame.reply_to:
-            pending = self._replies.get(frame.reply_to)
+            pending = self._pending_requests.get(frame.reply_to)
             if pending is None or pending.future.done():
                 self._on_late_reply(frame.sender_address, frame.message)
             else:
@@ -163,19 +167,19 @@
         if self._is_repeated(frame):
             self._counters.add("peer_frames_repeated")
             return
-        take = self._notices.get(type(frame.message))
-        if take is not None:
-            take(Sender(frame.sender, frame.sender_address, frame.id), frame.message)
+        handle_notice = self._notice_callbacks.get(type(frame.message))
+        if handle_notice is not None:
+            handle_notice(Sender(frame.sender, frame.sender_address, frame.id), frame.message)
             return
         task = asyncio.get_running_loop().create_task(self._handle(frame))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _cancel_ask(
+    def _send_cancel(
         self, address: str, frame_id: int, make_cancel: Callable[[int], AnyMessage] | None
     ) -> None:
         if make_cancel is not None:
-            self.tell(address, make_cancel(frame_id))
+            self.send_notice(address, make_cancel(frame_id))
 
     async def _handle(self, frame: Frame) -> None:
         handler = self._handlers.get(type(frame.message))
@@ -186,13 +190,17 @@
         if reply is not None:
             self._send(frame.sender_address, reply, reply_to=frame.id)
 
-    async def _ask_self(self, frame_id: int, message: AnyMessage, timeout_s: float) -> AnyMessage:
+    async def _handle_own_request(
+        self, frame_id: int, message: AnyMessage, timeout_s: float
+    ) -> AnyMessage:
         handler = self._handlers[type(message)]
         sender = Sender(self.name, self.address, frame_id)
         try:
             reply = await asyncio.wait_for(handler(sender, message), timeout_s)
         except TimeoutError as error:
-            raise PeerTimeoutError("no reply from this daemon itself") from error
+            raise PeerTimeoutError(
+                f"this daemon did not handle its own {type(message).__name__} within {timeout_s} s"
+            ) from error
         assert reply is not None
         return reply
 
@@ -200,7 +208,7 @@
         frame = Frame(
             self.name,
             self.address if frame_id or reply_to else "",
-            frame_id or next(self._ids),
+            frame_id or next(self._frame_ids),
             reply_to,
             self._clock.tick(),
             message,
@@ -214,9 +222,9 @@
 
     def _is_repeated(self, frame: Frame) -> bool:
         key = (frame.sender, frame.id)
-        if key in self._seen:
+        if key in self._seen_frames:
             return True
-        self._seen[key] = None
-        if len(self._seen) > SEEN_FRAMES_MAX:
-            self._seen.popitem(last=False)
+        self._seen_frames[key] = None
+        if len(self._seen_frames) > SEEN_FRAMES_MAX:
+            self._seen_frames.popitem(last=False)
         return False
