--- a/src/robinthread/_internal/standins/advice_standin.py
+++ b/src/robinthread/_internal/standins/advice_standin.py
@@ -17,12 +17,12 @@
         self.is_down = False
         self.valid_s = 3.0
         self.call_count = 0
-        self._until_s: dict[tuple[StepKey, str], float] = {}
-        self._lives: Counter[str] = Counter()
+        self._valid_until_s: dict[tuple[StepKey, str], float] = {}
+        self._incarnation_counts: Counter[str] = Counter()
 
     def start_incarnation(self, host_id: str) -> None:
         """Have tickets for a host's earlier lives hold no more."""
-        self._lives[host_id] += 1
+        self._incarnation_counts[host_id] += 1
 
     async def advise(self, step: StepKey, host_ids: Sequence[str], timeout_s: float) -> HostAdvice:
         """Answer one call."""
@@ -32,16 +32,16 @@
             raise AdviceError("down")
         now_s = asyncio.get_running_loop().time()
         allowed = [host_id for host_id in host_ids if self.is_allowed(step, host_id)]
-        self._until_s |= {(step, host_id): now_s + self.valid_s for host_id in allowed}
+        self._valid_until_s |= {(step, host_id): now_s + self.valid_s for host_id in allowed}
         tickets = {host_id: self._make_ticket(step, host_id) for host_id in allowed}
         return HostAdvice(tickets, self.valid_s * 1000)
 
     def accepts(self, step: StepKey, host_id: str, ticket: str) -> bool:
         """Tell whether a host takes a ticket now."""
         now_s = asyncio.get_running_loop().time()
-        return ticket == self._make_ticket(step, host_id) and now_s < self._until_s.get(
+        return ticket == self._make_ticket(step, host_id) and now_s < self._valid_until_s.get(
             (step, host_id), 0.0
         )
 
     def _make_ticket(self, step: StepKey, host_id: str) -> str:
-        return f"{step.job_id}/{step.step}/{host_id}/{self._lives[host_id]}"
+        return f"{step.job_id}/{step.step}/{host_id}/{self._incarnation_counts[host_id]}"
--- a/src/robinthread/_internal/standins/call_faults.py
+++ b/src/robinthread/_internal/standins/call_faults.py
@@ -53,27 +53,29 @@
         """Do ``work`` as the faults let it, and return its result to the caller."""
         if self.charge_processor is not None:
             await self.charge_processor(caller)
-        began_silences = self.connections.silences
+        silences_before = self.connections.silences
         if self.connections.use(caller, target):
-            await self._lose_in_silence(caller, target, timeout_s)
+            await self._time_out_silently(caller, target, timeout_s)
         await asyncio.sleep(self._draw_latency_s())
-        is_heard = not self._covers(self.refused, caller) and not self._covers(self.silent, caller)
-        if self.connections.silences > began_silences:
-            if is_heard:
+        is_reachable = not self._covers(self.refused, caller) and not self._covers(
+            self.silent, caller
+        )
+        if self.connections.silences > silences_before:
+            if is_reachable:
                 run_discarding_result(work)
-            await self._lose_in_silence(caller, target, timeout_s)
+            await self._time_out_silently(caller, target, timeout_s)
         if self._covers(self.refused, caller):
             raise CallRefusedError
-        if not is_heard:
+        if not is_reachable:
             await asyncio.sleep(timeout_s)
             raise CallUnansweredError
         if is_change and self._random.random() < self.lost_share:
-            self._do_later(work)
+            self._run_later(work)
             await asyncio.sleep(timeout_s)
             raise CallUnansweredError
         return work()
 
-    async def _lose_in_silence(self, caller: str, target: str, timeout_s: float) -> NoReturn:
+    async def _time_out_silently(self, caller: str, target: str, timeout_s: float) -> NoReturn:
         await asyncio.sleep(timeout_s)
         self.connections.replace_silent(caller, target)
         raise CallUnansweredError
@@ -83,7 +85,7 @@
             return self.latency_s
         return self.latency_s * (1 + self._random.uniform(-1, 1) * self.latency_spread)
 
-    def _do_later(self, work: Callable[[], object]) -> None:
+    def _run_later(self, work: Callable[[], object]) -> None:
         delay_s = self._random.uniform(*self.late_s)
         asyncio.get_running_loop().call_later(delay_s, run_discarding_result, work)
 
--- a/src/robinthread/_internal/standins/fleet_standin.py
+++ b/src/robinthread/_internal/standins/fleet_standin.py
@@ -62,8 +62,8 @@
         self._calls: dict[str, set[asyncio.Task[CallerAnswer]]] = {}
         self._halls = halls
         self._seed = seed
-        self._base = settings or DaemonSettings()
-        self._starts = 0
+        self._base_settings = settings or DaemonSettings()
+        self._start_count = 0
         self.network.can_reach = self._can_reach
         listed = []
         for hall in halls:
@@ -90,11 +90,11 @@
 
     async def start_daemon(self, name: str, hall: str) -> Daemon:
         """Start a daemon, or a replacement under the same name."""
-        self._starts += 1
-        address = f"tcp://{name}/{self._starts}"
+        self._start_count += 1
+        address = f"tcp://{name}/{self._start_count}"
         self._hall_of_address[address] = hall
         seeds = tuple(other.router.address for other in self.daemons.values())
-        settings = replace(self._base, name=name, hall=hall, peer_seeds=seeds)
+        settings = replace(self._base_settings, name=name, hall=hall, peer_seeds=seeds)
         gate = self._gates[name] = Gate()
         environment = Environment(
             log=self._make_log(hall, gate),
@@ -168,22 +168,22 @@
     def _make_log(self, hall: str, gate: Gate) -> LogService:
         async def append(stream: str, data: bytes) -> int:
             await gate.wait()
-            self._check_platform(hall)
+            self._check_platform_reachable(hall)
             offset = await self.log.append(stream, data)
             await gate.wait()
             return offset
 
         async def read(stream: str, from_offset: int, max_records: int, wait_s: float) -> LogPage:
             await gate.wait()
-            self._check_platform(hall)
+            self._check_platform_reachable(hall)
             page = await self.log.read(stream, from_offset, max_records, wait_s)
             await gate.wait()
-            self._check_platform(hall)
+            self._check_platform_reachable(hall)
             return page
 
         return LogService(append, read)
 
-    def _check_platform(self, hall: str) -> None:
+    def _check_platform_reachable(self, hall: str) -> None:
         if hall in self.cut_from_platform:
             raise LogUnavailableError(f"{hall} is cut off from the platform")
 
--- a/src/robinthread/_internal/standins/gang_registry.py
+++ b/src/robinthread/_internal/standins/gang_registry.py
@@ -35,7 +35,7 @@
         gang_key = _get_gang_key(key)
         gang = self._gangs[gang_key]
         gang[key] = member
-        asyncio.get_running_loop().call_later(GANG_TIMEOUT_S, self._give_up, key)
+        asyncio.get_running_loop().call_later(GANG_TIMEOUT_S, self._end_if_incomplete, key)
         if len(gang) == size:
             self._working.add(gang_key)
             for present in list(gang.values()):
@@ -49,7 +49,7 @@
             for member in list(gang.values()):
                 member.end(RunEnd.GANG_BROKEN)
 
-    def _give_up(self, key: RunKey) -> None:
+    def _end_if_incomplete(self, key: RunKey) -> None:
         gang_key = _get_gang_key(key)
         member = self._gangs[gang_key].get(key)
         if member is not None and gang_key not in self._working:
--- a/src/robinthread/_internal/standins/http_servers.py
+++ b/src/robinthread/_internal/standins/http_servers.py
@@ -34,10 +34,10 @@
 
     async def get(self, stream: str) -> None:
         start = int(self.get_query_argument("from"))
-        most = int(self.get_query_argument("max"))
+        max_records = int(self.get_query_argument("max"))
         wait_s = float(self.get_query_argument("wait_s", "0"))
         try:
-            page = await self._standin.read(stream, start, most, wait_s)
+            page = await self._standin.read(stream, start, max_records, wait_s)
         except LogUnavailableError as error:
             raise HTTPError(UNAVAILABLE, str(error)) from error
         records = [
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -18,7 +18,7 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.models.upstream_host import UpstreamHost
 from robinthread._internal.standins.gang_registry import GangMember, GangRegistry
-from robinthread._internal.standins.run_ledger import STRAYS_FOR_S, LedgerRun, RunLedger
+from robinthread._internal.standins.run_ledger import STRAY_WINDOW_S, LedgerRun, RunLedger
 from robinthread._internal.utils.waiting import wait_for_event
 
 STOP_S: Final = 0.2
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class _Present:
+class _PresentRun:
     order: StartOrder
     plan: TaskPlan
     ledger_run: LedgerRun
@@ -65,7 +65,7 @@
         plan_task: Callable[[TaskKey], TaskPlan],
         gangs: GangRegistry,
         accepts_ticket: Callable[[StartOrder], bool] = lambda order: True,
-        checks_room: Callable[[], bool] = lambda: True,
+        checks_capacity: Callable[[], bool] = lambda: True,
         take_down: Callable[[str], None] = lambda host_id: None,
         host_started_at_ms: int | None = None,
     ) -> None:
@@ -74,8 +74,8 @@
         self._take_down = take_down
         self._gangs = gangs
         self._takes_ticket = accepts_ticket
-        self._checks_room = checks_room
-        self._earlier_rooms: list[tuple[float, Resources]] = []
+        self._checks_capacity = checks_capacity
+        self._earlier_capacities: list[tuple[float, Resources]] = []
         self.is_up = True
         self.fails_all = False
         self.crashes_all_after_s: float | None = None
@@ -83,14 +83,14 @@
         self._plan_task = plan_task
         self._began_at_s = asyncio.get_running_loop().time()
         self._token = 0
-        self._heard_at_s: float | None = None
+        self._first_poll_at_s: float | None = None
         self._lease_until_ms = 0
-        self._present: dict[tuple[TaskKey, int], _Present] = {}
+        self._present: dict[tuple[TaskKey, int], _PresentRun] = {}
         self._ended: list[EndedRun] = []
         self._ledger_ends: dict[int, LedgerRun] = {}
-        self._highest: dict[TaskKey, int] = {}
+        self._highest_run: dict[TaskKey, int] = {}
         self._end_count = 0
-        self._lapsed_ends = 0
+        self._last_lapsed_end = 0
         self._changed = asyncio.Event()
 
     @property
@@ -103,27 +103,27 @@
 
         An order that is not ``is_own`` was sent while another life was there.
         """
-        is_stray = not is_own and self._is_heard_newly()
+        is_stray = not is_own and self._is_in_stray_window()
         self._check_token(order.token)
-        self._extend(order.lease_until_ms)
+        self._extend_lease(order.lease_until_ms)
         key = (order.task, order.run)
         if key in self._present:
             return self.clock_ms
-        if order.run <= self._highest.get(order.task, 0):
+        if order.run <= self._highest_run.get(order.task, 0):
             raise RunTooOldError("old")
         if self.clock_ms > order.lease_until_ms:
             raise StartTooLateError("late")
         if not self._takes_ticket(order):
             raise TicketRejectedError("ticket")
         plan = self._plan_task(order.task)
-        taken = sum(
+        required = sum(
             (present.plan.resources for present in self._present.values()), start=plan.resources
         )
-        if not taken.fits_in(self.record.capacity) and self._checks_room():
+        if not required.fits_in(self.record.capacity) and self._checks_capacity():
             raise NoRoomError("room")
-        if not any(taken.fits_in(room) for room in self._list_known_rooms()):
+        if not any(required.fits_in(assumed) for assumed in self._list_assumed_capacities()):
             self._ledger.over_capacity.append(
-                f"{order.task} run {order.run} on {self.record.id} takes {taken} in all"
+                f"{order.task} run {order.run} on {self.record.id} takes {required} in all"
             )
         self._begin(order, plan, is_stray)
         return self.clock_ms
@@ -133,7 +133,7 @@
         self._check_token(token)
         present = self._present.get((task, run))
         if present is None:
-            self._highest[task] = max(run, self._highest.get(task, 0))
+            self._highest_run[task] = max(run, self._highest_run.get(task, 0))
         elif not present.is_stopping:
             present.is_stopping = True
             loop = asyncio.get_running_loop()
@@ -148,14 +148,14 @@
     ) -> HostReport:
         """Acknowledge ends, extend the lease and report; only ends ``listed_above`` a number."""
         self._check_token(token)
-        if self._heard_at_s is None:
-            self._heard_at_s = asyncio.get_running_loop().time()
+        if self._first_poll_at_s is None:
+            self._first_poll_at_s = asyncio.get_running_loop().time()
         for end in self._ended:
             if end.number <= acknowledged:
-                self._ledger_ends[end.number].is_acknowledged = end.number > self._lapsed_ends
+                self._ledger_ends[end.number].is_acknowledged = end.number > self._last_lapsed_end
         self._ended = [end for end in self._ended if end.number > acknowledged]
         if lease_until_ms is not None:
-            self._extend(lease_until_ms)
+            self._extend_lease(lease_until_ms)
         return HostReport(
             self.clock_ms,
             tuple(
@@ -175,15 +175,15 @@
     def resize(self, record: UpstreamHost) -> None:
         """Have another room from now on, as ``record`` says."""
         now_s = asyncio.get_running_loop().time()
-        self._earlier_rooms.append((now_s, self.record.capacity))
+        self._earlier_capacities.append((now_s, self.record.capacity))
         self.record = record
 
-    def _list_known_rooms(self) -> list[Resources]:
+    def _list_assumed_capacities(self) -> list[Resources]:
         """Return the rooms that whoever orders here may believe in: the last ones, and now's."""
         since_s = asyncio.get_running_loop().time() - CAPACITY_KNOWN_AFTER_S
         return [
             self.record.capacity,
-            *(room for at_s, room in self._earlier_rooms if at_s > since_s),
+            *(assumed for at_s, assumed in self._earlier_capacities if at_s > since_s),
         ]
 
     def crash(self) -> None:
@@ -209,12 +209,12 @@
             resources=plan.resources,
         )
         self._ledger.add(ledger_run)
-        present = _Present(order, plan, ledger_run, loop.time())
+        present = _PresentRun(order, plan, ledger_run, loop.time())
         self._present[order.task, order.run] = present
         if self.crashes_all_after_s is not None:
             loop.call_later(self.crashes_all_after_s, self._take_down, self.record.id)
         if plan.crashes_after_s is not None:
-            present.timers.append(loop.call_later(plan.crashes_after_s, self._crash_under, present))
+            present.timers.append(loop.call_later(plan.crashes_after_s, self._crash_host, present))
         if self.fails_all:
             present.timers.append(
                 loop.call_later(0.05, self._end, (order.task, order.run), RunEnd.FAILED)
@@ -229,11 +229,11 @@
         else:
             self._work(present)
 
-    def _crash_under(self, present: _Present) -> None:
+    def _crash_host(self, present: _PresentRun) -> None:
         present.ledger_run.crashed_its_host = True
         self._take_down(self.record.id)
 
-    def _work(self, present: _Present) -> None:
+    def _work(self, present: _PresentRun) -> None:
         """Have a run work until it ends by itself, if it does."""
         order, plan = present.order, present.plan
         if plan.work_s is not None:
@@ -249,7 +249,7 @@
         for timer in present.timers:
             timer.cancel()
         task, run = key
-        self._highest[task] = max(run, self._highest.get(task, 0))
+        self._highest_run[task] = max(run, self._highest_run.get(task, 0))
         self._end_count += 1
         present.ledger_run.ended_at_s = asyncio.get_running_loop().time()
         present.ledger_run.end = end.value
@@ -260,31 +260,31 @@
         if present.plan.gang_size:
             self._gangs.leave(key, end)
 
-    def _is_heard_newly(self) -> bool:
+    def _is_in_stray_window(self) -> bool:
         now_s = asyncio.get_running_loop().time()
-        return self._heard_at_s is None or now_s <= self._heard_at_s + STRAYS_FOR_S
+        return self._first_poll_at_s is None or now_s <= self._first_poll_at_s + STRAY_WINDOW_S
 
     def _check_token(self, token: int) -> None:
         if token < self._token:
             raise HostFencedError("fence")
         self._token = token
 
-    def _extend(self, lease_until_ms: int) -> None:
+    def _extend_lease(self, lease_until_ms: int) -> None:
         lease_until_ms = min(lease_until_ms, self.clock_ms + LEASE_MAX_MS)
         if lease_until_ms <= self._lease_until_ms:
             return
         self._lease_until_ms = lease_until_ms
         delay_s = max(0.0, (lease_until_ms - self.clock_ms) / 1000)
-        asyncio.get_running_loop().call_later(delay_s + 0.001, self._lapse)
+        asyncio.get_running_loop().call_later(delay_s + 0.001, self._end_if_lapsed)
 
-    def _lapse(self) -> None:
+    def _end_if_lapsed(self) -> None:
         if self.is_up and self.clock_ms >= self._lease_until_ms:
             for key in list(self._present):
                 self._end(key, RunEnd.LAPSED)
             # A note of these that comes now does not count: they may have run again.
-            self._lapsed_ends = self._end_count
+            self._last_lapsed_end = self._end_count
 
-    def _progress(self, present: _Present) -> int:
+    def _progress(self, present: _PresentRun) -> int:
         if present.plan.work_s is None:
             return 100
         elapsed_s = asyncio.get_running_loop().time() - present.began_at_s
--- a/src/robinthread/_internal/standins/job_hosts_standin.py
+++ b/src/robinthread/_internal/standins/job_hosts_standin.py
@@ -73,34 +73,38 @@
         """Ask what runs, waiting for an end."""
         self._standin.poll_counts[host.id] += 1
         connections = self._standin.faults.connections
-        began_silences = connections.silences
+        silences_before = connections.silences
         report = await self._call(
-            host, lambda life: life.poll(token, acknowledged, lease_until_ms), is_order=False
+            host,
+            lambda job_host: job_host.poll(token, acknowledged, lease_until_ms),
+            is_order=False,
         )
         if wait_s <= 0 or report.ended:
             return report
         await self._find(host).wait_for_end(wait_s)
-        if connections.silences > began_silences:
+        if connections.silences > silences_before:
             await asyncio.sleep(ORDER_TIMEOUT_S)
             connections.replace_silent(self._caller, host.address)
             raise HostNoAnswerError("silent")
         # What is acknowledged was so when the call came; an end of a later life is not listed.
-        return await self._call(host, lambda life: life.poll(token, 0, None, acknowledged), False)
+        return await self._call(
+            host, lambda job_host: job_host.poll(token, 0, None, acknowledged), False
+        )
 
     async def start(self, host: UpstreamHost, order: StartOrder) -> int:
         """Start a run."""
         sent_to = self._standin.hosts.get(host.address)
-        return await self._call(host, lambda life: life.start(order, life is sent_to))
+        return await self._call(host, lambda job_host: job_host.start(order, job_host is sent_to))
 
     async def stop(self, host: UpstreamHost, task: TaskKey, run: int, token: int) -> None:
         """Stop a run."""
-        await self._call(host, lambda life: life.stop(task, run, token))
+        await self._call(host, lambda job_host: job_host.stop(task, run, token))
 
     async def pace(
         self, host: UpstreamHost, task: TaskKey, run: int, percent: int, token: int
     ) -> None:
         """Slow a run down."""
-        await self._call(host, lambda life: life.pace(token))
+        await self._call(host, lambda job_host: job_host.pace(token))
 
     async def _call(
         self, host: UpstreamHost, work: Callable[[JobHostStandin], T], is_order: bool = True
@@ -126,9 +130,9 @@
             raise HostNoAnswerError("no answer") from error
 
     def _find(self, host: UpstreamHost) -> JobHostStandin:
-        life = self._standin.hosts.get(host.address)
-        if life is None or not life.is_up:
+        job_host = self._standin.hosts.get(host.address)
+        if job_host is None or not job_host.is_up:
             raise HostRefusedError("nobody listens")
-        if life.record.id != host.id:
+        if job_host.record.id != host.id:
             raise HostGoneError("another life")
-        return life
+        return job_host
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -26,7 +26,7 @@
         self.workspaces: dict[str, str] = {}
         self.over_limit: list[str] = []
         self._limits: list[tuple[float, dict[str, Resources]]] = []
-        self._open: dict[str, list[RunningTask]] = {}
+        self._running: dict[str, list[RunningTask]] = {}
 
     def record_limits(self, limits: dict[str, Resources], now_s: float) -> None:
         """Note the limits that are in force from now on."""
@@ -34,8 +34,8 @@
 
     def get_running(self, workspace: str) -> Resources:
         """Return what a workspace has running."""
-        running = [run for run in self._open.get(workspace, ()) if run.ended_at_s is None]
-        self._open[workspace] = running
+        running = [run for run in self._running.get(workspace, ()) if run.ended_at_s is None]
+        self._running[workspace] = running
         return sum((run.resources for run in running), start=NO_RESOURCES)
 
     def record_start(self, job_id: str, run: RunningTask, now_s: float) -> None:
@@ -44,15 +44,18 @@
         if workspace is None:
             return
         after = self.get_running(workspace) + run.resources
-        self._open[workspace].append(run)
-        part = min(
-            (after.get_utilization(limit) for limit in self._list_in_force(workspace, now_s)),
+        self._running[workspace].append(run)
+        usage = min(
+            (
+                after.get_utilization(limit)
+                for limit in self._list_possible_limits(workspace, now_s)
+            ),
             default=0.0,
         )
-        if part > 1.0:
-            self.over_limit.append(f"{workspace} has {part:.3f} of its limit at {now_s:.2f} s")
+        if usage > 1.0:
+            self.over_limit.append(f"{workspace} has {usage:.3f} of its limit at {now_s:.2f} s")
 
-    def _list_in_force(self, workspace: str, now_s: float) -> list[Resources]:
+    def _list_possible_limits(self, workspace: str, now_s: float) -> list[Resources]:
         """List the limits that may be in force: the last one, and those replaced of late."""
         replaced_at_s = [at_s for at_s, _limits in self._limits[1:]] + [math.inf]
         return [
--- a/src/robinthread/_internal/standins/log_standin.py
+++ b/src/robinthread/_internal/standins/log_standin.py
@@ -49,31 +49,31 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append ``data`` and return its offset."""
-        await self._meet_faults()
+        await self._apply_faults()
         self._count_in_window()
-        found = self._get_stream(stream)
-        offset = found.next_offset
-        found.records.append(LogRecord(offset, data))
-        found.next_offset += 1
+        stream_data = self._get_stream(stream)
+        offset = stream_data.next_offset
+        stream_data.records.append(LogRecord(offset, data))
+        stream_data.next_offset += 1
         self.appends_count += 1
         self.bytes_count += len(data)
-        self._expire(found)
-        found.grown.set()
-        found.grown = asyncio.Event()
+        self._expire(stream_data)
+        stream_data.grown.set()
+        stream_data.grown = asyncio.Event()
         if self._random.random() < self.faults.lost_reply_share:
             raise LogReplyLostError("the reply was lost")
         return offset
 
     async def read(self, stream: str, from_offset: int, max_records: int, wait_s: float) -> LogPage:
         """Return records from ``from_offset`` on, waiting up to ``wait_s`` for the first."""
-        await self._meet_faults()
-        found = self._get_stream(stream)
-        if from_offset >= found.next_offset and wait_s > 0:
-            await wait_for_event(found.grown, wait_s)
-            await self._meet_faults()
-        start = max(0, from_offset - found.first_offset)
-        records = tuple(found.records[start : start + max_records])
-        return LogPage(records, found.first_offset, found.next_offset)
+        await self._apply_faults()
+        stream_data = self._get_stream(stream)
+        if from_offset >= stream_data.next_offset and wait_s > 0:
+            await wait_for_event(stream_data.grown, wait_s)
+            await self._apply_faults()
+        start = max(0, from_offset - stream_data.first_offset)
+        records = tuple(stream_data.records[start : start + max_records])
+        return LogPage(records, stream_data.first_offset, stream_data.next_offset)
 
     def make_service(self) -> LogService:
         """Return the stand-in's calls as a service."""
@@ -97,7 +97,7 @@
         if self._window_appends > self._appends_per_s:
             raise LogUnavailableError("append rate exceeded")
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.is_out:
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -58,7 +58,7 @@
     shows the machine as ``state_before_host`` until then.
     """
 
-    def __init__(self, reserve: str, lives: HostLifecycle, seed: int = 1) -> None:
+    def __init__(self, reserve: str, host_lifecycle: HostLifecycle, seed: int = 1) -> None:
         self.faults = CallFaults(seed, LATENCY_S)
         self.machines: dict[str, _MachineRecord] = {}
         self.waves = WaveLedger()
@@ -66,9 +66,9 @@
         self.state_before_host = MachineState.UP
         self._list_lag_s = 0.0
         self.move_count = 0
-        self._lists: deque[tuple[float, tuple[Machine, ...]]] = deque()
+        self._past_lists: deque[tuple[float, tuple[Machine, ...]]] = deque()
         self._reserve = reserve
-        self._lives = lives
+        self._host_lifecycle = host_lifecycle
         self._names = itertools.count()
 
     def add(self, pool: str, rack: str, capacity: Resources) -> str:
@@ -84,7 +84,7 @@
         for record in self.machines.values():
             if record.host_id == host_id:
                 record.host_id, record.state, record.crashed_id = "", MachineState.DOWN, host_id
-                self._note_changed()
+                self._save_list()
 
     def restart(self, host_id: str) -> None:
         """Have the machine of a host that has crashed come up again."""
@@ -118,16 +118,16 @@
     def delay_lists(self, lag_s: float) -> None:
         """Have lists show the machines as they were ``lag_s`` ago."""
         self._list_lag_s = lag_s
-        self._note_changed()
+        self._save_list()
 
     def list_machines(self) -> tuple[Machine, ...]:
         """Return the machines as the list shows them now."""
         if not self._list_lag_s:
             return self._make_list()
-        shown_s = asyncio.get_running_loop().time() - self._list_lag_s
-        while len(self._lists) > 1 and self._lists[1][0] <= shown_s:
-            self._lists.popleft()
-        return self._lists[0][1]
+        as_of_s = asyncio.get_running_loop().time() - self._list_lag_s
+        while len(self._past_lists) > 1 and self._past_lists[1][0] <= as_of_s:
+            self._past_lists.popleft()
+        return self._past_lists[0][1]
 
     def _make_list(self) -> tuple[Machine, ...]:
         return tuple(
@@ -144,10 +144,10 @@
             for record in self.machines.values()
         )
 
-    def _note_changed(self) -> None:
+    def _save_list(self) -> None:
         """Keep the list as it is from now on, for those that are told later."""
         if self._list_lag_s:
-            self._lists.append((asyncio.get_running_loop().time(), self._make_list()))
+            self._past_lists.append((asyncio.get_running_loop().time(), self._make_list()))
 
     def _check(self, machine: str, holder: str, token: int) -> _MachineRecord:
         record = self.machines.get(machine)
@@ -164,27 +164,27 @@
 
     def _go_down(self, record: _MachineRecord, state: MachineState, for_s: float) -> None:
         if record.host_id:
-            self._lives.end(record.host_id)
+            self._host_lifecycle.end(record.host_id)
         record.host_id, record.state = "", state
-        self._note_changed()
+        self._save_list()
         has_host = record.pool != self._reserve
-        come = self._show_early if has_host and self.host_late_s else self._come_up
-        asyncio.get_running_loop().call_later(for_s, come, record)
+        next_step = self._show_early if has_host and self.host_late_s else self._come_up
+        asyncio.get_running_loop().call_later(for_s, next_step, record)
 
     def _show_early(self, record: _MachineRecord) -> None:
         """Show a machine before its host has come."""
         record.state = self.state_before_host
-        self._note_changed()
+        self._save_list()
         asyncio.get_running_loop().call_later(self.host_late_s, self._come_up, record)
 
     def _come_up(self, record: _MachineRecord) -> None:
         record.state = MachineState.UP
         if record.pool != self._reserve:
-            record.host_id = self._lives.begin(
+            record.host_id = self._host_lifecycle.begin(
                 record.name, record.pool, record.rack, record.capacity
             )
         self.waves.record_return(record.name)
-        self._note_changed()
+        self._save_list()
 
 
 class MachinesClient:
--- a/src/robinthread/_internal/standins/member_group.py
+++ b/src/robinthread/_internal/standins/member_group.py
@@ -32,38 +32,38 @@
 
     def join(self, member: str, topics: tuple[str, ...], ttl_s: float) -> None:
         """Join, or stay."""
-        before = self._members.get(member)
+        previous = self._members.get(member)
         now_s = asyncio.get_running_loop().time()
         self._members[member] = _Membership(topics, now_s, ttl_s)
-        if before is None or before.topics != topics:
-            self._deal()
+        if previous is None or previous.topics != topics:
+            self._assign_partitions()
 
     def leave(self, member: str) -> None:
         """Leave."""
         if self._members.pop(member, None) is not None:
-            self._deal()
+            self._assign_partitions()
 
     def remove_expired(self) -> None:
         """Drop the members that have been silent for longer than they may."""
         now_s = asyncio.get_running_loop().time()
-        lapsed = [
+        expired = [
             name for name, found in self._members.items() if now_s - found.seen_at_s > found.ttl_s
         ]
-        for name in lapsed:
+        for name in expired:
             del self._members[name]
-        if lapsed:
-            self._deal()
+        if expired:
+            self._assign_partitions()
 
     def list_holders(self) -> frozenset[str]:
         """List the members that hold a partition of any topic."""
         return frozenset(name for held in self._holders.values() for name in held if name)
 
-    def _deal(self) -> None:
+    def _assign_partitions(self) -> None:
         self.generation += 1
         topics = {topic for found in self._members.values() for topic in found.topics}
-        self._holders = {topic: self._deal_topic(topic) for topic in sorted(topics)}
+        self._holders = {topic: self._assign_topic(topic) for topic in sorted(topics)}
 
-    def _deal_topic(self, topic: str) -> list[str | None]:
+    def _assign_topic(self, topic: str) -> list[str | None]:
         """Return the holder of each partition of a topic."""
         members = [name for name, found in self._members.items() if topic in found.topics]
         least, larger_count = divmod(TOPIC_PARTITIONS, len(members))
@@ -72,13 +72,13 @@
         for holder in self._holders.get(topic, [None] * TOPIC_PARTITIONS):
             may_keep_more = sum(count > least for count in counts.values()) < larger_count
             share = least + may_keep_more
-            is_kept = holder is not None and holder in members and counts[holder] < share
-            holders.append(holder if is_kept else None)
-            if holder is not None and is_kept:
+            stays = holder is not None and holder in members and counts[holder] < share
+            holders.append(holder if stays else None)
+            if holder is not None and stays:
                 counts[holder] += 1
         ranked = sorted(members, key=lambda name: zlib.crc32(f"{topic}/{name}".encode()))
         for partition in (number for number, holder in enumerate(holders) if holder is None):
-            taker = min(ranked, key=lambda name: counts[name])
-            holders[partition] = taker
-            counts[taker] += 1
+            assignee = min(ranked, key=lambda name: counts[name])
+            holders[partition] = assignee
+            counts[assignee] += 1
         return holders
--- a/src/robinthread/_internal/standins/open_connections.py
+++ b/src/robinthread/_internal/standins/open_connections.py
@@ -23,11 +23,11 @@
     def use(self, caller: str, target: str) -> bool:
         """Have a caller use a connection, a new one where none is open; tell if it is silent."""
         now_s = asyncio.get_running_loop().time()
-        way = (caller, target)
-        if now_s - self._used_at_s.get(way, now_s) > IDLE_MAX_S:
-            self._silent.discard(way)
-        self._used_at_s[way] = now_s
-        return way in self._silent
+        route = (caller, target)
+        if now_s - self._used_at_s.get(route, now_s) > IDLE_MAX_S:
+            self._silent.discard(route)
+        self._used_at_s[route] = now_s
+        return route in self._silent
 
     def silence(self) -> None:
         """Have all open connections go silent."""
@@ -40,6 +40,6 @@
 
     def close(self, name: str) -> None:
         """Close all connections from and to one that ends."""
-        for way in [way for way in self._used_at_s if name in way]:
-            del self._used_at_s[way]
-            self._silent.discard(way)
+        for route in [route for route in self._used_at_s if name in route]:
+            del self._used_at_s[route]
+            self._silent.discard(route)
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -119,24 +119,24 @@
         if peer is None or {self._caller, address} & self._platform.cut_nodes:
             raise PeerUnsentError(address)
         connections = self._platform.peer_connections
-        began_silences = connections.silences
+        silences_before = connections.silences
         is_silent = connections.use(self._caller, address)
         try:
             async with asyncio.timeout(timeout_s):
                 if is_silent:
-                    await _wait_for_ever()
+                    await _wait_forever()
                 if self._platform.charge_request is not None:
                     await self._platform.charge_request(address)
-                answer = await peer.assembled.request_handler.handle(request)
-                if connections.silences > began_silences:
-                    await _wait_for_ever()
+                response = await peer.assembled.request_handler.handle(request)
+                if connections.silences > silences_before:
+                    await _wait_forever()
         except TimeoutError as error:
             connections.replace_silent(self._caller, address)
             raise PeerUnreachableError(address) from error
-        return answer  # type: ignore[return-value]
+        return response  # type: ignore[return-value]
 
 
-async def _wait_for_ever() -> None:
+async def _wait_forever() -> None:
     await asyncio.Event().wait()
 
 
@@ -155,7 +155,7 @@
     REPORT = "report"
 
 
-class _Lives(HostLifecycle):
+class _HostIncarnations(HostLifecycle):
     """Lives of hosts: an address, an entry in the store, and an end."""
 
     def __init__(self, platform: "PlatformStandin") -> None:
@@ -223,7 +223,7 @@
         self.plan_task = plan_task
         self.store = StoreStandin(seed)
         self.hosts = JobHostsStandin(seed)
-        self.machines = MachinesStandin(RESERVE, _Lives(self), seed)
+        self.machines = MachinesStandin(RESERVE, _HostIncarnations(self), seed)
         self.advice = AdviceStandin()
         self.requires_tickets = False
         self.host_replacement_s = HOST_REPLACEMENT_S
@@ -238,7 +238,7 @@
         self.request_counts: Counter[str] = Counter()
         self.charge_request: ProcessorCharge | None = None
         self.events: list[bytes] = []
-        self._lives = itertools.count(1)
+        self._incarnation_numbers = itertools.count(1)
 
     def get_wall_ms(self) -> int:
         """Return the time of day of hosts."""
@@ -291,12 +291,12 @@
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 host.crash()
-        asyncio.get_running_loop().call_later(ENTRY_EXPIRES_AFTER_S, self._lapse_entry, host_id)
+        asyncio.get_running_loop().call_later(ENTRY_EXPIRES_AFTER_S, self._expire_entry, host_id)
 
-    def _lapse_entry(self, host_id: str) -> None:
+    def _expire_entry(self, host_id: str) -> None:
         """Drop the entry of a host, unless it lives again under its id."""
-        lives = (host for host in self.hosts.hosts.values() if host.record.id == host_id)
-        if not any(host.is_up for host in lives):
+        incarnations = (host for host in self.hosts.hosts.values() if host.record.id == host_id)
+        if not any(host.is_up for host in incarnations):
             self.unlist_host(host_id)
 
     def resize_host(self, host_id: str, capacity: Resources) -> None:
@@ -318,7 +318,9 @@
         """Start a node, in a new life."""
         # The loop's clock begins at 0, which stands for a process that does not tell.
         started_at_ms = 1 + int(asyncio.get_running_loop().time() * 1000)
-        me = Member(name, f"life{next(self._lives)}", name, capacity_millicores, started_at_ms)
+        member = Member(
+            name, f"life{next(self._incarnation_numbers)}", name, capacity_millicores, started_at_ms
+        )
         environment = NodeEnvironment(
             store=self.store.connect(name),
             hosts=self.hosts.connect(name),
@@ -332,7 +334,7 @@
         )
         settings = make_settings(name)
         holder = SettingsHolder(settings, lambda: settings, environment.events)
-        node = RunningNode(name, assemble_node(holder, environment, me))
+        node = RunningNode(name, assemble_node(holder, environment, member))
         self.nodes[name] = node
         return node
 
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -13,7 +13,7 @@
 
 # From the first look at a life until what was meant for the one before is rejected there: a look
 # that shows it, and a stop, of which two may go unanswered.
-STRAYS_FOR_S: Final = 1.2
+STRAY_WINDOW_S: Final = 1.2
 # A stray beside another run is stopped once its host has been heard: the longest pause between
 # two looks (1 s), the stop, and what a lost answer to it takes.
 STRAY_MAX_S: Final = 2.5
@@ -25,7 +25,7 @@
 
     ``is_acknowledged`` tells that note was taken of its end, and before its host's lease lapsed,
     ``crashed_its_host`` that it took its host down.  One that ``is_stray`` began on an order that
-    was meant for the life before, until ``STRAYS_FOR_S`` after its host was first heard: no order
+    was meant for the life before, until ``STRAY_WINDOW_S`` after its host was first heard: no order
     of ours can prevent that, only end it.
     """
 
@@ -68,12 +68,14 @@
             breaks += [
                 f"{run.task} run {run.number} on {run.host_id}, a stray, was not stopped"
                 for run in all_runs
-                if run.is_stray and _get_length_s(run) > STRAY_MAX_S and _is_beside(run, all_runs)
+                if run.is_stray
+                and _get_duration_s(run) > STRAY_MAX_S
+                and _overlaps_another_run(run, all_runs)
             ]
             runs = [run for run in all_runs if not run.is_stray]
             runs.sort(key=lambda run: run.began_at_s)
             for earlier, later in itertools.pairwise(runs):
-                breaks += _compare(earlier, later)
+                breaks += _check_successive(earlier, later)
             breaks += self._find_late_starts(runs, cancel_s)
         return breaks
 
@@ -94,11 +96,11 @@
         ]
 
 
-def _get_length_s(run: LedgerRun) -> float:
+def _get_duration_s(run: LedgerRun) -> float:
     return math.inf if run.ended_at_s is None else run.ended_at_s - run.began_at_s
 
 
-def _is_beside(stray: LedgerRun, runs: Iterable[LedgerRun]) -> bool:
+def _overlaps_another_run(stray: LedgerRun, runs: Iterable[LedgerRun]) -> bool:
     """Tell whether a stray is not the one run of its task: another went on, or had done it."""
     return any(
         run is not stray
@@ -112,7 +114,7 @@
     )
 
 
-def _compare(earlier: LedgerRun, later: LedgerRun) -> list[str]:
+def _check_successive(earlier: LedgerRun, later: LedgerRun) -> list[str]:
     ended_at_s = earlier.ended_at_s
     if ended_at_s is None or later.began_at_s < ended_at_s:
         return [
--- a/src/robinthread/_internal/standins/store_standin.py
+++ b/src/robinthread/_internal/standins/store_standin.py
@@ -47,7 +47,7 @@
 class _Writer:
     epoch: int = -1
     sequence: int | None = None
-    answers: dict[int, AppendResult] = field(default_factory=dict)
+    responses: dict[int, AppendResult] = field(default_factory=dict)
 
 
 class _Log:
@@ -86,14 +86,14 @@
             self.writers[stamp.name] = writer = _Writer(stamp.epoch)
         if not records:
             return AppendResult(self.end, self.end)
-        if stamp.sequence in writer.answers:
-            return writer.answers[stamp.sequence]
+        if stamp.sequence in writer.responses:
+            return writer.responses[stamp.sequence]
         if writer.sequence is not None and stamp.sequence != writer.sequence + 1:
             raise StoreSequenceError(writer.sequence + 1)
         writer.sequence = stamp.sequence
-        answer = writer.answers[stamp.sequence] = self.append(records)
-        writer.answers.pop(stamp.sequence - RESPONSES_RETAINED, None)
-        return answer
+        response = writer.responses[stamp.sequence] = self.append(records)
+        writer.responses.pop(stamp.sequence - RESPONSES_RETAINED, None)
+        return response
 
     def expire(self) -> None:
         self.first = self.end
@@ -119,7 +119,7 @@
         self.unreadable_topics: set[str] = set()
         self.reads: Counter[tuple[str, str]] = Counter()
         self.append_duration_s = 0.0
-        self._turns_over_at_s: dict[Partition, float] = {}
+        self._appends_done_at_s: dict[Partition, float] = {}
 
     def connect(self, caller: str) -> "StoreClient":
         """Return the store as one caller sees it."""
@@ -130,11 +130,11 @@
         if not self.append_duration_s:
             return
         loop = asyncio.get_running_loop()
-        begins_in_s = max(0.0, self._turns_over_at_s.get(partition, 0.0) - loop.time())
-        if begins_in_s > TURN_WAIT_MAX_S:
+        starts_in_s = max(0.0, self._appends_done_at_s.get(partition, 0.0) - loop.time())
+        if starts_in_s > TURN_WAIT_MAX_S:
             raise StoreRefusedError("too many wait")
-        takes_s = begins_in_s + self.append_duration_s
-        self._turns_over_at_s[partition] = loop.time() + takes_s
+        takes_s = starts_in_s + self.append_duration_s
+        self._appends_done_at_s[partition] = loop.time() + takes_s
         if takes_s <= CALL_TIMEOUT_S:
             await asyncio.sleep(takes_s)
             return
@@ -212,11 +212,11 @@
     ) -> ReadPage:
         """Read from an offset, waiting for a record."""
         page = await self._read(partition, from_offset, wait_s)
-        await self._carry(page.records, timeout_s or READ_TIMEOUT_S)
+        await self._wait_for_link(page.records, timeout_s or READ_TIMEOUT_S)
         return page
 
     async def _read(self, partition: Partition, from_offset: int, wait_s: float) -> ReadPage:
-        await self._find_readable(partition)
+        await self._count_read(partition)
         log = self._standin.get_log(partition)
 
         def work() -> ReadPage:
@@ -226,12 +226,12 @@
             return ReadPage(records, from_offset + len(records), log.end)
 
         connections = self._standin.faults.connections
-        began_silences = connections.silences
+        silences_before = connections.silences
         page = await self._call(work, is_change=False)
         if page.records or wait_s <= 0:
             return page
         is_grown = await wait_for_event(log.grown, wait_s)
-        if connections.silences > began_silences:
+        if connections.silences > silences_before:
             await asyncio.sleep(CALL_TIMEOUT_S)
             connections.replace_silent(self._caller, "")
             raise StoreNoAnswerError("silent")
@@ -241,7 +241,7 @@
         self, partition: Partition, after_key: str, timeout_s: float
     ) -> NewestPage:
         """Read a page of the newest record of each key."""
-        await self._find_readable(partition)
+        await self._count_read(partition)
         log = self._standin.get_log(partition)
 
         def work() -> NewestPage:
@@ -251,17 +251,17 @@
             return NewestPage(page, log.end, page[-1].key if len(keys) > len(page) else "")
 
         found = await self._call(work, is_change=False)
-        await self._carry(found.records, timeout_s)
+        await self._wait_for_link(found.records, timeout_s)
         return found
 
-    async def _find_readable(self, partition: Partition) -> None:
+    async def _count_read(self, partition: Partition) -> None:
         """Count a read, and fail where the partition's topic can't be read."""
         self._standin.reads[self._caller, partition.topic] += 1
         if partition.topic in self._standin.unreadable_topics:
             await asyncio.sleep(CALL_TIMEOUT_S)
             raise StoreNoAnswerError("unreadable")
 
-    async def _carry(self, records: Sequence[KeyedRecord], timeout_s: float) -> None:
+    async def _wait_for_link(self, records: Sequence[KeyedRecord], timeout_s: float) -> None:
         """Wait for as long as an answer takes over the caller's link."""
         link_bytes_per_s = self._standin.link_bytes_per_s.get(self._caller)
         if link_bytes_per_s is None:
--- a/src/robinthread/_internal/standins/upstreams_standin.py
+++ b/src/robinthread/_internal/standins/upstreams_standin.py
@@ -31,7 +31,7 @@
         await gate.wait()
         # A worker works on when its caller dies, so the run is a task of its own.
         work = asyncio.get_running_loop().create_task(get_worker(address).run(task, timeout_s))
-        work.add_done_callback(_note_retrieved)
+        work.add_done_callback(_retrieve_exception)
         reply = await asyncio.shield(work)
         await gate.wait()
         if not can_reach(address):
@@ -49,7 +49,7 @@
     return UpstreamService(run, control, report)
 
 
-def _note_retrieved(work: asyncio.Task[WorkerReply]) -> None:
+def _retrieve_exception(work: asyncio.Task[WorkerReply]) -> None:
     """Keep the loop from reporting errors of runs whose caller has died."""
     if not work.cancelled():
         work.exception()
--- a/src/robinthread/_internal/standins/wave_ledger.py
+++ b/src/robinthread/_internal/standins/wave_ledger.py
@@ -39,13 +39,13 @@
         self._down.add(machine)
         self.down_peak[number] = max(down + 1, self.down_peak.get(number, 0))
         if wave is not None and down >= wave.at_once_max:
-            self._note_break(f"{machine} by {holder}: {down} of wave {number} are down")
+            self._report_violation(f"{machine} by {holder}: {down} of wave {number} are down")
 
     def record_return(self, machine: str) -> None:
         """Take in that a machine's host is back, or that the machine has come into the reserve."""
         self._down.discard(machine)
 
-    def _note_break(self, text: str) -> None:
+    def _report_violation(self, text: str) -> None:
         loop = asyncio.get_running_loop()
         self.violations.append(f"{loop.time():.3f} s: {text}")
         error = WaveBoundError(self.violations[-1])
--- a/src/robinthread/_internal/standins/worker_standin.py
+++ b/src/robinthread/_internal/standins/worker_standin.py
@@ -97,7 +97,7 @@
         return WorkerReport(boot_id, len(self._running), self.token)
 
     async def _run(self, task: Task) -> WorkerReply:
-        refusal = self._refuse(task)
+        refusal = self._check_admission(task)
         if refusal is not None:
             return refusal
         self.token = max(self.token, task.token)
@@ -119,7 +119,7 @@
         finally:
             self._running.pop(task.id, None)
 
-    def _refuse(self, task: Task) -> WorkerReply | None:
+    def _check_admission(self, task: Task) -> WorkerReply | None:
         if task.token < self.token:
             self._ledger.refused_stale_count += 1
             return make_reply(ReplyStatus.NOT_STARTED, task.id, b"stale token")
@@ -132,11 +132,11 @@
         job = parse_job(task.body)
         if 0 < job.deadline_at_s < EPOCH_S + asyncio.get_running_loop().time():
             self._ledger.started_after_deadline_count += 1
-        left_s = max(0.0, job.run_s - running.done_before_s)
+        remaining_s = max(0.0, job.run_s - running.done_before_s)
         if self.mode is WorkerMode.HANGS:
-            left_s = 1e9
-        if left_s:
-            await wait_for_event(running.interrupted, left_s)
+            remaining_s = 1e9
+        if remaining_s:
+            await wait_for_event(running.interrupted, remaining_s)
         if running.action is ControlAction.CHECKPOINT:
             self._ledger.checkpointed[task.key] += 1
             done_s = running.done_before_s + _get_elapsed_s(running)
@@ -184,16 +184,16 @@
         """Lose all running tasks and stay down until ``mode`` is changed."""
         self.mode = WorkerMode.DOWN
         self._is_crashed = True
-        self._cut_running()
+        self._interrupt_all()
 
-    def _cut_running(self) -> None:
+    def _interrupt_all(self) -> None:
         for running in self._running.values():
             running.action = ControlAction.REBOOT
             running.interrupted.set()
 
     def _start_reboot(self) -> ControlReply:
         self._is_crashed = False
-        self._cut_running()
+        self._interrupt_all()
         if self._reboot is None or self._reboot.done():
             self.mode = WorkerMode.DOWN
             self._reboot = asyncio.get_running_loop().create_task(self._come_back())
--- a/src/robinthread/_internal/waves/host_maintenance.py
+++ b/src/robinthread/_internal/waves/host_maintenance.py
@@ -43,7 +43,7 @@
         self._settings = settings
         self._move_overdue = move_overdue
 
-    async def carry(self, name: str) -> None:
+    async def advance(self, name: str) -> None:
         """Take one host through the steps that are left for it."""
         steps = {
             HostPhase.PERMITTED: self._start_drain,
@@ -70,7 +70,7 @@
             dispatcher = self._context.get_dispatchers().get(host.pool)
             if dispatcher is not None:
                 self._move_overdue(dispatcher, (host.name,))
-            if not self._is_still(host):
+            if not self._is_unchanged(host):
                 return False
             idle = host.slots - self._count_in_use(host)
             await asyncio.sleep(DRAINED_CHECK_S)
@@ -84,7 +84,7 @@
         started_at_s = asyncio.get_running_loop().time()
         if await read_boot_id(self._context, host) == host.boot_id:
             await reboot(self._context, host)
-        while self._is_still(host):
+        while self._is_unchanged(host):
             boot_id = await read_boot_id(self._context, host)
             if boot_id and boot_id != host.boot_id:
                 self._context.events.note("returned", host.name, host.wave)
@@ -116,7 +116,7 @@
         slots = dispatcher.hosts.get(host.name) if dispatcher else None
         return slots.in_use if slots else 0
 
-    def _is_still(self, host: Host) -> bool:
+    def _is_unchanged(self, host: Host) -> bool:
         current = self._context.get_state().hosts.get(host.name)
         return (
             current is not None
--- a/src/robinthread/_internal/waves/policy.py
+++ b/src/robinthread/_internal/waves/policy.py
@@ -38,11 +38,11 @@
 
     def plan(view: PoolView) -> PolicyChoice:
         ordered = sorted(view.waiting, key=_get_leaving_order)
-        leaving = _take_leaving(view, ordered)
-        steer = _take_steered(view, ordered, max(1, len(leaving)))
+        leaving = _select_leaving(view, ordered)
+        steered = _select_steered(view, ordered, max(1, len(leaving)))
         permit = tuple(host.name for host in leaving if _is_worth_permit(settings, host))
         return PolicyChoice(
-            steer,
+            steered,
             permit,
             tuple(host.name for host in ordered),
             tuple(host.name for host in leaving),
@@ -59,8 +59,8 @@
         size = get_size(len(names))
         batches = (names[start : start + size] for start in range(0, len(names), size))
         current = next((batch for batch in batches if not view.wave_done.issuperset(batch)), [])
-        here = {host.name for host in view.waiting}
-        return PolicyChoice((), tuple(name for name in current if name in here))
+        waiting_names = {host.name for host in view.waiting}
+        return PolicyChoice((), tuple(name for name in current if name in waiting_names))
 
     return plan
 
@@ -70,7 +70,7 @@
     return (bool(host.residuals_s), -host.steered_s, host.drain_s, host.rack, host.name)
 
 
-def _take_leaving(view: PoolView, ordered: Iterable[HostView]) -> list[HostView]:
+def _select_leaving(view: PoolView, ordered: Iterable[HostView]) -> list[HostView]:
     """Return the hosts, best first, that the budget lets go together now."""
     leaving: list[HostView] = []
     for host in ordered:
@@ -80,16 +80,16 @@
     return leaving
 
 
-def _take_steered(view: PoolView, ordered: list[HostView], wanted: int) -> tuple[str, ...]:
+def _select_steered(view: PoolView, ordered: list[HostView], wanted: int) -> tuple[str, ...]:
     """Return the hosts to empty ahead of their turn, as far as free slots allow."""
-    steer: list[str] = []
+    steered: list[str] = []
     spare = view.slots_free
     for host in ordered:
         spare -= host.slots
-        if steer and (spare < 0 or len(steer) >= wanted + view.away_count):
+        if steered and (spare < 0 or len(steered) >= wanted + view.away_count):
             break
-        steer.append(host.name)
-    return tuple(steer)
+        steered.append(host.name)
+    return tuple(steered)
 
 
 def _is_worth_permit(settings: WaveSettings, host: HostView) -> bool:
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -81,10 +81,10 @@
         """Look for work until cancelled."""
         while True:
             if self._context.is_fresh():
-                await self._ask_permits()
+                await self._request_permits()
                 await self._assign_arrivals()
             self._start_tasks()
-            await self._empty_leaving()
+            await self._drain_leaving_hosts()
             await asyncio.sleep(self._settings.steward_interval_s)
 
     def close(self) -> None:
@@ -92,20 +92,20 @@
         for task in self._tasks.values():
             task.cancel()
 
-    async def _ask_permits(self) -> None:
+    async def _request_permits(self) -> None:
         state = self._context.get_state()
         running = [wave for wave in state.waves.values() if wave.state is WaveState.RUNNING]
         turns = [(wave, pool) for wave in running for pool in self._list_pools(state, wave)]
         self._stop_steering({pool for _, pool in turns})
         for wave, pool in turns:
-            await self._ask_for_pool(wave, pool)
+            await self._request_pool_permits(wave, pool)
 
     def _stop_steering(self, pools_in_waves: set[str]) -> None:
         for pool, dispatcher in self._context.get_dispatchers().items():
             if pool not in pools_in_waves:
                 dispatcher.steer((), (), frozenset())
 
-    async def _ask_for_pool(self, wave: Wave, pool: str) -> None:
+    async def _request_pool_permits(self, wave: Wave, pool: str) -> None:
         """Steer work and ask for permits as the policy chooses."""
         view = self._make_view(wave, pool)
         choice = self._policy(view)
@@ -116,7 +116,7 @@
         for name in choice.permit:
             state = self._context.get_state()
             host = state.hosts.get(name)
-            if host is None or not _would_hold(state, pool, (name,)):
+            if host is None or not _is_budget_met_without(state, pool, (name,)):
                 continue
             result = await self._context.publish(DrainPermitted(name, wave.name, host.token))
             if not isinstance(result, Success):
@@ -136,7 +136,7 @@
             dispatcher.count_idle_slots() if dispatcher else 0,
             wave.hosts,
             wave.done,
-            lambda names: _would_hold(state, pool, names),
+            lambda names: _is_budget_met_without(state, pool, names),
         )
 
     async def _assign_arrivals(self) -> None:
@@ -158,10 +158,10 @@
             for _, host in sorted(state.hosts.items())
             if host.hall == wave.to_hall and host.phase is HostPhase.FREE and host.name not in busy
         ]
-        there = sum(
+        assigned_count = sum(
             host.pool == wave.to_pool and host.hall == wave.to_hall for host in state.hosts.values()
         )
-        for host in free[: max(0, wave.to_count - there)]:
+        for host in free[: max(0, wave.to_count - assigned_count)]:
             if await read_boot_id(self._context, host):
                 await self._context.publish(HostAssigned(host.name, wave.to_pool))
 
@@ -181,7 +181,7 @@
         }
         return tuple(sorted(pool for pool in pools if self._context.owns_pool(pool)))
 
-    async def _empty_leaving(self) -> None:
+    async def _drain_leaving_hosts(self) -> None:
         """Fence hosts that the platform takes away, and move what outlasts the wait."""
         for host in tuple(self._context.get_state().hosts.values()):
             dispatcher = self._context.get_dispatchers().get(host.pool)
@@ -200,7 +200,7 @@
             task = self._tasks.get(host.name)
             if is_held and self._context.owns_pool(host.pool) and (task is None or task.done()):
                 self._tasks[host.name] = asyncio.get_running_loop().create_task(
-                    self._maintenance.carry(host.name)
+                    self._maintenance.advance(host.name)
                 )
 
     def _move_overdue(self, dispatcher: Dispatcher, names: tuple[str, ...]) -> None:
@@ -237,7 +237,7 @@
             self._context.tell_holder(lease.holder_address, Preempt(lease.id))
 
 
-def _would_hold(state: FleetState, pool: str, names: tuple[str, ...]) -> bool:
+def _is_budget_met_without(state: FleetState, pool: str, names: tuple[str, ...]) -> bool:
     """Tell whether the pool's budget holds without the named hosts."""
     found = state.pools.get(pool)
     if found is None:
