--- a/tests/unit/test_noted_ends.py
+++ b/tests/unit/test_noted_ends.py
@@ -20,7 +20,7 @@
 
 
 class NotedEndsTest(TestCase):
-    def _count_breaks(self, noted_at_s: float) -> int:
+    def _count_violations(self, acknowledged_at_s: float) -> int:
         """Note a run's end at a time, and run its task again."""
 
         async def work() -> int:
@@ -30,7 +30,7 @@
             )
             host = JobHostStandin(record, ledger, lambda task: TaskPlan(WORK_S), GangRegistry())
             host.start(StartOrder(TASK, 1, "", LEASE_MS, 1))
-            await asyncio.sleep(noted_at_s)
+            await asyncio.sleep(acknowledged_at_s)
             host.poll(1, 1, 3 * LEASE_MS)
             host.start(StartOrder(TASK, 2, "", 3 * LEASE_MS, 1))
             await asyncio.sleep(WORK_S)
@@ -38,8 +38,8 @@
 
         return run_virtual(work())
 
-    def test_run_after_an_end_that_was_noted_breaks_a_promise(self) -> None:
-        self.assertEqual(1, self._count_breaks(0.9))
+    def test_run_after_an_acknowledged_end_is_a_violation(self) -> None:
+        self.assertEqual(1, self._count_violations(0.9))
 
-    def test_run_after_an_end_whose_lease_lapsed_before_its_note_is_allowed(self) -> None:
-        self.assertEqual(0, self._count_breaks(1.1))
+    def test_run_after_an_end_acknowledged_after_its_lease_lapsed_is_allowed(self) -> None:
+        self.assertEqual(0, self._count_violations(1.1))
