--- a/src/robinthread/_internal/standins/__init__.py
+++ b/src/robinthread/_internal/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, used by the demo and the tests."""
+"""In-memory stand-ins for the platform, used by the demo, the benches and the tests."""
--- a/src/robinthread/_internal/standins/advice_standin.py
+++ b/src/robinthread/_internal/standins/advice_standin.py
@@ -1,4 +1,4 @@
-"""The service that says which hosts may run a step, in memory."""
+"""In-memory stand-in for the advice service, which says which hosts may run a step."""
 
 import asyncio
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class AdviceStandin:
-    """Allows the hosts that ``is_allowed`` names, under tickets that hold for a while."""
+    """Issues tickets for the hosts that ``is_allowed`` accepts, each valid for ``valid_s``."""
 
     def __init__(self) -> None:
         self.is_allowed: Callable[[StepKey, str], bool] = lambda step, host_id: True
@@ -21,15 +21,15 @@
         self._incarnation_counts: Counter[str] = Counter()
 
     def start_incarnation(self, host_id: str) -> None:
-        """Have tickets for a host's earlier lives hold no more."""
+        """Start a new incarnation of a host; tickets for its earlier ones become invalid."""
         self._incarnation_counts[host_id] += 1
 
     async def advise(self, step: StepKey, host_ids: Sequence[str], timeout_s: float) -> HostAdvice:
-        """Answer one call."""
+        """Return tickets for the allowed hosts; raise ``AdviceError`` while the service is down."""
         self.call_count += 1
         await asyncio.sleep(0.01)
         if self.is_down:
-            raise AdviceError("down")
+            raise AdviceError("the advice service is down")
         now_s = asyncio.get_running_loop().time()
         allowed = [host_id for host_id in host_ids if self.is_allowed(step, host_id)]
         self._valid_until_s |= {(step, host_id): now_s + self.valid_s for host_id in allowed}
@@ -37,7 +37,7 @@
         return HostAdvice(tickets, self.valid_s * 1000)
 
     def accepts(self, step: StepKey, host_id: str, ticket: str) -> bool:
-        """Tell whether a host takes a ticket now."""
+        """Tell whether a ticket for a step on a host is valid now."""
         now_s = asyncio.get_running_loop().time()
         return ticket == self._make_ticket(step, host_id) and now_s < self._valid_until_s.get(
             (step, host_id), 0.0
--- a/src/robinthread/_internal/standins/call_faults.py
+++ b/src/robinthread/_internal/standins/call_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong with calls to a stand-in."""
+"""Fault injection for calls to a stand-in."""
 
 import asyncio
 import random
@@ -7,28 +7,29 @@
 
 from robinthread._internal.standins.open_connections import OpenConnections
 
-# Has a caller's processor do what a call costs it.
+# Waits while the named caller's processor does the work that a call costs it.
 ProcessorCharge = Callable[[str], Awaitable[None]]
 T = TypeVar("T")
 
 
 class CallUnansweredError(Exception):
-    """The caller gave up waiting."""
+    """No response arrived before the caller's timeout; the work may be done or not."""
 
 
 class CallRefusedError(Exception):
-    """Nothing was done."""
+    """The call was rejected before any work was done."""
 
 
 class CallFaults:
-    """Faults of one stand-in, by caller: outages, lost answers, late execution.
-
-    ``silent`` callers get no answer and ``refused`` ones are turned away; "*"
-    stands for all.  A share ``lost_share`` of the changes is done without an
-    answer, and where ``late_s`` is set only after up to so many seconds.  Each call takes
-    ``latency_s``, give or take a share of up to ``latency_spread`` of it.  Calls on
-    ``connections`` that have gone silent get no answer; only what was sent before is done.
-    Where ``charge_processor`` is set, a call begins once its caller's processor has done its part.
+    """Faults of one stand-in, by caller: outages, lost responses, late execution.
+
+    Calls of ``silent`` callers time out and calls of ``refused`` callers are rejected; "*"
+    stands for all callers.  Of the calls that change state, a share of ``lost_share`` is
+    carried out but its response is lost; the work is then done after a random delay in the
+    range ``late_s``.  Each call takes ``latency_s``, varied at random by up to
+    ``latency_spread`` times that value.  Calls on ``connections`` that have gone silent time
+    out; the work of calls sent before the silence is still done.  If ``charge_processor`` is
+    set, it is awaited before each call, to model the caller's processor time.
     """
 
     def __init__(self, seed: int, latency_s: float) -> None:
@@ -50,7 +51,7 @@
         is_change: bool = True,
         target: str = "",
     ) -> T:
-        """Do ``work`` as the faults let it, and return its result to the caller."""
+        """Do ``work`` and return its result, unless a fault applies to the call."""
         if self.charge_processor is not None:
             await self.charge_processor(caller)
         silences_before = self.connections.silences
@@ -94,9 +95,10 @@
 
 
 def run_discarding_result(work: Callable[[], object]) -> None:
-    """Do work whose outcome nobody hears."""
+    """Do work and discard its result and its exception."""
     try:
         work()
     except Exception:
-        # The caller would have been told; the stand-in's state is as if it had.
+        # The response with this error is lost, as a result would be.  The stand-in's state is
+        # the same as if the response had arrived.
         return
--- a/src/robinthread/_internal/standins/fleet_standin.py
+++ b/src/robinthread/_internal/standins/fleet_standin.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process, over stand-ins, for the demo and the tests."""
+"""A complete deployment in one process, on stand-ins, for the demo and the tests."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class HallSize:
-    """A data hall: its name, daemons and hosts."""
+    """The name of a data hall and its numbers of daemons and hosts."""
 
     name: str
     daemons: int
@@ -34,10 +34,10 @@
 
 
 class FleetStandin:
-    """Daemons, workers, log and network on the running loop's clock.
+    """Daemons, workers, log and network, timed by the running event loop's clock.
 
-    ``cut_halls`` are cut off from the others; ``cut_from_platform`` are cut
-    off from the log and the host list.
+    Data halls in ``cut_halls`` can't reach other halls; data halls in ``cut_from_platform``
+    can't reach the log.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         return tuple(hall.name for hall in self._halls)
 
     async def start(self) -> None:
-        """Start every daemon and wait until all are members and all hosts arrived."""
+        """List all hosts, start every daemon and wait until each one is a member."""
         self.host_list.set_hosts(self._listed)
         names = [
             (f"{hall.name}-d{index}", hall.name)
@@ -89,7 +89,7 @@
             await daemon.wait_until_member()
 
     async def start_daemon(self, name: str, hall: str) -> Daemon:
-        """Start a daemon, or a replacement under the same name."""
+        """Start a daemon, or a replacement for one under the same name, at a new address."""
         self._start_count += 1
         address = f"tcp://{name}/{self._start_count}"
         self._hall_of_address[address] = hall
@@ -113,7 +113,7 @@
         return daemon
 
     async def call(self, name: str, request: CallerRequest) -> CallerAnswer:
-        """Send a request to a daemon; raise ``ConnectionError`` where it dies meanwhile."""
+        """Send a request to a daemon; raise ``ConnectionError`` if it is down or crashes."""
         daemon = self.daemons.get(name)
         if daemon is None:
             raise ConnectionRefusedError(name)
@@ -130,27 +130,27 @@
             calls.discard(task)
 
     def crash(self, name: str) -> None:
-        """End a daemon without a word; its callers lose their connections."""
+        """End a daemon without a shutdown; its callers' connections are reset."""
         self.thaw(name)
         self.daemons.pop(name).close()
         for task in tuple(self._calls.get(name, ())):
             task.cancel()
 
     def freeze(self, name: str) -> None:
-        """Pause a daemon: its calls to the outside and what it hears wait."""
+        """Pause a daemon: its outgoing calls and incoming data wait until ``thaw``."""
         self._gates[name].close()
 
     def thaw(self, name: str) -> None:
-        """Let a paused daemon go on."""
+        """Resume a paused daemon."""
         self._gates[name].open()
 
     def close(self) -> None:
-        """End all daemons."""
+        """Crash all daemons."""
         for name in tuple(self.daemons):
             self.crash(name)
 
     def count(self, name: str) -> float:
-        """Return the sum of a counter over the live daemons."""
+        """Return the sum of a counter over the running daemons."""
         return sum(daemon.counters.tally[name] for daemon in self.daemons.values())
 
     def _add_worker(self, hall: str, index: int, slots: int, hosts_per_rack: int) -> ListedHost:
@@ -185,10 +185,10 @@
 
     def _check_platform_reachable(self, hall: str) -> None:
         if hall in self.cut_from_platform:
-            raise LogUnavailableError(f"{hall} is cut off from the platform")
+            raise LogUnavailableError(f"data hall {hall!r} is cut off from the platform")
 
 
 def make_loop_wall_clock() -> Callable[[], float]:
-    """Make a wall clock that follows the running loop's own, possibly virtual, time."""
+    """Make a wall clock that follows the running loop's clock, which may be virtual."""
     loop = asyncio.get_running_loop()
     return lambda: EPOCH_S + loop.time()
--- a/src/robinthread/_internal/standins/gang_registry.py
+++ b/src/robinthread/_internal/standins/gang_registry.py
@@ -1,4 +1,4 @@
-"""Gangs of a stand-in's hosts: tasks that begin and end together."""
+"""Gangs on the stand-in's hosts: tasks of a step that start and end together."""
 
 import asyncio
 from collections import defaultdict
@@ -17,21 +17,24 @@
 
 @dataclass(frozen=True)
 class GangMember:
-    """What to do with one member: have it work, or end it."""
+    """Callbacks for one member of a gang: start its work, or end its run."""
 
     work: Callable[[], None]
     end: Callable[[RunEnd], None]
 
 
 class GangRegistry:
-    """The members of each gang that are present, by the run they share."""
+    """Registry of the gang members that have started, by gang and run."""
 
     def __init__(self) -> None:
         self._gangs: dict[GangKey, dict[RunKey, GangMember]] = defaultdict(dict)
         self._working: set[GangKey] = set()
 
     def join(self, key: RunKey, size: int, member: GangMember) -> None:
-        """Add a member; the last one has all begin to work."""
+        """Add a member; all members start work once ``size`` of them are present.
+
+        A member ends as ``GANG_ALONE`` if its gang is incomplete after ``GANG_TIMEOUT_S``.
+        """
         gang_key = _get_gang_key(key)
         gang = self._gangs[gang_key]
         gang[key] = member
@@ -42,7 +45,7 @@
                 present.work()
 
     def leave(self, key: RunKey, end: RunEnd) -> None:
-        """Note a member's end; one that was not done ends the others."""
+        """Remove a member that ended; unless it was done, end a working gang's other members."""
         gang = self._gangs[_get_gang_key(key)]
         gang.pop(key, None)
         if end is not RunEnd.DONE and _get_gang_key(key) in self._working:
--- a/src/robinthread/_internal/standins/gate.py
+++ b/src/robinthread/_internal/standins/gate.py
@@ -1,14 +1,14 @@
-"""A gate that holds a frozen process's calls."""
+"""A gate that delays the calls of a paused process."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class Gate:
-    """While closed, calls wait; what was sent meanwhile goes out when it opens.
+    """While closed, delays calls; messages sent meanwhile go out when it opens.
 
-    Stands for a process that is paused and does not know it: its calls to the
-    outside take effect late, and its replies arrive late.
+    Models a process that is paused without noticing it: its outgoing calls
+    take effect late, and replies reach it late.
     """
 
     def __init__(self) -> None:
@@ -17,22 +17,22 @@
         self._held: list[Callable[[], None]] = []
 
     def close(self) -> None:
-        """Freeze."""
+        """Close the gate: the process pauses."""
         self._open.clear()
 
     def open(self) -> None:
-        """Thaw, and let go of what was held."""
+        """Open the gate and send the delayed messages in order."""
         self._open.set()
         held, self._held = self._held, []
         for send in held:
             send()
 
     async def wait(self) -> None:
-        """Wait until open."""
+        """Wait until the gate is open."""
         await self._open.wait()
 
     def send_when_open(self, send: Callable[[], None]) -> None:
-        """Send now, or when the gate opens."""
+        """Call ``send`` now if the gate is open, or else when it opens."""
         if self._open.is_set():
             send()
         else:
--- a/src/robinthread/_internal/standins/http_servers.py
+++ b/src/robinthread/_internal/standins/http_servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins over HTTP, by the protocols of docs/interfaces."""
+"""HTTP servers of the stand-ins, by the protocols of docs/interfaces."""
 
 import base64
 
@@ -112,7 +112,7 @@
 
 
 def make_platform_application(log: LogStandin, host_list: HostListStandin) -> Application:
-    """Make the platform's log and host list."""
+    """Make the HTTP application that serves the platform's log and host list."""
     return Application(
         [
             (r"/v1/streams/([\w.-]+)/records", _LogHandler, {"log": log}),
@@ -123,7 +123,7 @@
 
 
 def make_worker_application(worker: WorkerStandin) -> Application:
-    """Make a worker."""
+    """Make the HTTP application that serves a worker."""
     arguments = {"worker": worker}
     return Application(
         [
--- a/src/robinthread/_internal/standins/job.py
+++ b/src/robinthread/_internal/standins/job.py
@@ -1,4 +1,4 @@
-"""The job that the stand-in workers run."""
+"""The jobs that the stand-in workers run."""
 
 import msgspec
 
@@ -6,10 +6,10 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """A job of the stand-ins, as JSON in a request's body.
+    """A job of the stand-ins, sent as JSON in a request's body.
 
-    ``run_s`` is the true run time; ``can_run`` is false for a job that fails
-    wherever it is started.  A start after ``deadline_at_s`` is counted.
+    ``run_s`` is the actual run time.  If ``can_run`` is false, the job fails on
+    every worker.  Workers count starts after ``deadline_at_s``; 0 means no deadline.
     """
 
     run_s: float = 0.0
@@ -25,7 +25,7 @@
 
 
 def parse_job(body: bytes) -> Job:
-    """Return the job in ``body``, or one that runs at once where there is none."""
+    """Return the job in ``body``, or a job with a run time of 0 if ``body`` is not a job."""
     try:
         return msgspec.json.decode(body, type=Job)
     except msgspec.MsgspecError:
@@ -33,6 +33,6 @@
 
 
 def make_answer(key: str, body: bytes) -> bytes:
-    """Return the whole answer of a job, told by its key and body alone."""
+    """Return a job's complete response body, which depends only on its key and its body."""
     text = f"{key} {make_body_digest(body)}\n".encode()
     return text + b"." * parse_job(body).answer_bytes
--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -1,4 +1,4 @@
-"""A job host in memory: it runs tasks under leases on a clock of its own."""
+"""In-memory stand-in for a job host: runs tasks under leases, timed by its own clock."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,20 +22,21 @@
 from robinthread._internal.utils.waiting import wait_for_event
 
 STOP_S: Final = 0.2
-# What a lease is cut down to.
+# Upper limit of a lease, counted from now; a longer lease is shortened to it.
 LEASE_MAX_MS: Final = 10_000
-# A room that has shrunk is to be known so long after: what an entry host may take to hear of
-# anything, and a heartbeat.
+# Within this time after a host's capacity shrinks, all nodes must know the new capacity: the
+# time in which an entry host learns of a change, plus one heartbeat.
 CAPACITY_KNOWN_AFTER_S: Final = 4.5
 
 
 @dataclass(frozen=True)
 class TaskPlan:
-    """How a task behaves: how long it works, how it ends, what room it takes.
+    """How a task behaves: its work time, its outcome and its resources.
 
-    A task that lasts has no ``work_s``.  Where ``gang_size`` is set the task
-    waits until so many tasks of its step are present under one run number.  One with
-    ``crashes_after_s`` takes its host down so long after it has begun, work or not.
+    ``work_s`` is None for a lasting task.  If ``gang_size`` is set, the task starts work
+    once that many tasks of its step are present under the same run number.  If
+    ``crashes_after_s`` is set, the task crashes its host that long after its start, even
+    if it has not started work.
     """
 
     work_s: float | None
@@ -56,7 +57,7 @@
 
 
 class JobHostStandin:
-    """One life of a host; its reports tell ``host_started_at_ms`` where that is set."""
+    """One incarnation of a host; its reports contain ``host_started_at_ms`` if that is set."""
 
     def __init__(
         self,
@@ -95,13 +96,14 @@
 
     @property
     def clock_ms(self) -> int:
-        """Return the host's own clock."""
+        """Return the time on the host's own clock, which starts at 0."""
         return int((asyncio.get_running_loop().time() - self._began_at_s) * 1000)
 
     def start(self, order: StartOrder, is_own: bool = True) -> int:
-        """Start a run; see the host's errors.
+        """Start a run, or raise one of the host's errors; return the host's clock.
 
-        An order that is not ``is_own`` was sent while another life was there.
+        ``is_own`` is false for an order that was sent to an earlier incarnation.  The texts
+        of the errors are the reason codes of the hosts' protocol.
         """
         is_stray = not is_own and self._is_in_stray_window()
         self._check_token(order.token)
@@ -123,13 +125,14 @@
             raise NoRoomError("room")
         if not any(required.fits_in(assumed) for assumed in self._list_assumed_capacities()):
             self._ledger.over_capacity.append(
-                f"{order.task} run {order.run} on {self.record.id} takes {required} in all"
+                f"{order.task} run {order.run}: runs on {self.record.id} need {required} in all, "
+                "over its capacity"
             )
         self._begin(order, plan, is_stray)
         return self.clock_ms
 
     def stop(self, task: TaskKey, run: int, token: int) -> None:
-        """Stop a run, or have its start rejected from now on."""
+        """Stop a run; if it has not started, reject its start from now on."""
         self._check_token(token)
         present = self._present.get((task, run))
         if present is None:
@@ -140,13 +143,16 @@
             present.timers.append(loop.call_later(STOP_S, self._end, (task, run), RunEnd.STOPPED))
 
     def pace(self, token: int) -> None:
-        """Accept an order on pace, which changes nothing here."""
+        """Accept a pace order; tasks of the stand-in don't change their pace."""
         self._check_token(token)
 
     def poll(
         self, token: int, acknowledged: int, lease_until_ms: int | None, listed_above: int = 0
     ) -> HostReport:
-        """Acknowledge ends, extend the lease and report; only ends ``listed_above`` a number."""
+        """Acknowledge ended runs, extend the lease and return a report.
+
+        The report lists the ended runs with numbers above ``listed_above``.
+        """
         self._check_token(token)
         if self._first_poll_at_s is None:
             self._first_poll_at_s = asyncio.get_running_loop().time()
@@ -168,18 +174,18 @@
         )
 
     async def wait_for_end(self, wait_s: float) -> None:
-        """Wait until a run ends, for a bounded time."""
+        """Wait up to ``wait_s`` for an ended run; return at once if one is unacknowledged."""
         if not self._ended:
             await wait_for_event(self._changed, wait_s)
 
     def resize(self, record: UpstreamHost) -> None:
-        """Have another room from now on, as ``record`` says."""
+        """Change the capacity to that of ``record``."""
         now_s = asyncio.get_running_loop().time()
         self._earlier_capacities.append((now_s, self.record.capacity))
         self.record = record
 
     def _list_assumed_capacities(self) -> list[Resources]:
-        """Return the rooms that whoever orders here may believe in: the last ones, and now's."""
+        """Return the capacities that a node may assume: the current one and recent ones."""
         since_s = asyncio.get_running_loop().time() - CAPACITY_KNOWN_AFTER_S
         return [
             self.record.capacity,
@@ -187,7 +193,7 @@
         ]
 
     def crash(self) -> None:
-        """End this life with all that runs."""
+        """End this incarnation and all its runs."""
         self.is_up = False
         now_s = asyncio.get_running_loop().time()
         for present in self._present.values():
@@ -195,7 +201,7 @@
                 timer.cancel()
             present.ledger_run.ended_at_s, present.ledger_run.end = now_s, "crashed"
         self._present.clear()
-        # Whoever waits for an end sees its connection break.
+        # Callers that wait for a run's end are woken up, as by a broken connection.
         self._changed.set()
 
     def _begin(self, order: StartOrder, plan: TaskPlan, is_stray: bool) -> None:
@@ -234,7 +240,7 @@
         self._take_down(self.record.id)
 
     def _work(self, present: _PresentRun) -> None:
-        """Have a run work until it ends by itself, if it does."""
+        """Start the work of a run; the run ends after ``work_s`` unless its task is lasting."""
         order, plan = present.order, present.plan
         if plan.work_s is not None:
             loop = asyncio.get_running_loop()
@@ -281,7 +287,8 @@
         if self.is_up and self.clock_ms >= self._lease_until_ms:
             for key in list(self._present):
                 self._end(key, RunEnd.LAPSED)
-            # A note of these that comes now does not count: they may have run again.
+            # Acknowledgements of these ends arrive too late to count: their tasks may already
+            # run elsewhere.
             self._last_lapsed_end = self._end_count
 
     def _progress(self, present: _PresentRun) -> int:
--- a/src/robinthread/_internal/standins/job_hosts_standin.py
+++ b/src/robinthread/_internal/standins/job_hosts_standin.py
@@ -1,4 +1,4 @@
-"""All job hosts in memory, and faults of the ways to them."""
+"""In-memory stand-in for all job hosts, with faults of the routes to them."""
 
 import asyncio
 from collections import Counter
@@ -31,9 +31,11 @@
 
 
 class JobHostsStandin:
-    """All hosts by address, with faults of the ways to them; ``poll_counts`` counts looks by host.
+    """All hosts by address, and the faults of the routes to them.
 
-    ``late_callers`` are so late themselves that no answer reaches them in time.
+    Routes are pairs of caller and address.  Calls on ``cut_routes`` time out, and calls on
+    ``refused_routes`` are refused at once.  ``late_callers`` are too slow themselves to
+    receive a response in time.  ``poll_counts`` counts polls by host id.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -47,16 +49,16 @@
         self.poll_counts: Counter[str] = Counter()
 
     def connect(self, caller: str) -> "JobHostsClient":
-        """Return the hosts as one caller reaches them."""
+        """Return a client that calls the hosts as ``caller``."""
         return JobHostsClient(self, caller)
 
     def add(self, host: JobHostStandin) -> None:
-        """Put a host at its address."""
+        """Register a host at its address, in place of an earlier incarnation."""
         self.hosts[host.record.address] = host
 
 
 class JobHostsClient:
-    """One caller's calls; see ``HostCalls``."""
+    """One caller's client of the hosts; implements ``HostCalls``."""
 
     def __init__(self, standin: JobHostsStandin, caller: str) -> None:
         self._standin = standin
@@ -70,7 +72,7 @@
         lease_until_ms: int | None,
         wait_s: float,
     ) -> HostReport:
-        """Ask what runs, waiting for an end."""
+        """Poll a host for its report, waiting up to ``wait_s`` for a run to end."""
         self._standin.poll_counts[host.id] += 1
         connections = self._standin.faults.connections
         silences_before = connections.silences
@@ -85,38 +87,39 @@
         if connections.silences > silences_before:
             await asyncio.sleep(ORDER_TIMEOUT_S)
             connections.replace_silent(self._caller, host.address)
-            raise HostNoAnswerError("silent")
-        # What is acknowledged was so when the call came; an end of a later life is not listed.
+            raise HostNoAnswerError(f"connection to {host.address} is silent")
+        # The first poll has applied the acknowledgement.  A host that restarted meanwhile numbers
+        # its ends from 1 again; those with numbers up to ``acknowledged`` are not listed here.
         return await self._call(
             host, lambda job_host: job_host.poll(token, 0, None, acknowledged), False
         )
 
     async def start(self, host: UpstreamHost, order: StartOrder) -> int:
-        """Start a run."""
+        """Start a run on a host; return the host's clock."""
         sent_to = self._standin.hosts.get(host.address)
         return await self._call(host, lambda job_host: job_host.start(order, job_host is sent_to))
 
     async def stop(self, host: UpstreamHost, task: TaskKey, run: int, token: int) -> None:
-        """Stop a run."""
+        """Stop a run on a host."""
         await self._call(host, lambda job_host: job_host.stop(task, run, token))
 
     async def pace(
         self, host: UpstreamHost, task: TaskKey, run: int, percent: int, token: int
     ) -> None:
-        """Slow a run down."""
+        """Set the pace of a run, in percent; the stand-in checks only the token."""
         await self._call(host, lambda job_host: job_host.pace(token))
 
     async def _call(
         self, host: UpstreamHost, work: Callable[[JobHostStandin], T], is_order: bool = True
     ) -> T:
         if (self._caller, host.address) in self._standin.refused_routes:
-            raise HostRefusedError("cut off by refusals")
+            raise HostRefusedError(f"{host.address} refuses connections from {self._caller}")
         if (self._caller, host.address) in self._standin.cut_routes:
             await asyncio.sleep(ORDER_TIMEOUT_S)
-            raise HostNoAnswerError("cut")
+            raise HostNoAnswerError(f"no route from {self._caller} to {host.address}")
         if self._caller in self._standin.late_callers:
             await asyncio.sleep(ORDER_TIMEOUT_S)
-            raise HostSilentError("late")
+            raise HostSilentError(f"{self._caller} is too slow to receive the response")
         faults = self._standin.faults
         try:
             return await faults.carry_out(
@@ -127,12 +130,12 @@
                 host.address,
             )
         except (CallUnansweredError, CallRefusedError) as error:
-            raise HostNoAnswerError("no answer") from error
+            raise HostNoAnswerError(f"no response from {host.address}") from error
 
     def _find(self, host: UpstreamHost) -> JobHostStandin:
         job_host = self._standin.hosts.get(host.address)
         if job_host is None or not job_host.is_up:
-            raise HostRefusedError("nobody listens")
+            raise HostRefusedError(f"no host listens at {host.address}")
         if job_host.record.id != host.id:
-            raise HostGoneError("another life")
+            raise HostGoneError(f"another host than {host.id} responds at {host.address}")
         return job_host
--- a/src/robinthread/_internal/standins/ledger.py
+++ b/src/robinthread/_internal/standins/ledger.py
@@ -1,13 +1,13 @@
-"""What the stand-in workers did, for checking promises afterwards."""
+"""Record of the stand-in workers' actions, for checking guarantees afterwards."""
 
 import itertools
 from collections import Counter
 
 
 class Ledger:
-    """Runs of each key over all workers, and broken limits.
+    """Counts of events over all workers, by task key, and of broken limits.
 
-    ``started_by`` has the id of the task that first started each key.
+    ``started_by`` maps each key to the id of the task that first started it.
     """
 
     def __init__(self) -> None:
--- a/src/robinthread/_internal/standins/limit_ledger.py
+++ b/src/robinthread/_internal/standins/limit_ledger.py
@@ -1,16 +1,16 @@
-"""What workspaces have running over all hosts, against their limits."""
+"""Checks the resources that workspaces use on all hosts against their limits."""
 
 import math
 from typing import Final, Protocol
 
 from robinthread._internal.models.resources import NO_RESOURCES, Resources
 
-# Whoever orders may go by limits that were replaced so long ago.
+# A pool's owner may apply a limit for this long after it was replaced.
 LIMITS_KNOWN_AFTER_S: Final = 2.0
 
 
 class RunningTask(Protocol):
-    """A run as the hosts saw it."""
+    """A run as recorded by its host; ``ended_at_s`` is None while it runs."""
 
     resources: Resources
     ended_at_s: float | None
@@ -19,7 +19,8 @@
 class LimitLedger:
     """Finds starts that bring a workspace over its limit.
 
-    ``workspaces`` tells whose a job is; tests fill it.  ``over_limit`` are such starts, in words.
+    ``workspaces`` maps job ids to workspaces and is filled by the tests; the runs of other
+    jobs are not checked.  ``over_limit`` describes each start over a limit.
     """
 
     def __init__(self) -> None:
@@ -29,17 +30,17 @@
         self._running: dict[str, list[RunningTask]] = {}
 
     def record_limits(self, limits: dict[str, Resources], now_s: float) -> None:
-        """Note the limits that are in force from now on."""
+        """Record the limits by workspace that apply from now on."""
         self._limits.append((now_s, limits))
 
     def get_running(self, workspace: str) -> Resources:
-        """Return what a workspace has running."""
+        """Return the resources that a workspace's current runs use."""
         running = [run for run in self._running.get(workspace, ()) if run.ended_at_s is None]
         self._running[workspace] = running
         return sum((run.resources for run in running), start=NO_RESOURCES)
 
     def record_start(self, job_id: str, run: RunningTask, now_s: float) -> None:
-        """Note a run that begins, and whether it may."""
+        """Record the start of a run, and a violation if it exceeds its workspace's limit."""
         workspace = self.workspaces.get(job_id)
         if workspace is None:
             return
@@ -53,10 +54,10 @@
             default=0.0,
         )
         if usage > 1.0:
-            self.over_limit.append(f"{workspace} has {usage:.3f} of its limit at {now_s:.2f} s")
+            self.over_limit.append(f"{workspace} uses {usage:.3f} of its limit at {now_s:.2f} s")
 
     def _list_possible_limits(self, workspace: str, now_s: float) -> list[Resources]:
-        """List the limits that may be in force: the last one, and those replaced of late."""
+        """List the limits that may apply: the current one and those replaced recently."""
         replaced_at_s = [at_s for at_s, _limits in self._limits[1:]] + [math.inf]
         return [
             limits.get(workspace, NO_RESOURCES)
--- a/src/robinthread/_internal/standins/log_standin.py
+++ b/src/robinthread/_internal/standins/log_standin.py
@@ -12,7 +12,7 @@
 
 @dataclass
 class LogFaults:
-    """Faults of the stand-in, changed while it runs."""
+    """Faults of the stand-in; tests change them while it runs."""
 
     is_out: bool = False
     delay_s: float = 0.0
@@ -30,8 +30,8 @@
 class LogStandin:
     """An append-only log in memory.
 
-    ``retention_records`` bounds what each stream keeps; ``appends_per_s``
-    bounds appends over all streams in any one second.
+    Each stream retains at most ``retention_records`` records; appends beyond
+    ``appends_per_s`` within a one-second window, over all streams, fail.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._window_appends = 0
 
     async def append(self, stream: str, data: bytes) -> int:
-        """Append ``data`` and return its offset."""
+        """Append ``data`` to a stream and return its offset."""
         await self._apply_faults()
         self._count_in_window()
         stream_data = self._get_stream(stream)
@@ -65,7 +65,7 @@
         return offset
 
     async def read(self, stream: str, from_offset: int, max_records: int, wait_s: float) -> LogPage:
-        """Return records from ``from_offset`` on, waiting up to ``wait_s`` for the first."""
+        """Return records starting at ``from_offset``; wait up to ``wait_s`` for the first."""
         await self._apply_faults()
         stream_data = self._get_stream(stream)
         if from_offset >= stream_data.next_offset and wait_s > 0:
@@ -76,7 +76,7 @@
         return LogPage(records, stream_data.first_offset, stream_data.next_offset)
 
     def make_service(self) -> LogService:
-        """Return the stand-in's calls as a service."""
+        """Return a ``LogService`` that calls this stand-in."""
         return LogService(self.append, self.read)
 
     def _get_stream(self, name: str) -> _Stream:
@@ -95,10 +95,12 @@
             self._window_appends = 0
         self._window_appends += 1
         if self._window_appends > self._appends_per_s:
-            raise LogUnavailableError("append rate exceeded")
+            raise LogUnavailableError(
+                f"append rate limit of {self._appends_per_s:g} per second exceeded"
+            )
 
     async def _apply_faults(self) -> None:
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.is_out:
-            raise LogUnavailableError("the log is out")
+            raise LogUnavailableError("the log is unavailable")
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -1,4 +1,7 @@
-"""The platform's machines in memory: each is a host of its pool, or off in the reserve."""
+"""In-memory stand-in for the platform's machines.
+
+Each machine is a host of its pool, or switched off in the reserve.
+"""
 
 import asyncio
 import itertools
@@ -42,20 +45,20 @@
 
 
 class HostLifecycle(Protocol):
-    """Begins and ends the lives of hosts; ``MachinesStandin`` calls it."""
+    """Starts and ends incarnations of hosts; called by ``MachinesStandin``."""
 
     def begin(self, machine: str, pool: str, rack: str, capacity: Resources) -> str:
-        """Begin a life and return its id."""
+        """Start a host on a machine and return the host's id."""
 
     def end(self, host_id: str) -> None:
-        """End a life with all that runs there."""
+        """End a host and all its runs."""
 
 
 class MachinesStandin:
-    """Machines by name; ``reserve`` is the pool whose machines are off.
+    """Machines by name; ``reserve`` is the pool whose machines are switched off.
 
-    A machine's host comes ``host_late_s`` after its move or upkeep should be over; the list
-    shows the machine as ``state_before_host`` until then.
+    A machine's host starts ``host_late_s`` after the machine's move or upkeep is due to end;
+    until then the list shows the machine in the state ``state_before_host``.
     """
 
     def __init__(self, reserve: str, host_lifecycle: HostLifecycle, seed: int = 1) -> None:
@@ -72,7 +75,7 @@
         self._names = itertools.count()
 
     def add(self, pool: str, rack: str, capacity: Resources) -> str:
-        """Add a machine that is up."""
+        """Add a machine that is up; return its name."""
         name = f"m-{next(self._names)}"
         record = _MachineRecord(name, pool, MachineState.UP, capacity, rack)
         self.machines[name] = record
@@ -80,24 +83,24 @@
         return name
 
     def record_crash(self, host_id: str) -> None:
-        """Show the machine of a host that has crashed as down."""
+        """Show the machine of a crashed host as down."""
         for record in self.machines.values():
             if record.host_id == host_id:
                 record.host_id, record.state, record.crashed_id = "", MachineState.DOWN, host_id
                 self._save_list()
 
     def restart(self, host_id: str) -> None:
-        """Have the machine of a host that has crashed come up again."""
+        """Start a new host on the machine of a crashed host, if the machine is still down."""
         for record in self.machines.values():
             if record.crashed_id == host_id and record.state is MachineState.DOWN:
                 self._come_up(record)
 
     def connect(self, caller: str) -> "MachinesClient":
-        """Return the machines as one caller reaches them."""
+        """Return a client that calls the machines as ``caller``."""
         return MachinesClient(self, caller)
 
     def move(self, machine: str, pool: str, holder: str, token: int) -> None:
-        """Move a machine."""
+        """Move a machine to a pool; a repeated order has no effect."""
         record = self._check(machine, holder, token)
         if record.pool == pool:
             return
@@ -107,7 +110,7 @@
         self._go_down(record, MachineState.MOVING, MOVE_S)
 
     def begin_upkeep(self, machine: str, wave: int, holder: str, token: int) -> None:
-        """Begin a machine's upkeep."""
+        """Start a machine's upkeep for a wave; a repeated order has no effect."""
         record = self._check(machine, holder, token)
         if self.waves.has_begun(machine, wave):
             return
@@ -116,12 +119,12 @@
         self._go_down(record, MachineState.UPKEEP, UPKEEP_S)
 
     def delay_lists(self, lag_s: float) -> None:
-        """Have lists show the machines as they were ``lag_s`` ago."""
+        """Make lists show the machines as they were ``lag_s`` ago."""
         self._list_lag_s = lag_s
         self._save_list()
 
     def list_machines(self) -> tuple[Machine, ...]:
-        """Return the machines as the list shows them now."""
+        """Return the machines as the list shows them now, with its lag."""
         if not self._list_lag_s:
             return self._make_list()
         as_of_s = asyncio.get_running_loop().time() - self._list_lag_s
@@ -145,7 +148,7 @@
         )
 
     def _save_list(self) -> None:
-        """Keep the list as it is from now on, for those that are told later."""
+        """Save the current list, to be shown after the lag."""
         if self._list_lag_s:
             self._past_lists.append((asyncio.get_running_loop().time(), self._make_list()))
 
@@ -172,7 +175,7 @@
         asyncio.get_running_loop().call_later(for_s, next_step, record)
 
     def _show_early(self, record: _MachineRecord) -> None:
-        """Show a machine before its host has come."""
+        """Show a machine in ``state_before_host`` until its host starts."""
         record.state = self.state_before_host
         self._save_list()
         asyncio.get_running_loop().call_later(self.host_late_s, self._come_up, record)
@@ -188,7 +191,7 @@
 
 
 class MachinesClient:
-    """One caller's calls; see ``MachineCalls``."""
+    """One caller's client of the machines; implements ``MachineCalls``."""
 
     def __init__(self, standin: MachinesStandin, caller: str) -> None:
         self._standin = standin
@@ -203,7 +206,7 @@
         await self._call(lambda: self._standin.move(machine, pool, holder, token))
 
     async def begin_upkeep(self, machine: str, wave: int, holder: str, token: int) -> None:
-        """Begin a machine's upkeep."""
+        """Start a machine's upkeep."""
         await self._call(lambda: self._standin.begin_upkeep(machine, wave, holder, token))
 
     async def _call(self, work, is_change: bool = True):  # type: ignore[no-untyped-def]
@@ -211,6 +214,6 @@
         try:
             return await faults.carry_out(self._caller, work, CALL_TIMEOUT_S, is_change)
         except CallRefusedError as error:
-            raise MachineRefusedError("turned away") from error
+            raise MachineRefusedError(f"call of {self._caller} was refused") from error
         except CallUnansweredError as error:
-            raise MachineNoAnswerError("no answer") from error
+            raise MachineNoAnswerError(f"no response within {CALL_TIMEOUT_S} s") from error
--- a/src/robinthread/_internal/standins/member_group.py
+++ b/src/robinthread/_internal/standins/member_group.py
@@ -1,4 +1,4 @@
-"""A group of the platform's store: who is a member, and which partitions each holds."""
+"""Stand-in for a group of the platform's store: its members and the partitions they hold."""
 
 import asyncio
 import zlib
@@ -17,12 +17,12 @@
 
 
 class MemberGroup:
-    """Members, and the partitions of their topics dealt among them.
+    """Members, and the assignment of their topics' partitions to them.
 
-    Each topic is dealt by itself among the members that joined with it: those that hold
-    some of its partitions keep as many as is their share, and what is left goes to others
-    in an order that differs from topic to topic.  So where members outnumber the partitions
-    of a topic, some hold none of it.
+    The partitions of each topic are assigned separately, among the members that joined with
+    that topic.  Members keep the partitions that they hold, up to an equal share; the
+    remaining partitions go to the members with the fewest, in an order that differs from
+    topic to topic.  If a topic has more members than partitions, some members hold none.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._holders: dict[str, list[str | None]] = {}
 
     def join(self, member: str, topics: tuple[str, ...], ttl_s: float) -> None:
-        """Join, or stay."""
+        """Add a member, or renew its membership; ``ttl_s`` is the time to its expiry."""
         previous = self._members.get(member)
         now_s = asyncio.get_running_loop().time()
         self._members[member] = _Membership(topics, now_s, ttl_s)
@@ -39,12 +39,12 @@
             self._assign_partitions()
 
     def leave(self, member: str) -> None:
-        """Leave."""
+        """Remove a member; a name that is no member is ignored."""
         if self._members.pop(member, None) is not None:
             self._assign_partitions()
 
     def remove_expired(self) -> None:
-        """Drop the members that have been silent for longer than they may."""
+        """Remove the members that have not renewed their membership within its ``ttl_s``."""
         now_s = asyncio.get_running_loop().time()
         expired = [
             name for name, found in self._members.items() if now_s - found.seen_at_s > found.ttl_s
@@ -55,7 +55,7 @@
             self._assign_partitions()
 
     def list_holders(self) -> frozenset[str]:
-        """List the members that hold a partition of any topic."""
+        """Return the members that hold a partition of any topic."""
         return frozenset(name for held in self._holders.values() for name in held if name)
 
     def _assign_partitions(self) -> None:
@@ -64,7 +64,7 @@
         self._holders = {topic: self._assign_topic(topic) for topic in sorted(topics)}
 
     def _assign_topic(self, topic: str) -> list[str | None]:
-        """Return the holder of each partition of a topic."""
+        """Return the holder of each partition of a topic, by partition number."""
         members = [name for name, found in self._members.items() if topic in found.topics]
         least, larger_count = divmod(TOPIC_PARTITIONS, len(members))
         counts: Counter[str] = Counter()
--- a/src/robinthread/_internal/standins/node_settings_standin.py
+++ b/src/robinthread/_internal/standins/node_settings_standin.py
@@ -1,4 +1,4 @@
-"""Settings of a node on the stand-in."""
+"""Settings of the nodes that run on the platform's stand-in."""
 
 from typing import Final
 
@@ -28,7 +28,7 @@
 
 
 def make_settings(name: str) -> NodeSettings:
-    """Make the settings of a node on the stand-in."""
+    """Return the settings of a node on the stand-in; ``name`` is also its address."""
     return NodeSettings(
         name=name,
         ip=name,
--- a/src/robinthread/_internal/standins/open_connections.py
+++ b/src/robinthread/_internal/standins/open_connections.py
@@ -1,18 +1,18 @@
-"""Which callers have connections open to whom, and which of these have gone silent."""
+"""The open connections between callers and targets, and which of them are silent."""
 
 import asyncio
 from typing import Final
 
-# Connections that were idle for so long are closed, as real clients do.
+# Connections that are idle for longer than this are closed, as real clients do.
 IDLE_MAX_S: Final = 10.0
 
 
 class OpenConnections:
     """Connections that callers keep open to addresses.
 
-    All that are open may go silent for good, without a reset: ``silences`` counts how often.
-    A caller goes on using them until a call there has had no answer in time, and then opens
-    new ones.
+    ``silence`` makes all open connections silent permanently, without a reset; ``silences``
+    counts its calls.  A caller uses a silent connection until a call on it times out, and
+    then opens a new one.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._silent: set[tuple[str, str]] = set()
 
     def use(self, caller: str, target: str) -> bool:
-        """Have a caller use a connection, a new one where none is open; tell if it is silent."""
+        """Use the connection of a caller to a target, or a new one; return whether it is silent."""
         now_s = asyncio.get_running_loop().time()
         route = (caller, target)
         if now_s - self._used_at_s.get(route, now_s) > IDLE_MAX_S:
@@ -30,16 +30,16 @@
         return route in self._silent
 
     def silence(self) -> None:
-        """Have all open connections go silent."""
+        """Make all open connections silent."""
         self.silences += 1
         self._silent |= self._used_at_s.keys()
 
     def replace_silent(self, caller: str, target: str) -> None:
-        """Note that a caller has lost a call in silence: it opens a new connection next."""
+        """Replace a silent connection by a new one, after a call on it has timed out."""
         self._silent.discard((caller, target))
 
     def close(self, name: str) -> None:
-        """Close all connections from and to one that ends."""
+        """Close all connections from and to a process that ends."""
         for route in [route for route in self._used_at_s if name in route]:
             del self._used_at_s[route]
             self._silent.discard(route)
--- a/src/robinthread/_internal/standins/peer_network.py
+++ b/src/robinthread/_internal/standins/peer_network.py
@@ -1,4 +1,4 @@
-"""Stand-in for the network between daemons: delay, cuts, repeats, reordering."""
+"""Stand-in for the network between daemons: delay, partitions, duplicates, reordering."""
 
 import asyncio
 import random
@@ -9,11 +9,12 @@
 
 
 class PeerNetwork:
-    """Frames between daemons in one process, over the running loop's clock.
+    """Delivers frames between daemons in one process, timed by the running loop's clock.
 
-    ``can_reach(from_address, to_address)`` stands for cuts.  ``delay_s`` is
-    the mean one-way delay; each frame takes between half of it and one and a
-    half, so frames overtake each other.
+    ``can_reach(from_address, to_address)`` models network partitions.  ``delay_s`` is the
+    mean one-way delay; the delay of each frame is drawn between 0.5 and 1.5 times this
+    value, so frames overtake each other.  A share ``lost_share`` of the frames is lost, and
+    a share ``repeated_share`` is delivered twice.
     """
 
     def __init__(self, seed: int, delay_s: float) -> None:
@@ -27,7 +28,7 @@
         self._inboxes: dict[str, asyncio.Queue[bytes]] = {}
 
     def make_transport(self, address: str, gate: Gate) -> PeerTransport:
-        """Make the transport of the daemon at ``address``; ``gate`` stands for its freezes."""
+        """Make the transport of the daemon at ``address``; ``gate`` models its pauses."""
         inbox: asyncio.Queue[bytes] = asyncio.Queue()
         self._inboxes[address] = inbox
 
--- a/src/robinthread/_internal/standins/platform_standin.py
+++ b/src/robinthread/_internal/standins/platform_standin.py
@@ -1,4 +1,4 @@
-"""The platform in memory, with nodes on it, on the event loop's own time."""
+"""In-memory stand-in for the platform, with nodes on it, timed by the event loop's clock."""
 
 import asyncio
 import enum
@@ -46,14 +46,15 @@
 CONFIG_KEY: Final = "config"
 WAVE_PREFIX: Final = "wave/"
 RESERVE: Final = "reserve"
-# One way between two nodes.
+# One-way latency between two nodes.
 PEER_LATENCY_S: Final = 0.001
 
-# The time of day of hosts at the loop's zero.
+# The wall clock of hosts when the loop's clock is 0.
 EPOCH_MS: Final = 1_700_000_000_000
-# After a host's last word its entry stays so long: three heartbeats of 1.5 s.
+# A host's entry stays in the store for this long after its last heartbeat: three heartbeats of
+# 1.5 s each.
 ENTRY_EXPIRES_AFTER_S: Final = 4.5
-# From a crash of a host until its machine has another one.
+# Time from the crash of a host to the start of the next host on its machine.
 HOST_REPLACEMENT_S: Final = 3.0
 
 T = TypeVar("T")
@@ -97,7 +98,7 @@
 
 
 class _PeersClient:
-    """Questions between nodes, without a network."""
+    """Requests between nodes, without a network; implements ``PeerCalls``."""
 
     def __init__(self, platform: "PlatformStandin", caller: str) -> None:
         self._platform = platform
@@ -110,7 +111,7 @@
         response_type: type[T],
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> T:
-        """Ask a node."""
+        """Send a request to a node and return its response."""
         self._platform.request_counts[address] += 1
         if self._platform.charge_request is not None:
             await self._platform.charge_request(self._caller)
@@ -149,14 +150,14 @@
 
 
 class StartTimeSource(enum.Enum):
-    """Where hosts say when they began."""
+    """Where hosts publish their start time."""
 
     ENTRY = "entry"
     REPORT = "report"
 
 
 class _HostIncarnations(HostLifecycle):
-    """Lives of hosts: an address, an entry in the store, and an end."""
+    """Starts hosts, each with an address and an entry in the store, and ends them."""
 
     def __init__(self, platform: "PlatformStandin") -> None:
         self._platform = platform
@@ -210,13 +211,15 @@
 
 
 class PlatformStandin:
-    """Store, hosts, machines and nodes; ``plan_task`` tells how tasks behave.
-
-    ``request_counts`` counts what nodes were asked by others, by node.  The hosts of
-    ``crashing_machines`` crash so many seconds after whatever they begin.  Where
-    ``charge_request`` is set, a question costs the processors of both nodes.  Where
-    ``keeps_host_ids`` a machine's next host has the id of the last one, and ``start_time_sources``
-    tells its lives apart; their time of day is ``clock_back_ms`` behind.
+    """Store, hosts, machines and nodes; ``plan_task`` returns how a task behaves.
+
+    ``request_counts`` counts the requests that each node received from other nodes.
+    ``crashing_machines`` maps machines to the seconds after which their hosts crash,
+    counted from the start of any task.  If ``charge_request`` is set, it is awaited for both
+    nodes of a request, to model its processor time.  If ``keeps_host_ids`` is set, a
+    machine's next host has the same id; its incarnations can be distinguished by the start
+    times that are published in ``start_time_sources``.  The wall clock of hosts is
+    ``clock_back_ms`` behind.
     """
 
     def __init__(self, plan_task: Callable[[TaskKey], TaskPlan], seed: int = 1) -> None:
@@ -241,7 +244,7 @@
         self._incarnation_numbers = itertools.count(1)
 
     def get_wall_ms(self) -> int:
-        """Return the time of day of hosts."""
+        """Return the wall clock of hosts, in milliseconds since the epoch."""
         return EPOCH_MS + int(asyncio.get_running_loop().time() * 1000) - self.clock_back_ms
 
     def configure(
@@ -251,7 +254,7 @@
         pools: tuple[PoolPolicy, ...],
         workspaces: tuple[WorkspacePolicy, ...] = (),
     ) -> None:
-        """Publish a configuration."""
+        """Publish a configuration; its workspace limits are checked from now on."""
         value = msgspec.msgpack.encode(_WireConfig(version, queues, pools, workspaces))
         self.store.put(OPERATORS, CONFIG_KEY, value)
         self.hosts.ledger.limits.record_limits(
@@ -260,21 +263,21 @@
         )
 
     def request_wave(self, wave: UpkeepWave) -> None:
-        """Ask for a maintenance wave, whose bound is judged from now on."""
+        """Request a maintenance wave; its limit of machines at once is checked from now on."""
         self.machines.waves.record_request(wave)
         self.store.put(OPERATORS, f"{WAVE_PREFIX}{wave.number}", msgspec.msgpack.encode(wave))
 
     def list_host(self, record: UpstreamHost) -> None:
-        """Have the store list a host."""
+        """Add a host's entry to the store, or replace it."""
         self.store.put(HOSTS, record.id, msgspec.msgpack.encode(record))
 
     async def send_heartbeats(self, period_s: float) -> None:
-        """Have each listed host renew its entry every ``period_s``, in turn, until cancelled."""
+        """Renew the entry of each listed host every ``period_s``, in turn, until cancelled."""
         while True:
             entries = self.store.get_newest(HOSTS)
             for host_id in entries:
                 await asyncio.sleep(period_s / len(entries))
-                # A host may have left the list meanwhile.
+                # The host may have been unlisted meanwhile.
                 value = self.store.get_newest(HOSTS).get(host_id)
                 if value is not None:
                     self.store.put(HOSTS, host_id, value)
@@ -282,11 +285,11 @@
                 await asyncio.sleep(period_s)
 
     def unlist_host(self, host_id: str) -> None:
-        """Have the store list a host no more."""
+        """Remove a host's entry from the store."""
         self.store.put(HOSTS, host_id, None)
 
     def crash_host(self, host_id: str) -> None:
-        """End a host's life; its entry goes later, as if its heartbeats stopped."""
+        """Crash a host; its entry expires later, as if its heartbeats had stopped."""
         self.machines.record_crash(host_id)
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
@@ -294,20 +297,20 @@
         asyncio.get_running_loop().call_later(ENTRY_EXPIRES_AFTER_S, self._expire_entry, host_id)
 
     def _expire_entry(self, host_id: str) -> None:
-        """Drop the entry of a host, unless it lives again under its id."""
+        """Remove the entry of a host, unless another incarnation is up under its id."""
         incarnations = (host for host in self.hosts.hosts.values() if host.record.id == host_id)
         if not any(host.is_up for host in incarnations):
             self.unlist_host(host_id)
 
     def resize_host(self, host_id: str, capacity: Resources) -> None:
-        """Have a host's room shrink or grow while it runs; its entry tells at once."""
+        """Change the capacity of a running host; its entry shows the change at once."""
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 host.resize(replace(host.record, capacity=capacity))
                 self.list_host(host.record)
 
     def crash_and_replace_host(self, host_id: str) -> None:
-        """End a host's life; its machine has another one ``host_replacement_s`` later."""
+        """Crash a host; its machine starts another one ``host_replacement_s`` later."""
         self.crash_host(host_id)
         loop = asyncio.get_running_loop()
         loop.call_later(self.host_replacement_s, self.machines.restart, host_id)
@@ -315,8 +318,9 @@
     def start_node(
         self, name: str, capacity_millicores: int = 1000, policy: PolicySettings | None = None
     ) -> RunningNode:
-        """Start a node, in a new life."""
-        # The loop's clock begins at 0, which stands for a process that does not tell.
+        """Start a node, as a new incarnation if the name was used before."""
+        # 1 is added because the loop's clock starts at 0, and a start time of 0 means that the
+        # process doesn't report one.
         started_at_ms = 1 + int(asyncio.get_running_loop().time() * 1000)
         member = Member(
             name, f"life{next(self._incarnation_numbers)}", name, capacity_millicores, started_at_ms
@@ -339,13 +343,13 @@
         return node
 
     def kill_node(self, name: str) -> None:
-        """End a node without a word."""
+        """End a node without a shutdown; its connections are closed."""
         self.nodes.pop(name).assembled.node.cancel()
         for connections in self._list_connections():
             connections.close(name)
 
     def silence_connections(self) -> None:
-        """Have all open connections of nodes go silent for good; new ones work."""
+        """Make all open connections of nodes silent permanently; new ones work."""
         for connections in self._list_connections():
             connections.silence()
 
@@ -358,13 +362,13 @@
         )
 
     def cut_node(self, name: str) -> None:
-        """Cut a node off from everything."""
+        """Cut a node off from other nodes, the store and the hosts."""
         self.cut_nodes.add(name)
         self.store.faults.silent.add(name)
         self.hosts.faults.silent.add(name)
 
     def heal_node(self, name: str) -> None:
-        """End the cut of a node."""
+        """Reconnect a node that was cut off."""
         self.cut_nodes.discard(name)
         self.store.faults.silent.discard(name)
         self.hosts.faults.silent.discard(name)
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -1,4 +1,4 @@
-"""Every run on the stand-in's hosts, and what must never be seen of them."""
+"""Record of all runs on the stand-in's hosts, and a check of the guarantees on them."""
 
 import itertools
 import math
@@ -11,22 +11,23 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.standins.limit_ledger import LimitLedger
 
-# From the first look at a life until what was meant for the one before is rejected there: a look
-# that shows it, and a stop, of which two may go unanswered.
+# Time from the first poll of a host's incarnation until it rejects all orders that were sent to
+# the previous one: a poll that reveals the restart, and a stop, of which two may time out.
 STRAY_WINDOW_S: Final = 1.2
-# A stray beside another run is stopped once its host has been heard: the longest pause between
-# two looks (1 s), the stop, and what a lost answer to it takes.
+# A stray that overlaps another run is stopped once its host has been polled.  This is the longest
+# pause between two polls (1 s), plus the stop and the timeout of one lost response to it.
 STRAY_MAX_S: Final = 2.5
 
 
 @dataclass
 class LedgerRun:
-    """A run as the hosts saw it; times are of the event loop's clock.
+    """A run as recorded by its host; times are of the event loop's clock.
 
-    ``is_acknowledged`` tells that note was taken of its end, and before its host's lease lapsed,
-    ``crashed_its_host`` that it took its host down.  One that ``is_stray`` began on an order that
-    was meant for the life before, until ``STRAY_WINDOW_S`` after its host was first heard: no order
-    of ours can prevent that, only end it.
+    ``is_acknowledged`` means that the run's end was acknowledged before its host's lease
+    lapsed; ``crashed_its_host`` that the run caused a crash of its host.  A run ``is_stray``
+    if it started on an order that was sent to the host's previous incarnation, no later than
+    ``STRAY_WINDOW_S`` after the new one was first polled.  Nodes can't prevent such a run;
+    they can only stop it.
     """
 
     task: TaskKey
@@ -42,9 +43,9 @@
 
 
 class RunLedger:
-    """Collects runs over all hosts and finds what breaks the promises.
+    """Collects the runs on all hosts and finds violations of the guarantees.
 
-    ``over_capacity`` are starts that brought a host over its room, in words.
+    ``over_capacity`` describes each start that exceeded its host's capacity.
     """
 
     def __init__(self) -> None:
@@ -54,12 +55,15 @@
         self.limits = LimitLedger()
 
     def add(self, run: LedgerRun) -> None:
-        """Note a run that began."""
+        """Record a run that started."""
         self.runs.append(run)
         self.limits.record_start(run.task.job_id, run, run.began_at_s)
 
     def find_violations(self, cancel_s: float) -> list[str]:
-        """Return what was seen and must not be, in words."""
+        """Return a description of each violation; empty if all guarantees held.
+
+        A task may start up to ``cancel_s`` after the cancel of its job.
+        """
         by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
         for run in self.runs:
             by_task[run.task].append(run)
@@ -80,7 +84,7 @@
         return breaks
 
     def count_strays(self) -> int:
-        """Count the runs that began on lives that nobody had heard."""
+        """Return the number of stray runs."""
         return sum(run.is_stray for run in self.runs)
 
     def _find_late_starts(self, runs: list[LedgerRun], cancel_s: float) -> list[str]:
@@ -90,7 +94,7 @@
         if cancelled_at_s is None:
             return []
         return [
-            f"{run.task} began {run.began_at_s - cancelled_at_s:.3f} s after its job's cancel"
+            f"{run.task} started {run.began_at_s - cancelled_at_s:.3f} s after its job's cancel"
             for run in runs
             if run.began_at_s > cancelled_at_s + cancel_s
         ]
@@ -101,7 +105,7 @@
 
 
 def _overlaps_another_run(stray: LedgerRun, runs: Iterable[LedgerRun]) -> bool:
-    """Tell whether a stray is not the one run of its task: another went on, or had done it."""
+    """Tell whether another run of the stray's task continued beside it or had completed it."""
     return any(
         run is not stray
         and (
@@ -122,5 +126,5 @@
             f"{later.host_id} overlap at {later.began_at_s:.3f} s"
         ]
     if earlier.end == "done" and earlier.is_acknowledged:
-        return [f"{later.task} run {later.number} began after run {earlier.number} was done"]
+        return [f"{later.task} run {later.number} started after run {earlier.number} was done"]
     return []
--- a/src/robinthread/_internal/standins/store_standin.py
+++ b/src/robinthread/_internal/standins/store_standin.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory."""
+"""In-memory stand-in for the platform's store."""
 
 import asyncio
 from collections import Counter, defaultdict
@@ -34,7 +34,7 @@
 
 CALL_TIMEOUT_S: Final = 1.2
 LATENCY_S: Final = 0.004
-# What a client that has seen quick answers gives a read.
+# The read timeout of a client whose earlier calls had fast responses.
 READ_TIMEOUT_S: Final = 0.3
 RESPONSES_RETAINED: Final = 5
 TURN_WAIT_MAX_S: Final = 2.0
@@ -51,7 +51,7 @@
 
 
 class _Log:
-    """One partition: its records, the newest of each key, and its writers."""
+    """One partition: its records, the newest record of each key, and its writers."""
 
     def __init__(self) -> None:
         self.records: list[KeyedRecord] = []
@@ -101,13 +101,14 @@
 
 
 class StoreStandin:
-    """Partitions and groups, with faults and history that can be made to expire.
-
-    Topics that are ``unreadable_topics`` may still be written.
-    ``link_bytes_per_s`` is what the links of some callers carry of records that they read;
-    members that are ``unlisted`` hold no partition, for whatever reason.  ``reads`` counts
-    reads by caller and topic, or group.  A partition takes its appends in turn, each in
-    ``append_duration_s``, and turns away what would wait for over 2 s.
+    """Partitions and groups, with faults and with history that can be expired.
+
+    Reads of ``unreadable_topics`` time out, but writes to them work.  ``link_bytes_per_s``
+    limits by caller the throughput of the records that it reads.  Members in ``unlisted``
+    are left out of the lists of members, as if they held no partition.  ``reads`` counts
+    reads by caller and topic or group.  A partition processes appends one at a time, each in
+    ``append_duration_s``, and refuses an append that would wait longer than
+    ``TURN_WAIT_MAX_S``.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -122,17 +123,19 @@
         self._appends_done_at_s: dict[Partition, float] = {}
 
     def connect(self, caller: str) -> "StoreClient":
-        """Return the store as one caller sees it."""
+        """Return a client that calls the store as ``caller``."""
         return StoreClient(self, caller)
 
     async def wait_for_append_turn(self, partition: Partition, work: Callable[[], object]) -> None:
-        """Wait for an append's turn; where that takes too long, it is done unheard."""
+        """Wait for an append's turn; if the call times out first, do the append after it."""
         if not self.append_duration_s:
             return
         loop = asyncio.get_running_loop()
         starts_in_s = max(0.0, self._appends_done_at_s.get(partition, 0.0) - loop.time())
         if starts_in_s > TURN_WAIT_MAX_S:
-            raise StoreRefusedError("too many wait")
+            raise StoreRefusedError(
+                f"append would wait {starts_in_s:.3f} s, the limit is {TURN_WAIT_MAX_S} s"
+            )
         takes_s = starts_in_s + self.append_duration_s
         self._appends_done_at_s[partition] = loop.time() + takes_s
         if takes_s <= CALL_TIMEOUT_S:
@@ -140,10 +143,10 @@
             return
         loop.call_later(takes_s, run_discarding_result, work)
         await asyncio.sleep(CALL_TIMEOUT_S)
-        raise StoreNoAnswerError("its turn has not come")
+        raise StoreNoAnswerError(f"append not done within {CALL_TIMEOUT_S} s")
 
     def put(self, partition: Partition, key: str, value: bytes | None) -> None:
-        """Write as the operators or the hosts do."""
+        """Write a record as the operators or the hosts do; None removes the key."""
         self._logs[partition].append([KeyedRecord(key, value)])
 
     def get_newest(self, partition: Partition) -> dict[str, bytes]:
@@ -152,7 +155,7 @@
         return {record.key: record.value or b"" for record in newest}
 
     def list_keys(self, topic: str) -> list[str]:
-        """List the keys that any partition of a topic holds."""
+        """List the keys of all partitions of a topic."""
         return [
             key
             for partition, log in self._logs.items()
@@ -161,23 +164,23 @@
         ]
 
     def expire_history(self) -> None:
-        """Drop all records but the newest of each key."""
+        """Delete all records except the newest of each key."""
         for log in self._logs.values():
             log.expire()
 
     def get_log(self, partition: Partition) -> _Log:
-        """Return a partition."""
+        """Return the log of a partition."""
         return self._logs[partition]
 
     def get_group(self, name: str) -> MemberGroup:
-        """Return a group without the members that have lapsed."""
+        """Return a group after the removal of its expired members."""
         group = self._groups[name]
         group.remove_expired()
         return group
 
 
 class StoreClient:
-    """One caller's calls; see ``Store``."""
+    """One caller's client of the store; implements ``Store``."""
 
     def __init__(self, standin: StoreStandin, caller: str) -> None:
         self._standin = standin
@@ -191,7 +194,7 @@
         expected_end: int | None = None,
         stamp: WriterStamp | None = None,
     ) -> AppendResult:
-        """Append all records or none."""
+        """Append all records or none; see ``Store``."""
         log = self._standin.get_log(partition)
         kept = list(records)
 
@@ -210,7 +213,7 @@
         wait_s: float,
         timeout_s: float | None = None,
     ) -> ReadPage:
-        """Read from an offset, waiting for a record."""
+        """Read from an offset, waiting up to ``wait_s`` for a record."""
         page = await self._read(partition, from_offset, wait_s)
         await self._wait_for_link(page.records, timeout_s or READ_TIMEOUT_S)
         return page
@@ -234,18 +237,18 @@
         if connections.silences > silences_before:
             await asyncio.sleep(CALL_TIMEOUT_S)
             connections.replace_silent(self._caller, "")
-            raise StoreNoAnswerError("silent")
+            raise StoreNoAnswerError(f"connection of {self._caller} is silent")
         return await self._call(work, is_change=False) if is_grown else page
 
     async def read_newest(
         self, partition: Partition, after_key: str, timeout_s: float
     ) -> NewestPage:
-        """Read a page of the newest record of each key."""
+        """Read a page of the newest records of the keys that follow ``after_key``."""
         await self._count_read(partition)
         log = self._standin.get_log(partition)
 
         def work() -> NewestPage:
-            # The end is that of the moment at which the page is read.
+            # The page has the end of the partition at the time of this read.
             keys = sorted(key for key in log.newest if key > after_key)
             page = tuple(log.newest[key] for key in keys[:PAGE_RECORDS_MAX])
             return NewestPage(page, log.end, page[-1].key if len(keys) > len(page) else "")
@@ -255,26 +258,26 @@
         return found
 
     async def _count_read(self, partition: Partition) -> None:
-        """Count a read, and fail where the partition's topic can't be read."""
+        """Count a read; time out if the partition's topic is unreadable."""
         self._standin.reads[self._caller, partition.topic] += 1
         if partition.topic in self._standin.unreadable_topics:
             await asyncio.sleep(CALL_TIMEOUT_S)
-            raise StoreNoAnswerError("unreadable")
+            raise StoreNoAnswerError(f"topic {partition.topic} is unreadable")
 
     async def _wait_for_link(self, records: Sequence[KeyedRecord], timeout_s: float) -> None:
-        """Wait for as long as an answer takes over the caller's link."""
+        """Wait for the transfer of a response over the caller's link."""
         link_bytes_per_s = self._standin.link_bytes_per_s.get(self._caller)
         if link_bytes_per_s is None:
             return
         takes_s = sum(len(record.value or b"") for record in records) / link_bytes_per_s
         await asyncio.sleep(min(takes_s, timeout_s))
         if takes_s > timeout_s:
-            raise StoreNoAnswerError("the answer did not come in time")
+            raise StoreNoAnswerError(f"response not transferred within {timeout_s} s")
 
     async def join(
         self, group: str, member: str, topics: Sequence[str], ttl_ms: int, generation: int
     ) -> Membership:
-        """Join a group, or stay in it."""
+        """Join a group, or renew the membership."""
 
         def work() -> Membership:
             found = self._standin.get_group(group)
@@ -292,7 +295,7 @@
         await self._call(work)
 
     async def list_members(self, group: str) -> frozenset[str]:
-        """List the members of a group that hold a partition."""
+        """Return the members of a group that hold a partition."""
         self._standin.reads[self._caller, group] += 1
 
         def work() -> frozenset[str]:
@@ -305,6 +308,6 @@
         try:
             return await faults.carry_out(self._caller, work, CALL_TIMEOUT_S, is_change)
         except CallRefusedError as error:
-            raise StoreRefusedError("turned away") from error
+            raise StoreRefusedError(f"call of {self._caller} was refused") from error
         except CallUnansweredError as error:
-            raise StoreNoAnswerError("no answer") from error
+            raise StoreNoAnswerError(f"no response within {CALL_TIMEOUT_S} s") from error
--- a/src/robinthread/_internal/standins/upstreams_standin.py
+++ b/src/robinthread/_internal/standins/upstreams_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in workers of a fleet as one upstream service."""
+"""An upstream service over the stand-in workers of a fleet."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,9 +16,9 @@
 def make_standin_upstream(
     workers: dict[str, WorkerStandin], can_reach: Callable[[str], bool], gate: Gate
 ) -> UpstreamService:
-    """Make a service over ``workers`` by address.
+    """Make a service that calls ``workers`` by their addresses.
 
-    ``can_reach`` stands for cuts, ``gate`` for freezes of the calling process.
+    ``can_reach`` models network partitions, ``gate`` pauses of the calling process.
     """
 
     def get_worker(address: str) -> WorkerStandin:
@@ -29,13 +29,13 @@
 
     async def run(address: str, task: Task, timeout_s: float) -> WorkerReply:
         await gate.wait()
-        # A worker works on when its caller dies, so the run is a task of its own.
+        # A worker continues when its caller ends, so the run is a separate task.
         work = asyncio.get_running_loop().create_task(get_worker(address).run(task, timeout_s))
         work.add_done_callback(_retrieve_exception)
         reply = await asyncio.shield(work)
         await gate.wait()
         if not can_reach(address):
-            raise UpstreamLostError(f"{address} was cut off")
+            raise UpstreamLostError(f"{address} became unreachable during the run")
         return reply
 
     async def control(address: str, call: ControlCall) -> ControlReply:
@@ -50,6 +50,6 @@
 
 
 def _retrieve_exception(work: asyncio.Task[WorkerReply]) -> None:
-    """Keep the loop from reporting errors of runs whose caller has died."""
+    """Retrieve a run's exception, so that the loop doesn't report it if the caller ended."""
     if not work.cancelled():
         work.exception()
--- a/src/robinthread/_internal/standins/wave_ledger.py
+++ b/src/robinthread/_internal/standins/wave_ledger.py
@@ -1,4 +1,4 @@
-"""What the machines' stand-in saw of maintenance waves, judged by its own truth."""
+"""Record of the maintenance waves on the stand-in's machines, checked by their actual states."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 
 
 class WaveBoundError(AssertionError):
-    """An upkeep began while as many machines of its wave were down as may be."""
+    """An upkeep started although its wave already had its maximum of machines down."""
 
 
 class WaveLedger:
-    """Which machines are down for their upkeep, from its begin until their host is back.
+    """Tracks the machines that are down, from the start of their upkeep to their host's return.
 
-    A broken bound is told to the event loop, so that whoever runs the loop can fail.
+    A violation is reported to the event loop's exception handler, so that a test can fail.
     """
 
     def __init__(self) -> None:
@@ -23,15 +23,15 @@
         self._down: set[str] = set()
 
     def record_request(self, wave: UpkeepWave) -> None:
-        """Take in a wave as the operators ask for it now."""
+        """Record a wave as requested by the operators, in place of an earlier request."""
         self.requested[wave.number] = wave
 
     def has_begun(self, machine: str, wave: int) -> bool:
-        """Tell whether a machine's upkeep for a wave has begun."""
+        """Tell whether a machine's upkeep for a wave has started."""
         return machine in self.begun.get(wave, ())
 
     def record_start(self, machine: str, number: int, holder: str) -> None:
-        """Take in an upkeep that begins, and judge it by all waves that the machine is in."""
+        """Record the start of an upkeep, and a violation if it exceeds its wave's limit."""
         self.begun.setdefault(number, set()).add(machine)
         wave = self.requested.get(number)
         members = self.begun[number] if wave is None else set(wave.machines)
@@ -42,11 +42,13 @@
             self._report_violation(f"{machine} by {holder}: {down} of wave {number} are down")
 
     def record_return(self, machine: str) -> None:
-        """Take in that a machine's host is back, or that the machine has come into the reserve."""
+        """Record that a machine's host is up again, or that the machine is in the reserve."""
         self._down.discard(machine)
 
     def _report_violation(self, text: str) -> None:
         loop = asyncio.get_running_loop()
         self.violations.append(f"{loop.time():.3f} s: {text}")
         error = WaveBoundError(self.violations[-1])
-        loop.call_exception_handler({"message": "wave over its bound", "exception": error})
+        loop.call_exception_handler(
+            {"message": "wave exceeds its limit of machines", "exception": error}
+        )
--- a/src/robinthread/_internal/standins/worker_standin.py
+++ b/src/robinthread/_internal/standins/worker_standin.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: slots, tokens, faults, checkpoint, stop and reboot."""
+"""Stand-in for a worker, with slots, tokens, faults, checkpoints, stops and reboots."""
 
 import asyncio
 import enum
@@ -18,7 +18,7 @@
 
 
 class WorkerMode(enum.Enum):
-    """How a stand-in worker misbehaves."""
+    """The fault that a stand-in worker shows, if any."""
 
     NORMAL = "normal"
     FAILS_EVERYTHING = "fails_everything"
@@ -38,7 +38,10 @@
 
 
 class WorkerStandin:
-    """One worker of an upstream host."""
+    """The worker of an upstream host.
+
+    ``returns_after_reboot`` is false for a worker that stays down after a reboot.
+    """
 
     def __init__(
         self,
@@ -66,19 +69,19 @@
         self._reboot: asyncio.Task[None] | None = None
 
     async def run(self, task: Task, timeout_s: float) -> WorkerReply:
-        """Run ``task`` and return its reply."""
+        """Run a task and return its reply; raise ``UpstreamLostError`` at the timeout."""
         self._check_up()
         self.connections_in_use += 1
         self.connections_peak = max(self.connections_peak, self.connections_in_use)
         try:
             return await asyncio.wait_for(self._run(task), timeout_s)
         except TimeoutError as error:
-            raise UpstreamLostError("no answer in time") from error
+            raise UpstreamLostError(f"no response within {timeout_s} s") from error
         finally:
             self.connections_in_use -= 1
 
     async def control(self, call: ControlCall) -> ControlReply:
-        """Do as ``call`` asks, unless its token is stale."""
+        """Carry out a control call, or reject it if its token is stale."""
         self._check_up()
         if call.token < self.token:
             self._ledger.refused_stale_count += 1
@@ -91,7 +94,7 @@
         return ControlReply(True)
 
     async def report(self) -> WorkerReport:
-        """Return the usage."""
+        """Return the boot id, the number of slots in use and the token."""
         self._check_up()
         boot_id = f"{self.name}-{self.boots_count}"
         return WorkerReport(boot_id, len(self._running), self.token)
@@ -147,7 +150,7 @@
             return make_reply(ReplyStatus.STOPPED, task.id)
         if running.action is ControlAction.REBOOT:
             self._ledger.cut_short_count += not self._is_crashed
-            raise UpstreamLostError("the worker went away")
+            raise UpstreamLostError(f"worker {self.name} went down during the run")
         return self._answer(task, job.can_run)
 
     def _answer(self, task: Task, can_run: bool) -> WorkerReply:
@@ -164,7 +167,7 @@
         return reply
 
     def list_remaining_s(self) -> tuple[float, ...]:
-        """Return the true times left of the running tasks, in seconds."""
+        """Return the actual remaining run times of the running tasks, in seconds."""
         return tuple(
             running.run_s - running.done_before_s - _get_elapsed_s(running)
             for running in self._running.values()
@@ -207,7 +210,7 @@
 
     def _check_up(self) -> None:
         if self.mode is WorkerMode.DOWN:
-            raise UpstreamUnsentError("the worker is down")
+            raise UpstreamUnsentError(f"worker {self.name} is down")
 
 
 def _get_elapsed_s(running: _Running) -> float:
