--- a/src/robinthread/_internal/waves/host_maintenance.py
+++ b/src/robinthread/_internal/waves/host_maintenance.py
@@ -1,4 +1,4 @@
-"""One host's maintenance from its permit to its return."""
+"""Maintenance of one host, from its permit to its return to service."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class HostMaintenance:
-    """Drain a host, reboot or release it, and verify its return.
+    """Drains a host, reboots or releases it, and verifies its return.
 
-    Every step checks the host's phase and token in the fold, so a step is
-    done once.
+    Every step is published with the host's token and takes effect only if the host's phase
+    and token in the fold still match, so each step is done once.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._move_overdue = move_overdue
 
     async def advance(self, name: str) -> None:
-        """Take one host through the steps that are left for it."""
+        """Carry out a host's remaining steps; return once none is left for this daemon."""
         steps = {
             HostPhase.PERMITTED: self._start_drain,
             HostPhase.DRAINING: self._drain,
@@ -58,7 +58,10 @@
                 await asyncio.sleep(self._settings.steward_interval_s)
 
     async def _start_drain(self, host: Host) -> bool:
-        """Let the permit be known, then start; a permit taken back voids the record."""
+        """Wait until the permit takes effect on all daemons, then start the drain.
+
+        If the permit is revoked meanwhile, the record of the start has no effect.
+        """
         idle = host.slots - self._count_in_use(host)
         await asyncio.sleep(self._settings.permit_effect_s)
         self._context.measures.record_held_back(idle, self._settings.permit_effect_s)
@@ -80,7 +83,7 @@
         return await self._publish_step(HostDrained(host.name, host.token, boot_id))
 
     async def _reboot(self, host: Host) -> bool:
-        """Reboot the host once, and verify that it is back under a new boot id."""
+        """Reboot the host once, and verify that its worker reports a new boot id."""
         started_at_s = asyncio.get_running_loop().time()
         if await read_boot_id(self._context, host) == host.boot_id:
             await reboot(self._context, host)
@@ -103,9 +106,10 @@
         return isinstance(await self._context.publish(body), Success)
 
     async def _is_empty(self, host: Host) -> bool:
-        """Tell whether nothing runs on the host, by our count and by its own report.
+        """Tell whether the host is idle, by the dispatcher's count and by the worker's report.
 
-        A dispatcher that has just taken over has not counted yet.
+        The report is needed because the count of a dispatcher that has just taken over the
+        pool is incomplete.
         """
         if self._count_in_use(host) > 0:
             return False
@@ -127,17 +131,17 @@
 
 
 async def fence(context: StewardContext, host: Host) -> None:
-    """Have a worker refuse tasks that were granted under an older token."""
+    """Make a worker reject tasks that were granted under an older fencing token."""
     await _control(context, host, ControlCall(ControlAction.FENCE, host.token))
 
 
 async def reboot(context: StewardContext, host: Host) -> None:
-    """Ask a worker to reboot its host."""
+    """Request a worker to reboot its host."""
     await _control(context, host, ControlCall(ControlAction.REBOOT, host.token))
 
 
 async def read_boot_id(context: StewardContext, host: Host) -> str:
-    """Return the id of a host's boot, or an empty one where its worker does not answer."""
+    """Return a host's boot id, or an empty string if its worker does not respond."""
     try:
         return (await context.upstream.report(host.address)).boot_id
     except (UpstreamUnsentError, UpstreamLostError):
@@ -145,7 +149,7 @@
 
 
 async def is_idle(context: StewardContext, host: Host) -> bool:
-    """Tell whether a worker reports that nothing runs on its host."""
+    """Tell whether a worker reports no slots in use; False if it does not respond."""
     try:
         return (await context.upstream.report(host.address)).slots_in_use == 0
     except (UpstreamUnsentError, UpstreamLostError):
--- a/src/robinthread/_internal/waves/policy.py
+++ b/src/robinthread/_internal/waves/policy.py
@@ -1,7 +1,7 @@
-"""Policies: which hosts of a wave leave when.
+"""Policies that choose which hosts of a wave leave service next.
 
-A policy is a plain function from what is seen to what is done; the two
-baselines are what operators do by hand.
+A policy is a pure function from a ``PoolView`` to a ``PolicyChoice``.  The two baselines,
+``one_at_a_time`` and ``batch``, are what operators do by hand.
 """
 
 import math
@@ -18,7 +18,7 @@
 
 
 def make_policy(settings: WaveSettings) -> Policy:
-    """Return the policy that the settings name."""
+    """Return the policy that is named in the settings."""
     return {
         "planner": make_planner(settings),
         "one_at_a_time": make_batches(lambda hosts: 1),
@@ -27,13 +27,12 @@
 
 
 def make_planner(settings: WaveSettings) -> Policy:
-    """Make the policy that empties hosts before it asks for their permits.
+    """Make the policy that empties hosts before it requests their permits.
 
-    New work is steered away from the next hosts while the ones before them
-    reboot.  A steered host serves on as a fallback, so it holds back nothing;
-    once it is empty, its permit costs no more than the reboot.  Where work
-    keeps coming back to it, the host drains under its permit as soon as the
-    idle slots that this costs weigh less than the time it would save.
+    While some hosts reboot, new work is steered away from the next ones.  A steered host
+    still serves as a fallback, so its slots are not lost; once it is empty, its permit costs
+    only the reboot.  If a host keeps receiving work, it drains under its permit as soon as
+    the cost of the slots that are idle meanwhile is at most that of the roll-out time saved.
     """
 
     def plan(view: PoolView) -> PolicyChoice:
@@ -52,7 +51,7 @@
 
 
 def make_batches(get_size: Callable[[int], int]) -> Policy:
-    """Make a baseline: fixed batches by name, each after the one before is back."""
+    """Make a baseline policy: fixed batches by host name, each starting after the previous one."""
 
     def plan(view: PoolView) -> PolicyChoice:
         names = sorted(view.wave_hosts)
@@ -66,12 +65,12 @@
 
 
 def _get_leaving_order(host: HostView) -> tuple[bool, float, float, str, str]:
-    """Order hosts: empty ones, those steered longest, those soonest empty, by rack."""
+    """Return a sort key: empty hosts, longest steered, shortest drain, rack, name."""
     return (bool(host.residuals_s), -host.steered_s, host.drain_s, host.rack, host.name)
 
 
 def _select_leaving(view: PoolView, ordered: Iterable[HostView]) -> list[HostView]:
-    """Return the hosts, best first, that the budget lets go together now."""
+    """Return the hosts, best first, that may leave together now within the budget."""
     leaving: list[HostView] = []
     for host in ordered:
         names = tuple(other.name for other in leaving)
@@ -81,7 +80,7 @@
 
 
 def _select_steered(view: PoolView, ordered: list[HostView], wanted: int) -> tuple[str, ...]:
-    """Return the hosts to empty ahead of their turn, as far as free slots allow."""
+    """Return the names of the hosts to empty in advance, as far as free slots allow."""
     steered: list[str] = []
     spare = view.slots_free
     for host in ordered:
@@ -93,11 +92,11 @@
 
 
 def _is_worth_permit(settings: WaveSettings, host: HostView) -> bool:
-    """Tell whether to drain ``host`` now: it is empty, or has been waited for too long.
+    """Tell whether to drain ``host`` now: it is empty, or its wait costs more than the drain.
 
-    A host that was steered for longer than its tasks should have taken keeps
-    getting work.  To drain it holds back slots for ``held_back_slot_s``, to
-    wait on delays all its slots' return by what it has overrun.
+    A host that was steered for longer than ``drain_timeout_s`` keeps receiving work.  A drain
+    leaves slots idle for ``held_back_slot_s``; waiting on delays the return of all its slots
+    by the overrun.
     """
     if not host.residuals_s:
         return True
--- a/src/robinthread/_internal/waves/pool_view.py
+++ b/src/robinthread/_internal/waves/pool_view.py
@@ -1,4 +1,4 @@
-"""A pool as a wave's policy sees it."""
+"""The data on a pool that the policy of a wave uses, and the policy's choice."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True)
 class PoolView:
-    """What a policy decides on.
+    """Input of a policy, for one pool in one data hall.
 
-    ``waiting`` are the wave's hosts of the pool in this data hall that serve
-    still.  ``may_leave(names)`` tells whether the budget holds without these
-    hosts; ``away_count`` counts the pool's hosts here that hold permits.
-    ``slots_free`` are idle slots of serving hosts here.  ``wave_hosts`` are
-    the names of all hosts of the wave, ``wave_done`` those that are done.
+    ``waiting`` are the wave's hosts of the pool in the data hall that hold no permit yet.
+    ``may_leave(names)`` tells whether the pool's budget is met without these hosts;
+    ``away_count`` is the number of the wave's hosts of the pool in the data hall that hold
+    permits.  ``slots_free`` is the number of idle slots of the pool's serving hosts there.
+    ``wave_hosts`` are the names of all hosts of the wave, ``wave_done`` the finished ones.
     """
 
     waiting: tuple[HostView, ...]
@@ -27,10 +27,11 @@
 
 @dataclass(frozen=True)
 class PolicyChoice:
-    """What to do now: hosts to steer new work away from, hosts to ask permits for.
+    """Output of a policy, as names of hosts.
 
-    ``order`` is that in which the waiting hosts are to leave; ``empty`` are those
-    that could leave now, whose tasks move if they have outlasted the wait.
+    New work is steered away from the hosts in ``steer``; permits are requested for those in
+    ``permit``.  ``order`` is the planned order of departure of the waiting hosts.  ``empty``
+    are the hosts that could leave now; their overdue tasks are moved.
     """
 
     steer: tuple[str, ...]
--- a/src/robinthread/_internal/waves/preview.py
+++ b/src/robinthread/_internal/waves/preview.py
@@ -1,4 +1,4 @@
-"""Preview of a wave: its order, times, buffer cost and moves, with lower bounds."""
+"""Preview of a wave: host order, times, buffer cost and task moves, with lower bounds."""
 
 import heapq
 import math
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class PreviewStep:
-    """A host's planned drain and return, in seconds from the start."""
+    """A host's planned drain and return, in seconds from the start of the wave."""
 
     host: str
     start_s: float
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True)
 class Preview:
-    """A plan and its three measures, each beside the lower bound for the same input."""
+    """A plan and its three measures, each with its lower bound for the same input.
+
+    ``is_stuck`` is set if the budget never allows some host to leave; the plan then ends there.
+    """
 
     steps: tuple[PreviewStep, ...]
     rollout_s: float
@@ -34,10 +37,10 @@
 
 @dataclass(frozen=True)
 class PreviewInput:
-    """One pool's share of a wave.
+    """The part of a wave that concerns one pool.
 
-    ``hosts`` are in the order in which they would leave; ``get_drain_s`` and
-    ``get_moves`` give a host's expected drain time and moved tasks.
+    ``hosts`` are in their order of departure; ``get_drain_s`` and ``get_moves`` return the
+    expected drain time of a host and the number of its tasks to be moved.
     """
 
     hosts: Sequence[Host]
@@ -48,7 +51,7 @@
 
 
 def make_preview(entry: PreviewInput) -> Preview:
-    """Simulate the wave: a host leaves as soon as the budget lets it."""
+    """Simulate a wave in which each host leaves as soon as the budget allows."""
     away: list[tuple[float, str]] = []
     steps: list[PreviewStep] = []
     now_s = 0.0
@@ -67,7 +70,7 @@
 
 
 def merge_previews(previews: Iterable[Preview]) -> Preview:
-    """Merge the previews of pools whose waves run side by side."""
+    """Merge the previews of pools that are maintained in parallel."""
     parts = tuple(previews)
     return Preview(
         tuple(sorted((step for part in parts for step in part.steps), key=lambda s: s.start_s)),
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -1,4 +1,4 @@
-"""The steward: carries out waves on the hosts of one pool in one data hall."""
+"""The steward: carries out waves on the hosts of a daemon's pools in one data hall."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True)
 class StewardContext:
-    """What the steward needs from its daemon.
+    """The state and the functions of the daemon that the steward uses.
 
-    ``is_fresh`` is false where the log has not been heard for too long; then
-    nothing new is begun.  ``tell_holder`` asks a lease's holder to end a task.
+    ``is_fresh`` returns False if the log has been unreachable for too long; no new steps are
+    started then.  ``tell_holder`` requests the holder of a lease to end a task.
     """
 
     hall: str
@@ -55,18 +55,18 @@
     measures: WaveMeasures
 
     def owns_pool(self, pool: str) -> bool:
-        """Tell whether this daemon dispatches a pool here, or with no pool, the free hosts."""
+        """Tell whether this daemon dispatches a pool here; an empty name means the free hosts."""
         if not pool:
             return self.owns_free_hosts()
         return pool in self.get_dispatchers()
 
 
 class Steward:
-    """Ask for permits, drain, reboot or release, verify the return.
+    """Requests permits; drains, reboots or releases hosts, and verifies their return.
 
-    Each host that holds a permit has one task of its own, begun afresh by
-    whichever daemon is the pool's dispatcher in the hall; every step checks
-    the host's phase and token in the fold, so a step is done once.
+    The daemon that dispatches a pool in the data hall runs one asyncio task for each of the
+    pool's hosts with a permit, and a new dispatcher starts these tasks again.  Every step
+    checks the host's phase and token in the fold, so each step is done once.
     """
 
     def __init__(self, context: StewardContext, settings: WaveSettings) -> None:
@@ -78,7 +78,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Check periodically for permits to request and hosts to drain, until cancelled."""
         while True:
             if self._context.is_fresh():
                 await self._request_permits()
@@ -88,7 +88,7 @@
             await asyncio.sleep(self._settings.steward_interval_s)
 
     def close(self) -> None:
-        """End the tasks of hosts."""
+        """Cancel the maintenance tasks of all hosts."""
         for task in self._tasks.values():
             task.cancel()
 
@@ -106,7 +106,7 @@
                 dispatcher.steer((), (), frozenset())
 
     async def _request_pool_permits(self, wave: Wave, pool: str) -> None:
-        """Steer work and ask for permits as the policy chooses."""
+        """Steer work and request permits for a pool as chosen by the policy."""
         view = self._make_view(wave, pool)
         choice = self._policy(view)
         dispatcher = self._context.get_dispatchers().get(pool)
@@ -140,7 +140,7 @@
         )
 
     async def _assign_arrivals(self) -> None:
-        """Give free hosts of this hall to the pools that migrate to it."""
+        """Assign free hosts of this data hall to the pools that migrate to it."""
         if not self._context.owns_free_hosts():
             return
         for wave in tuple(self._context.get_state().waves.values()):
@@ -182,7 +182,7 @@
         return tuple(sorted(pool for pool in pools if self._context.owns_pool(pool)))
 
     async def _drain_leaving_hosts(self) -> None:
-        """Fence hosts that the platform takes away, and move what outlasts the wait."""
+        """Fence hosts that the platform removes, and move their overdue tasks."""
         for host in tuple(self._context.get_state().hosts.values()):
             dispatcher = self._context.get_dispatchers().get(host.pool)
             if host.phase is not HostPhase.LEAVING or host.hall != self._context.hall:
@@ -204,10 +204,10 @@
                 )
 
     def _move_overdue(self, dispatcher: Dispatcher, names: tuple[str, ...]) -> None:
-        """Move tasks that have outlasted the allowed wait on hosts that could leave now.
+        """Move tasks that ran for longer than ``drain_timeout_s`` on hosts that could leave now.
 
-        A task that came later than the steering gets the same wait.  On a host
-        whose turn has not come, tasks go on: they may end before it comes.
+        The time counts from the start of steering, or from the task's start if that is later.
+        Tasks on hosts that can't leave yet continue, since they may end before that.
         """
         now_s = asyncio.get_running_loop().time()
         for name in names:
@@ -223,13 +223,13 @@
                     self._move_task(slots, lease)
 
     def _is_worth_move(self, left_s: float) -> bool:
-        """Weigh the wait that a move saves against what the move costs."""
+        """Tell whether the wait that a move saves outweighs the cost of the move."""
         settings = self._settings
         saved = settings.rollout_weight * left_s
         return saved >= settings.moves_weight * settings.move_cost_s
 
     def _move_task(self, slots: HostSlots, lease: SlotLease) -> None:
-        """Ask a task's holder to checkpoint it and place it elsewhere."""
+        """Request the holder of a task to checkpoint it and place it on another host."""
         if not lease.is_preempted:
             slots.mark_preempted(lease.id)
             self._context.measures.record_move()
@@ -238,7 +238,7 @@
 
 
 def _is_budget_met_without(state: FleetState, pool: str, names: tuple[str, ...]) -> bool:
-    """Tell whether the pool's budget holds without the named hosts."""
+    """Tell whether the pool's budget is met without the named hosts."""
     found = state.pools.get(pool)
     if found is None:
         return True
