--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -1,4 +1,8 @@
-"""Drains: what still runs is neither cut short nor waited for without need."""
+"""Drains of hosts: running tasks are not interrupted, and no drain waits longer than needed.
+
+Guards against tasks that a dispatcher doesn't know of, tasks that should move or stay, leases
+whose release was lost, and hosts that don't return.
+"""
 
 import asyncio
 from dataclasses import replace
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -1,4 +1,4 @@
-"""Hosts that the platform takes away, and hosts set aside."""
+"""Hosts that the platform removes, and hosts that are set aside because their tasks fail."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/unit/test_noted_ends.py
+++ b/tests/unit/test_noted_ends.py
@@ -1,4 +1,7 @@
-"""What the hosts' ledger makes of a run that begins after another was done."""
+"""The run ledger reports a run that starts after another run of its task was done.
+
+It counts as a violation only if the earlier run's end was acknowledged within the host's lease.
+"""
 
 import asyncio
 
@@ -21,7 +24,7 @@
 
 class NotedEndsTest(TestCase):
     def _count_violations(self, acknowledged_at_s: float) -> int:
-        """Note a run's end at a time, and run its task again."""
+        """Acknowledge a run's end at a time, run its task again; return the violation count."""
 
         async def work() -> int:
             ledger = RunLedger()
--- a/tests/unit/test_open_connections.py
+++ b/tests/unit/test_open_connections.py
@@ -1,4 +1,8 @@
-"""Connections on the stand-in that go silent cost what real ones do."""
+"""Silent connections of the stand-ins lose the same calls as real connections.
+
+A call in progress is done without a response, the next call is lost, and later calls use a new
+connection.
+"""
 
 import asyncio
 
@@ -12,7 +16,7 @@
 
 
 async def is_answered(faults: CallFaults, done: list[str], caller: str = "node0") -> bool:
-    """Make a call; note in ``done`` that it was carried out."""
+    """Make a call that appends to ``done``; return whether it had a response."""
     try:
         await faults.carry_out(caller, lambda: done.append(caller), TIMEOUT_S)
     except CallUnansweredError:
@@ -39,7 +43,7 @@
             faults.connections.silence()
             answered = [await is_answered(faults, done) for _ in range(3)]
             self.assertEqual([False, True, True], answered)
-            # The lost one was never read.
+            # The lost call was never received.
             self.assertEqual(3, len(done))
 
         run_virtual(work())
