--- a/src/robinthread/_internal/standins/job_host_standin.py
+++ b/src/robinthread/_internal/standins/job_host_standin.py
@@ -74,7 +74,7 @@
         self._host_started_at_ms = host_started_at_ms
         self._take_down = take_down
         self._gangs = gangs
-        self._takes_ticket = accepts_ticket
+        self._accepts_ticket = accepts_ticket
         self._checks_capacity = checks_capacity
         self._earlier_capacities: list[tuple[float, Resources]] = []
         self.is_up = True
@@ -115,7 +115,7 @@
             raise RunTooOldError("old")
         if self.clock_ms > order.lease_until_ms:
             raise StartTooLateError("late")
-        if not self._takes_ticket(order):
+        if not self._accepts_ticket(order):
             raise TicketRejectedError("ticket")
         plan = self._plan_task(order.task)
         required = sum(
--- a/src/robinthread/_internal/standins/machines_standin.py
+++ b/src/robinthread/_internal/standins/machines_standin.py
@@ -171,10 +171,10 @@
         record.host_id, record.state = "", state
         self._save_list()
         has_host = record.pool != self._reserve
-        next_step = self._show_early if has_host and self.host_late_s else self._come_up
+        next_step = self._show_before_host if has_host and self.host_late_s else self._come_up
         asyncio.get_running_loop().call_later(for_s, next_step, record)
 
-    def _show_early(self, record: _MachineRecord) -> None:
+    def _show_before_host(self, record: _MachineRecord) -> None:
         """Show a machine in ``state_before_host`` until its host starts."""
         record.state = self.state_before_host
         self._save_list()
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -67,9 +67,9 @@
         by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
         for run in self.runs:
             by_task[run.task].append(run)
-        breaks = [*self.over_capacity, *self.limits.over_limit]
+        violations = [*self.over_capacity, *self.limits.over_limit]
         for all_runs in by_task.values():
-            breaks += [
+            violations += [
                 f"{run.task} run {run.number} on {run.host_id}, a stray, was not stopped"
                 for run in all_runs
                 if run.is_stray
@@ -79,9 +79,9 @@
             runs = [run for run in all_runs if not run.is_stray]
             runs.sort(key=lambda run: run.began_at_s)
             for earlier, later in itertools.pairwise(runs):
-                breaks += _check_successive(earlier, later)
-            breaks += self._find_late_starts(runs, cancel_s)
-        return breaks
+                violations += _check_successive(earlier, later)
+            violations += self._find_late_starts(runs, cancel_s)
+        return violations
 
     def count_strays(self) -> int:
         """Return the number of stray runs."""
--- a/src/robinthread/_internal/standins/store_standin.py
+++ b/src/robinthread/_internal/standins/store_standin.py
@@ -67,12 +67,12 @@
     def append(self, records: Sequence[KeyedRecord]) -> AppendResult:
         offset = self.end
         for position, record in enumerate(records):
-            kept = KeyedRecord(record.key, record.value, offset + position)
-            self.records.append(kept)
-            if kept.value is None:
-                self.newest.pop(kept.key, None)
+            stored = KeyedRecord(record.key, record.value, offset + position)
+            self.records.append(stored)
+            if stored.value is None:
+                self.newest.pop(stored.key, None)
             else:
-                self.newest[kept.key] = kept
+                self.newest[stored.key] = stored
         if records:
             self.grown.set()
             self.grown = asyncio.Event()
@@ -196,12 +196,12 @@
     ) -> AppendResult:
         """Append all records or none; see ``Store``."""
         log = self._standin.get_log(partition)
-        kept = list(records)
+        batch = list(records)
 
         def work() -> AppendResult:
             if expected_end is not None and log.end != expected_end:
                 raise StoreConditionError(log.end)
-            return log.append(kept) if stamp is None else log.append_stamped(kept, stamp)
+            return log.append(batch) if stamp is None else log.append_stamped(batch, stamp)
 
         await self._standin.wait_for_append_turn(partition, work)
         return await self._call(work)
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -217,15 +217,15 @@
             steered_since_s = now_s - dispatcher.get_steered_s(name)
             for lease in tuple(slots.leases.values()):
                 waited_s = now_s - max(lease.granted_at_s, steered_since_s)
-                left_s = dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
+                residual_s = dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
                 is_overdue = waited_s >= self._settings.drain_timeout_s
-                if is_overdue and self._is_worth_move(left_s):
+                if is_overdue and self._is_worth_move(residual_s):
                     self._move_task(slots, lease)
 
-    def _is_worth_move(self, left_s: float) -> bool:
+    def _is_worth_move(self, residual_s: float) -> bool:
         """Tell whether the wait that a move saves outweighs the cost of the move."""
         settings = self._settings
-        saved = settings.rollout_weight * left_s
+        saved = settings.rollout_weight * residual_s
         return saved >= settings.moves_weight * settings.move_cost_s
 
     def _move_task(self, slots: HostSlots, lease: SlotLease) -> None:
@@ -252,7 +252,7 @@
     slots = dispatcher.hosts.get(host.name) if dispatcher else None
     if dispatcher is None or slots is None:
         return HostView(host.name, host.rack, host.slots)
-    left = (
+    residuals_s = (
         dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
         for lease in slots.leases.values()
     )
@@ -260,6 +260,6 @@
         host.name,
         host.rack,
         host.slots,
-        tuple(sorted(left, reverse=True)),
+        tuple(sorted(residuals_s, reverse=True)),
         dispatcher.get_steered_s(host.name),
     )
