--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -1,4 +1,4 @@
-"""The steward: carries out waves on the hosts of one pool in one data hall."""
+"""The steward: carries out waves on the hosts of a daemon's pools in one data hall."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True)
 class StewardContext:
-    """What the steward needs from its daemon.
+    """The state and the functions of the daemon that the steward uses.
 
-    ``is_fresh`` is false where the log has not been heard for too long; then
-    nothing new is begun.  ``tell_holder`` asks a lease's holder to end a task.
+    ``is_fresh`` returns False if the log has been unreachable for too long; no new steps are
+    started then.  ``tell_holder`` requests the holder of a lease to end a task.
     """
 
     hall: str
@@ -55,18 +55,18 @@
     measures: WaveMeasures
 
     def owns_pool(self, pool: str) -> bool:
-        """Tell whether this daemon dispatches a pool here, or with no pool, the free hosts."""
+        """Tell whether this daemon dispatches a pool here; an empty name means the free hosts."""
         if not pool:
             return self.owns_free_hosts()
         return pool in self.get_dispatchers()
 
 
 class Steward:
-    """Ask for permits, drain, reboot or release, verify the return.
+    """Requests permits; drains, reboots or releases hosts, and verifies their return.
 
-    Each host that holds a permit has one task of its own, begun afresh by
-    whichever daemon is the pool's dispatcher in the hall; every step checks
-    the host's phase and token in the fold, so a step is done once.
+    The daemon that dispatches a pool in the data hall runs one asyncio task for each of the
+    pool's hosts with a permit, and a new dispatcher starts these tasks again.  Every step
+    checks the host's phase and token in the fold, so each step is done once.
     """
 
     def __init__(self, context: StewardContext, settings: WaveSettings) -> None:
@@ -78,35 +78,35 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Check periodically for permits to request and hosts to drain, until cancelled."""
         while True:
             if self._context.is_fresh():
-                await self._ask_permits()
+                await self._request_permits()
                 await self._assign_arrivals()
             self._start_tasks()
-            await self._empty_leaving()
+            await self._drain_leaving_hosts()
             await asyncio.sleep(self._settings.steward_interval_s)
 
     def close(self) -> None:
-        """End the tasks of hosts."""
+        """Cancel the maintenance tasks of all hosts."""
         for task in self._tasks.values():
             task.cancel()
 
-    async def _ask_permits(self) -> None:
+    async def _request_permits(self) -> None:
         state = self._context.get_state()
         running = [wave for wave in state.waves.values() if wave.state is WaveState.RUNNING]
         turns = [(wave, pool) for wave in running for pool in self._list_pools(state, wave)]
         self._stop_steering({pool for _, pool in turns})
         for wave, pool in turns:
-            await self._ask_for_pool(wave, pool)
+            await self._request_pool_permits(wave, pool)
 
     def _stop_steering(self, pools_in_waves: set[str]) -> None:
         for pool, dispatcher in self._context.get_dispatchers().items():
             if pool not in pools_in_waves:
                 dispatcher.steer((), (), frozenset())
 
-    async def _ask_for_pool(self, wave: Wave, pool: str) -> None:
-        """Steer work and ask for permits as the policy chooses."""
+    async def _request_pool_permits(self, wave: Wave, pool: str) -> None:
+        """Steer work and request permits for a pool as chosen by the policy."""
         view = self._make_view(wave, pool)
         choice = self._policy(view)
         dispatcher = self._context.get_dispatchers().get(pool)
@@ -116,7 +116,7 @@
         for name in choice.permit:
             state = self._context.get_state()
             host = state.hosts.get(name)
-            if host is None or not _would_hold(state, pool, (name,)):
+            if host is None or not _is_budget_met_without(state, pool, (name,)):
                 continue
             result = await self._context.publish(DrainPermitted(name, wave.name, host.token))
             if not isinstance(result, Success):
@@ -136,11 +136,11 @@
             dispatcher.count_idle_slots() if dispatcher else 0,
             wave.hosts,
             wave.done,
-            lambda names: _would_hold(state, pool, names),
+            lambda names: _is_budget_met_without(state, pool, names),
         )
 
     async def _assign_arrivals(self) -> None:
-        """Give free hosts of this hall to the pools that migrate to it."""
+        """Assign free hosts of this data hall to the pools that migrate to it."""
         if not self._context.owns_free_hosts():
             return
         for wave in tuple(self._context.get_state().waves.values()):
@@ -158,10 +158,10 @@
             for _, host in sorted(state.hosts.items())
             if host.hall == wave.to_hall and host.phase is HostPhase.FREE and host.name not in busy
         ]
-        there = sum(
+        assigned_count = sum(
             host.pool == wave.to_pool and host.hall == wave.to_hall for host in state.hosts.values()
         )
-        for host in free[: max(0, wave.to_count - there)]:
+        for host in free[: max(0, wave.to_count - assigned_count)]:
             if await read_boot_id(self._context, host):
                 await self._context.publish(HostAssigned(host.name, wave.to_pool))
 
@@ -181,8 +181,8 @@
         }
         return tuple(sorted(pool for pool in pools if self._context.owns_pool(pool)))
 
-    async def _empty_leaving(self) -> None:
-        """Fence hosts that the platform takes away, and move what outlasts the wait."""
+    async def _drain_leaving_hosts(self) -> None:
+        """Fence hosts that the platform removes, and move their overdue tasks."""
         for host in tuple(self._context.get_state().hosts.values()):
             dispatcher = self._context.get_dispatchers().get(host.pool)
             if host.phase is not HostPhase.LEAVING or host.hall != self._context.hall:
@@ -200,14 +200,14 @@
             task = self._tasks.get(host.name)
             if is_held and self._context.owns_pool(host.pool) and (task is None or task.done()):
                 self._tasks[host.name] = asyncio.get_running_loop().create_task(
-                    self._maintenance.carry(host.name)
+                    self._maintenance.advance(host.name)
                 )
 
     def _move_overdue(self, dispatcher: Dispatcher, names: tuple[str, ...]) -> None:
-        """Move tasks that have outlasted the allowed wait on hosts that could leave now.
+        """Move tasks that ran for longer than ``drain_timeout_s`` on hosts that could leave now.
 
-        A task that came later than the steering gets the same wait.  On a host
-        whose turn has not come, tasks go on: they may end before it comes.
+        The time counts from the start of steering, or from the task's start if that is later.
+        Tasks on hosts that can't leave yet continue, since they may end before that.
         """
         now_s = asyncio.get_running_loop().time()
         for name in names:
@@ -217,19 +217,19 @@
             steered_since_s = now_s - dispatcher.get_steered_s(name)
             for lease in tuple(slots.leases.values()):
                 waited_s = now_s - max(lease.granted_at_s, steered_since_s)
-                left_s = dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
+                residual_s = dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
                 is_overdue = waited_s >= self._settings.drain_timeout_s
-                if is_overdue and self._is_worth_move(left_s):
+                if is_overdue and self._is_worth_move(residual_s):
                     self._move_task(slots, lease)
 
-    def _is_worth_move(self, left_s: float) -> bool:
-        """Weigh the wait that a move saves against what the move costs."""
+    def _is_worth_move(self, residual_s: float) -> bool:
+        """Tell whether the wait that a move saves outweighs the cost of the move."""
         settings = self._settings
-        saved = settings.rollout_weight * left_s
+        saved = settings.rollout_weight * residual_s
         return saved >= settings.moves_weight * settings.move_cost_s
 
     def _move_task(self, slots: HostSlots, lease: SlotLease) -> None:
-        """Ask a task's holder to checkpoint it and place it elsewhere."""
+        """Request the holder of a task to checkpoint it and place it on another host."""
         if not lease.is_preempted:
             slots.mark_preempted(lease.id)
             self._context.measures.record_move()
@@ -237,8 +237,8 @@
             self._context.tell_holder(lease.holder_address, Preempt(lease.id))
 
 
-def _would_hold(state: FleetState, pool: str, names: tuple[str, ...]) -> bool:
-    """Tell whether the pool's budget holds without the named hosts."""
+def _is_budget_met_without(state: FleetState, pool: str, names: tuple[str, ...]) -> bool:
+    """Tell whether the pool's budget is met without the named hosts."""
     found = state.pools.get(pool)
     if found is None:
         return True
@@ -252,7 +252,7 @@
     slots = dispatcher.hosts.get(host.name) if dispatcher else None
     if dispatcher is None or slots is None:
         return HostView(host.name, host.rack, host.slots)
-    left = (
+    residuals_s = (
         dispatcher.estimate.get_residual_s(now_s - lease.granted_at_s)
         for lease in slots.leases.values()
     )
@@ -260,6 +260,6 @@
         host.name,
         host.rack,
         host.slots,
-        tuple(sorted(left, reverse=True)),
+        tuple(sorted(residuals_s, reverse=True)),
         dispatcher.get_steered_s(host.name),
     )
