--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -166,7 +166,7 @@
         """Publish a record in the fleet stream."""
         return await self.publisher.publish(body, timeout_s, record_id)
 
-    async def publish_quietly(self, body: object) -> None:
+    async def publish_ignoring_result(self, body: object) -> None:
         """Publish a record whose outcome the log will tell anyway."""
         await self.publish(body)
 
@@ -191,7 +191,7 @@
         try:
             snapshot = await read_newest_snapshot(self.environment.log)
             if snapshot is not None:
-                self.follower.take_image(snapshot.image)
+                self.follower.load_image(snapshot.image)
                 self.follower.is_ready = False
             trim_memory()
             return
@@ -210,7 +210,7 @@
             assert isinstance(reply, ImageReply)
             snapshot = decode_snapshot(reply.data) if reply.data else None
             if snapshot is not None:
-                self.follower.take_image(snapshot.image)
+                self.follower.load_image(snapshot.image)
 
     async def _on_image_ask(self, sender: Sender, ask: ImageAsk) -> ImageReply:
         if not self.follower.is_ready or self.is_halted:
--- a/src/robinthread/_internal/daemon/wiring.py
+++ b/src/robinthread/_internal/daemon/wiring.py
@@ -23,7 +23,7 @@
         lambda: daemon.incarnation,
         lambda: daemon.state,
         lambda: daemon.is_fresh,
-        daemon.publish_quietly,
+        daemon.publish_ignoring_result,
         daemon.get_digest,
         daemon.check_digest,
     )
@@ -57,7 +57,7 @@
         daemon.make_id,
         daemon.counters,
         daemon.events,
-        daemon.publish_quietly,
+        daemon.publish_ignoring_result,
     )
     return DispatchService(
         daemon.settings.name,
--- a/src/robinthread/_internal/fold/folder.py
+++ b/src/robinthread/_internal/fold/folder.py
@@ -11,7 +11,7 @@
 from robinthread._internal.fold.envelope import SCHEMA_VERSION, Envelope, decode_batch
 from robinthread._internal.fold.position import Position
 from robinthread._internal.fold.registry import KINDS
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -95,7 +95,7 @@
             del self._seen[old]
 
 
-def _apply(state: FleetState, offset: int, envelope: Envelope) -> tuple[object, Step]:
+def _apply(state: FleetState, offset: int, envelope: Envelope) -> tuple[object, FoldResult]:
     kind = KINDS.get(envelope.kind)
     if kind is None or envelope.version > SCHEMA_VERSION:
         return None, Failure(ResultCode.UNKNOWN_KIND)
--- a/src/robinthread/_internal/fold/kinds/daemon_joined.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_joined.py
@@ -5,7 +5,7 @@
 from returns.result import Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
 
@@ -21,7 +21,7 @@
     operator_address: str
 
 
-def fold(state: FleetState, body: DaemonJoined, at: Position) -> Step:
+def fold(state: FleetState, body: DaemonJoined, at: Position) -> FoldResult:
     """Add the daemon in place of any earlier incarnation of its name."""
     member = DaemonMember(
         body.name,
--- a/src/robinthread/_internal/fold/kinds/daemon_left.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_left.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -18,7 +18,7 @@
     incarnation: str
 
 
-def fold(state: FleetState, body: DaemonLeft, at: Position) -> Step:
+def fold(state: FleetState, body: DaemonLeft, at: Position) -> FoldResult:
     """Remove that incarnation; void if another one has joined since."""
     member = state.daemons.get(body.name)
     if member is None or member.incarnation != body.incarnation:
--- a/src/robinthread/_internal/fold/kinds/drain_permitted.py
+++ b/src/robinthread/_internal/fold/kinds/drain_permitted.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, get_host_in_phase, is_budget_held, put_host
+from robinthread._internal.fold.step import FoldResult, get_host_in_phase, is_budget_met, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.models.wave import WaveState
@@ -21,7 +21,7 @@
     token: int
 
 
-def fold(state: FleetState, body: DrainPermitted, at: Position) -> Step:
+def fold(state: FleetState, body: DrainPermitted, at: Position) -> FoldResult:
     """Grant the permit if the pool's budget holds without the host."""
     found = get_host_in_phase(
         state, body.host, body.token, (HostPhase.SERVING, HostPhase.SET_ASIDE, HostPhase.FREE)
@@ -36,6 +36,6 @@
     host = found.unwrap()
     permitted = replace(host, phase=HostPhase.PERMITTED, wave=body.wave, token=at.offset)
     after = put_host(state, permitted)
-    if not is_budget_held(after, host.pool):
+    if not is_budget_met(after, host.pool):
         return Failure(ResultCode.BUDGET_WOULD_BREAK)
     return Success(after)
--- a/src/robinthread/_internal/fold/kinds/hall_cut.py
+++ b/src/robinthread/_internal/fold/kinds/hall_cut.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -17,7 +17,7 @@
     hall: str
 
 
-def fold(state: FleetState, body: HallCut, at: Position) -> Step:
+def fold(state: FleetState, body: HallCut, at: Position) -> FoldResult:
     """Mark the hall cut off: its daemons own no claims until it heals.
 
     Void from an author whose own hall is cut off: where two halls lose each
--- a/src/robinthread/_internal/fold/kinds/hall_healed.py
+++ b/src/robinthread/_internal/fold/kinds/hall_healed.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -17,7 +17,7 @@
     hall: str
 
 
-def fold(state: FleetState, body: HallHealed, at: Position) -> Step:
+def fold(state: FleetState, body: HallHealed, at: Position) -> FoldResult:
     """Mark the hall healed."""
     if body.hall not in state.cut_halls:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/host_arrived.py
+++ b/src/robinthread/_internal/fold/kinds/host_arrived.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, put_host
+from robinthread._internal.fold.step import FoldResult, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host import Host
 from robinthread._internal.results import ResultCode
@@ -25,7 +25,7 @@
     accelerators: int = 0
 
 
-def fold(state: FleetState, body: HostArrived, at: Position) -> Step:
+def fold(state: FleetState, body: HostArrived, at: Position) -> FoldResult:
     """Add the host, free of any pool; void if it is known."""
     if body.name in state.hosts:
         return Failure(ResultCode.ALREADY_EXISTS)
--- a/src/robinthread/_internal/fold/kinds/host_assigned.py
+++ b/src/robinthread/_internal/fold/kinds/host_assigned.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, end_finished_waves, put_host
+from robinthread._internal.fold.step import FoldResult, end_finished_waves, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.results import ResultCode
@@ -20,7 +20,7 @@
     pool: str
 
 
-def fold(state: FleetState, body: HostAssigned, at: Position) -> Step:
+def fold(state: FleetState, body: HostAssigned, at: Position) -> FoldResult:
     """Assign the host; of racing assignments the first in order wins."""
     host = state.hosts.get(body.host)
     if host is None or body.pool not in state.pools:
--- a/src/robinthread/_internal/fold/kinds/host_drained.py
+++ b/src/robinthread/_internal/fold/kinds/host_drained.py
@@ -5,7 +5,12 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, finish_in_wave, get_host_in_phase, put_host
+from robinthread._internal.fold.step import (
+    FoldResult,
+    get_host_in_phase,
+    mark_done_in_wave,
+    put_host,
+)
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.models.wave import WaveKind
@@ -20,7 +25,7 @@
     boot_id: str = ""
 
 
-def fold(state: FleetState, body: HostDrained, at: Position) -> Step:
+def fold(state: FleetState, body: HostDrained, at: Position) -> FoldResult:
     """Take the host out for its reboot, or out of its pool for a release."""
     found = get_host_in_phase(state, body.host, body.token, (HostPhase.DRAINING,))
     if isinstance(found, Failure):
@@ -29,7 +34,7 @@
     wave = state.waves.get(host.wave)
     if wave is not None and wave.kind is WaveKind.RELEASE:
         free = replace(host, pool="", wave="", phase=HostPhase.FREE, token=at.offset)
-        return Success(finish_in_wave(put_host(state, free), wave.name, host.name, at.offset))
+        return Success(mark_done_in_wave(put_host(state, free), wave.name, host.name, at.offset))
     return Success(
         put_host(state, replace(host, phase=HostPhase.OUT, boot_id=body.boot_id, token=at.offset))
     )
--- a/src/robinthread/_internal/fold/kinds/host_failed.py
+++ b/src/robinthread/_internal/fold/kinds/host_failed.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, get_host_in_phase, put_host, take_back_permits
+from robinthread._internal.fold.step import FoldResult, get_host_in_phase, put_host, revoke_permits
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 
@@ -18,7 +18,7 @@
     token: int
 
 
-def fold(state: FleetState, body: HostFailed, at: Position) -> Step:
+def fold(state: FleetState, body: HostFailed, at: Position) -> FoldResult:
     """Mark the host failed and take back unstarted drains of its pool."""
     phases = (
         HostPhase.SERVING,
@@ -32,4 +32,4 @@
         return found
     host = found.unwrap()
     state = put_host(state, replace(host, phase=HostPhase.FAILED, token=at.offset))
-    return Success(take_back_permits(state, host.pool, at.offset))
+    return Success(revoke_permits(state, host.pool, at.offset))
--- a/src/robinthread/_internal/fold/kinds/host_gone.py
+++ b/src/robinthread/_internal/fold/kinds/host_gone.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, finish_in_wave, take_back_permits
+from robinthread._internal.fold.step import FoldResult, mark_done_in_wave, revoke_permits
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -17,7 +17,7 @@
     host: str
 
 
-def fold(state: FleetState, body: HostGone, at: Position) -> Step:
+def fold(state: FleetState, body: HostGone, at: Position) -> FoldResult:
     """Remove the host and finish it in its wave; a fact, so no budget is asked."""
     host = state.hosts.get(body.host)
     if host is None:
@@ -26,5 +26,5 @@
     state = replace(state, hosts=kept)
     for wave in tuple(state.waves.values()):
         if wave.is_unfinished and body.host in wave.hosts:
-            state = finish_in_wave(state, wave.name, body.host, at.offset)
-    return Success(take_back_permits(state, host.pool, at.offset))
+            state = mark_done_in_wave(state, wave.name, body.host, at.offset)
+    return Success(revoke_permits(state, host.pool, at.offset))
--- a/src/robinthread/_internal/fold/kinds/host_leaving.py
+++ b/src/robinthread/_internal/fold/kinds/host_leaving.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, put_host, take_back_permits
+from robinthread._internal.fold.step import FoldResult, put_host, revoke_permits
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.results import ResultCode
@@ -18,7 +18,7 @@
     host: str
 
 
-def fold(state: FleetState, body: HostLeaving, at: Position) -> Step:
+def fold(state: FleetState, body: HostLeaving, at: Position) -> FoldResult:
     """Give the host no new work; a fact, so no budget is asked."""
     host = state.hosts.get(body.host)
     if host is None:
@@ -26,4 +26,4 @@
     if host.phase is HostPhase.LEAVING:
         return Failure(ResultCode.WRONG_PHASE)
     state = put_host(state, replace(host, phase=HostPhase.LEAVING, token=at.offset))
-    return Success(take_back_permits(state, host.pool, at.offset))
+    return Success(revoke_permits(state, host.pool, at.offset))
--- a/src/robinthread/_internal/fold/kinds/host_recovered.py
+++ b/src/robinthread/_internal/fold/kinds/host_recovered.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, get_host_in_phase, put_host
+from robinthread._internal.fold.step import FoldResult, get_host_in_phase, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 
@@ -18,7 +18,7 @@
     token: int
 
 
-def fold(state: FleetState, body: HostRecovered, at: Position) -> Step:
+def fold(state: FleetState, body: HostRecovered, at: Position) -> FoldResult:
     """Return the host to service; a wave that it was in takes it again."""
     found = get_host_in_phase(
         state, body.host, body.token, (HostPhase.FAILED, HostPhase.SET_ASIDE, HostPhase.LEAVING)
--- a/src/robinthread/_internal/fold/kinds/host_returned.py
+++ b/src/robinthread/_internal/fold/kinds/host_returned.py
@@ -5,7 +5,12 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, finish_in_wave, get_host_in_phase, put_host
+from robinthread._internal.fold.step import (
+    FoldResult,
+    get_host_in_phase,
+    mark_done_in_wave,
+    put_host,
+)
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 
@@ -18,7 +23,7 @@
     token: int
 
 
-def fold(state: FleetState, body: HostReturned, at: Position) -> Step:
+def fold(state: FleetState, body: HostReturned, at: Position) -> FoldResult:
     """Return the host to service, or to the free hosts, and finish it in its wave."""
     found = get_host_in_phase(state, body.host, body.token, (HostPhase.OUT,))
     if isinstance(found, Failure):
@@ -26,4 +31,4 @@
     host = found.unwrap()
     phase = HostPhase.SERVING if host.pool else HostPhase.FREE
     back = replace(host, phase=phase, wave="", token=at.offset)
-    return Success(finish_in_wave(put_host(state, back), host.wave, host.name, at.offset))
+    return Success(mark_done_in_wave(put_host(state, back), host.wave, host.name, at.offset))
--- a/src/robinthread/_internal/fold/kinds/host_set_aside.py
+++ b/src/robinthread/_internal/fold/kinds/host_set_aside.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, get_host_in_phase, is_budget_held, put_host
+from robinthread._internal.fold.step import FoldResult, get_host_in_phase, is_budget_met, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.results import ResultCode
@@ -19,13 +19,13 @@
     token: int
 
 
-def fold(state: FleetState, body: HostSetAside, at: Position) -> Step:
+def fold(state: FleetState, body: HostSetAside, at: Position) -> FoldResult:
     """Set the host aside; void if that alone would break its pool's budget."""
     found = get_host_in_phase(state, body.host, body.token, (HostPhase.SERVING,))
     if isinstance(found, Failure):
         return found
     host = found.unwrap()
     after = put_host(state, replace(host, phase=HostPhase.SET_ASIDE, token=at.offset))
-    if not is_budget_held(after, host.pool):
+    if not is_budget_met(after, host.pool):
         return Failure(ResultCode.BUDGET_WOULD_BREAK)
     return Success(after)
--- a/src/robinthread/_internal/fold/kinds/pool_budget_set.py
+++ b/src/robinthread/_internal/fold/kinds/pool_budget_set.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, take_back_permits
+from robinthread._internal.fold.step import FoldResult, revoke_permits
 from robinthread._internal.models.budget import Budget
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
@@ -20,7 +20,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: PoolBudgetSet, at: Position) -> Step:
+def fold(state: FleetState, body: PoolBudgetSet, at: Position) -> FoldResult:
     """Set the budget and take back unstarted drains that it no longer allows."""
     pool = state.pools.get(body.name)
     if pool is None:
@@ -29,4 +29,4 @@
         return Failure(ResultCode.CONFLICT)
     changed = replace(pool, budget=body.budget, version=at.offset)
     state = replace(state, pools=state.pools | {body.name: changed})
-    return Success(take_back_permits(state, body.name, at.offset))
+    return Success(revoke_permits(state, body.name, at.offset))
--- a/src/robinthread/_internal/fold/kinds/pool_created.py
+++ b/src/robinthread/_internal/fold/kinds/pool_created.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.budget import Budget
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.pool import Pool
@@ -20,7 +20,7 @@
     budget: Budget
 
 
-def fold(state: FleetState, body: PoolCreated, at: Position) -> Step:
+def fold(state: FleetState, body: PoolCreated, at: Position) -> FoldResult:
     """Add the pool; void if one of its name exists."""
     if body.name in state.pools:
         return Failure(ResultCode.ALREADY_EXISTS)
--- a/src/robinthread/_internal/fold/kinds/pool_removed.py
+++ b/src/robinthread/_internal/fold/kinds/pool_removed.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
@@ -18,7 +18,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: PoolRemoved, at: Position) -> Step:
+def fold(state: FleetState, body: PoolRemoved, at: Position) -> FoldResult:
     """Remove the pool; void while it has hosts."""
     pool = state.pools.get(body.name)
     if pool is None:
--- a/src/robinthread/_internal/fold/kinds/quota_set.py
+++ b/src/robinthread/_internal/fold/kinds/quota_set.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.quota import Quota
 from robinthread._internal.results import ResultCode
@@ -20,7 +20,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: QuotaSet, at: Position) -> Step:
+def fold(state: FleetState, body: QuotaSet, at: Position) -> FoldResult:
     """Set the quota if it was based on the current version."""
     current = state.quotas.get(body.team)
     if (current.version if current else 0) != body.based_on_version:
--- a/src/robinthread/_internal/fold/kinds/wave_created.py
+++ b/src/robinthread/_internal/fold/kinds/wave_created.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.wave import Wave, WaveKind
 from robinthread._internal.results import ResultCode
@@ -25,7 +25,7 @@
     to_count: int = 0
 
 
-def fold(state: FleetState, body: WaveCreated, at: Position) -> Step:
+def fold(state: FleetState, body: WaveCreated, at: Position) -> FoldResult:
     """Create the wave; void if a host of it is in another unfinished wave."""
     if body.name in state.waves:
         return Failure(ResultCode.ALREADY_EXISTS)
--- a/src/robinthread/_internal/fold/kinds/wave_state_set.py
+++ b/src/robinthread/_internal/fold/kinds/wave_state_set.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.models.wave import WaveState
@@ -21,7 +21,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: WaveStateSet, at: Position) -> Step:
+def fold(state: FleetState, body: WaveStateSet, at: Position) -> FoldResult:
     """Change the state; pausing or cancelling takes back unstarted drains."""
     wave = state.waves.get(body.name)
     if wave is None:
--- a/src/robinthread/_internal/fold/registry.py
+++ b/src/robinthread/_internal/fold/registry.py
@@ -29,10 +29,10 @@
     wave_state_set,
 )
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 
-FoldFunction = Callable[[FleetState, Any, Position], Step]
+FoldFunction = Callable[[FleetState, Any, Position], FoldResult]
 
 
 @dataclass(frozen=True)
--- a/src/robinthread/_internal/fold/step.py
+++ b/src/robinthread/_internal/fold/step.py
@@ -10,7 +10,7 @@
 from robinthread._internal.models.wave import Wave, WaveState
 from robinthread._internal.results import ResultCode
 
-Step = Result[FleetState, ResultCode]
+FoldResult = Result[FleetState, ResultCode]
 
 
 def put_host(state: FleetState, host: Host) -> FleetState:
@@ -32,7 +32,7 @@
     return Success(host)
 
 
-def is_budget_held(state: FleetState, pool: str) -> bool:
+def is_budget_met(state: FleetState, pool: str) -> bool:
     """Tell whether the pool's budget holds in ``state``."""
     found = state.pools.get(pool)
     if found is None:
@@ -40,14 +40,14 @@
     return found.budget.is_met_by(host for host in state.hosts.values() if host.pool == pool)
 
 
-def take_back_permits(state: FleetState, pool: str, offset: int) -> FleetState:
+def revoke_permits(state: FleetState, pool: str, offset: int) -> FleetState:
     """Return unstarted drains of ``pool`` to service until its budget holds.
 
     Called after every record that may spend the budget without asking, such
     as a host's failure.
     """
     for host in tuple(state.iter_pool_hosts(pool)):
-        if is_budget_held(state, pool):
+        if is_budget_met(state, pool):
             break
         if host.phase is HostPhase.PERMITTED:
             back = replace(host, phase=HostPhase.SERVING, wave="", token=offset)
@@ -55,7 +55,7 @@
     return state
 
 
-def finish_in_wave(state: FleetState, wave: str, host: str, offset: int) -> FleetState:
+def mark_done_in_wave(state: FleetState, wave: str, host: str, offset: int) -> FleetState:
     """Mark ``host`` done in ``wave`` and end the wave after its last host."""
     found = state.waves.get(wave)
     if found is None:
@@ -70,12 +70,12 @@
     ended = {
         name: replace(wave, state=WaveState.DONE, version=offset)
         for name, wave in state.waves.items()
-        if wave.is_unfinished and not wave.waiting and has_arrived(state, wave)
+        if wave.is_unfinished and not wave.waiting and has_target_hosts(state, wave)
     }
     return replace(state, waves=state.waves | ended) if ended else state
 
 
-def has_arrived(state: FleetState, wave: Wave) -> bool:
+def has_target_hosts(state: FleetState, wave: Wave) -> bool:
     """Tell whether a migration's pool has its hosts in the new data hall."""
     if not wave.to_hall:
         return True
--- a/src/robinthread/_internal/follow/follower.py
+++ b/src/robinthread/_internal/follow/follower.py
@@ -25,7 +25,7 @@
     """Read the fleet stream and fold it, forwards only.
 
     ``is_ready`` turns true once the fold has reached the log's end or an
-    image from a peer has been taken.  ``fresh_at_s`` is the loop's time of
+    image from a peer has been taken.  ``last_read_at_s`` is the loop's time of
     the last word from the log.  ``digest`` is the offset and digest of the state
     at the last multiple of ``digest_every_records``, for comparison with peers.
     """
@@ -33,7 +33,7 @@
     def __init__(self, log: LogService, counters: Counters, digest_every_records: int) -> None:
         self.folder = Folder()
         self.is_ready = False
-        self.fresh_at_s = -1e9
+        self.last_read_at_s = -1e9
         self.digest: tuple[int, str] = (-1, "")
         self._digest_every_records = digest_every_records
         self._log = log
@@ -50,7 +50,7 @@
         """Call ``watcher`` after each step with what was folded in it."""
         self._watchers.append(watcher)
 
-    def take_image(self, image: FolderImage) -> bool:
+    def load_image(self, image: FolderImage) -> bool:
         """Start from ``image`` if it is ahead of the state; return whether it was taken."""
         if self.is_ready and image.state.next_offset <= self.state.next_offset:
             return False
@@ -68,7 +68,7 @@
 
     def get_lag_s(self) -> float:
         """Return the seconds since the last word from the log."""
-        return asyncio.get_running_loop().time() - self.fresh_at_s
+        return asyncio.get_running_loop().time() - self.last_read_at_s
 
     async def run(self) -> None:
         """Follow the log until cancelled; raise ``LogTruncatedError``."""
@@ -87,7 +87,7 @@
             self._fold_page(page)
 
     def _fold_page(self, page: LogPage) -> None:
-        self.fresh_at_s = asyncio.get_running_loop().time()
+        self.last_read_at_s = asyncio.get_running_loop().time()
         if page.first_offset > self.state.next_offset:
             raise LogTruncatedError(
                 f"the log starts at {page.first_offset}, needed {self.state.next_offset}"
--- a/tests/unit/test_fold.py
+++ b/tests/unit/test_fold.py
@@ -50,10 +50,10 @@
     def test_state_never_goes_back_whatever_offers_it(self) -> None:
         async def work() -> None:
             follower = Follower(LogStandin().make_service(), Counters(), 256)
-            self.assertTrue(follower.take_image(FolderImage(FleetState(next_offset=9), ())))
-            self.assertFalse(follower.take_image(FolderImage(FleetState(next_offset=8), ())))
+            self.assertTrue(follower.load_image(FolderImage(FleetState(next_offset=9), ())))
+            self.assertFalse(follower.load_image(FolderImage(FleetState(next_offset=8), ())))
             follower.is_ready = False
-            self.assertFalse(follower.take_image(FolderImage(FleetState(next_offset=8), ())))
+            self.assertFalse(follower.load_image(FolderImage(FleetState(next_offset=8), ())))
             self.assertEqual(9, follower.state.next_offset)
 
         run_virtual(work())
