--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -38,7 +38,7 @@
 ID_BITS: Final = 64
 FRAME_ID_BITS: Final = 40
 PUBLISH_TIMEOUT_S: Final = 5.0
-REJOIN_S: Final = 0.5
+JOIN_RETRY_S: Final = 0.5
 START_RETRY_S: Final = 0.5
 SUBJECT_FIELDS: Final = ("host", "name", "team", "hall")
 
@@ -82,7 +82,7 @@
         self.steward = make_steward(self)
         self._join_task: asyncio.Task[None] | None = None
         self._snapshot_offset = 0
-        self._adopted = FleetState()
+        self._last_applied_state = FleetState()
         self._peer_digests: dict[str, tuple[int, str]] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self.follower.watch(self._on_folded)
@@ -197,9 +197,9 @@
             return
         except (LogUnavailableError, LogReplyLostError):
             self.counters.add("snapshot_reads_failed")
-        await self._ask_images()
+        await self._request_images()
 
-    async def _ask_images(self) -> None:
+    async def _request_images(self) -> None:
         for address in self.settings.peer_seeds:
             try:
                 reply = await self.router.ask(
@@ -223,22 +223,22 @@
         if not self.follower.is_ready:
             return
         for record in folded:
-            self._note_folded(record)
+            self._record_event(record)
         self.measures.record_state(self.state)
-        self._adopt_changes()
+        self._update_services()
         if not self.is_member and not self.is_stopping:
             self._ensure_joined()
 
-    def _adopt_changes(self) -> None:
+    def _update_services(self) -> None:
         """Take up turns and hosts, unless the change was to something else."""
-        before, self._adopted = self._adopted, self.state
+        before, self._last_applied_state = self._last_applied_state, self.state
         if before.daemons is not self.state.daemons or before.cut_halls != self.state.cut_halls:
             self.claims.update_owned_partitions()
         elif before.hosts is self.state.hosts:
             return
         self.dispatch.update_dispatchers()
 
-    def _note_folded(self, record: FoldedRecord) -> None:
+    def _record_event(self, record: FoldedRecord) -> None:
         if record.code is not ResultCode.OK:
             self.counters.add("records_void")
             return
@@ -260,11 +260,15 @@
         own_offset, own_digest = self.follower.digest
         if offset != own_offset or not digest:
             return
-        others = [found for at, found in self._peer_digests.values() if at == own_offset]
-        differing = sum(found != own_digest for found in others)
+        others = [
+            peer_digest
+            for peer_offset, peer_digest in self._peer_digests.values()
+            if peer_offset == own_offset
+        ]
+        differing_count = sum(other != own_digest for other in others)
         if digest != own_digest:
             self.counters.add("digests_differ")
-        if differing > 1 + len(others) - differing and not self.is_halted:
+        if differing_count > 1 + len(others) - differing_count and not self.is_halted:
             logging.error("digest at %d differs from most peers': no longer acting", offset)
             self.is_halted = True
             self.events.note("digest_differs", name, str(offset))
@@ -284,16 +288,19 @@
             )
             result = await self.publish(joined)
             if not isinstance(result, Success):
-                await asyncio.sleep(REJOIN_S)
+                await asyncio.sleep(JOIN_RETRY_S)
 
     async def _write_snapshots(self) -> None:
         """Write a snapshot each time it is this daemon's turn."""
-        every = self.settings.platform.snapshot_every_records
+        records_per_snapshot = self.settings.platform.snapshot_every_records
         while True:
             await asyncio.sleep(START_RETRY_S)
-            number = self.state.next_offset // every
-            turn = pick_by_rendezvous(f"snapshot-{number}", self.state.daemons)
-            if number == self._snapshot_offset // every or turn != self.settings.name:
+            snapshot_number = self.state.next_offset // records_per_snapshot
+            writer = pick_by_rendezvous(f"snapshot-{snapshot_number}", self.state.daemons)
+            if (
+                snapshot_number == self._snapshot_offset // records_per_snapshot
+                or writer != self.settings.name
+            ):
                 continue
             try:
                 size = await write_snapshot(self.environment.log, self.follower.folder.make_image())
--- a/src/robinthread/_internal/daemon/host_list_task.py
+++ b/src/robinthread/_internal/daemon/host_list_task.py
@@ -15,7 +15,7 @@
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 
-GONE_PHASES: Final = (HostPhase.FREE, HostPhase.FAILED, HostPhase.OUT, HostPhase.LEAVING)
+REMOVABLE_PHASES: Final = (HostPhase.FREE, HostPhase.FAILED, HostPhase.OUT, HostPhase.LEAVING)
 
 if TYPE_CHECKING:
     from robinthread._internal.daemon.daemon import Daemon
@@ -39,7 +39,7 @@
 
 
 async def _publish_changes(daemon: Daemon, listed: tuple[ListedHost, ...]) -> None:
-    here = {host.name: host for host in listed if host.hall == daemon.settings.hall}
+    listed_here = {host.name: host for host in listed if host.hall == daemon.settings.hall}
     known = daemon.state.hosts
     arrived = [
         HostArrived(
@@ -51,19 +51,21 @@
             host.connections,
             host.accelerators,
         )
-        for name, host in sorted(here.items())
+        for name, host in sorted(listed_here.items())
         if name not in known and not host.is_leaving
     ]
-    gone = [
+    removed = [
         HostGone(host.name)
         for host in known.values()
-        if host.hall == daemon.settings.hall and host.name not in here and host.phase in GONE_PHASES
+        if host.hall == daemon.settings.hall
+        and host.name not in listed_here
+        and host.phase in REMOVABLE_PHASES
     ]
-    changed = _list_leaving(daemon.state, here)
-    await asyncio.gather(*(daemon.publish(body) for body in [*arrived, *gone, *changed]))
+    changed = _make_leaving_records(daemon.state, listed_here)
+    await asyncio.gather(*(daemon.publish(body) for body in [*arrived, *removed, *changed]))
 
 
-def _list_leaving(state: FleetState, listed: dict[str, ListedHost]) -> list[object]:
+def _make_leaving_records(state: FleetState, listed: dict[str, ListedHost]) -> list[object]:
     """Return records for hosts that begin to leave, or no longer do."""
     known = [(state.hosts[name], entry) for name, entry in listed.items() if name in state.hosts]
     leaving: list[object] = [
@@ -71,9 +73,9 @@
         for host, entry in known
         if entry.is_leaving and host.phase is not HostPhase.LEAVING
     ]
-    staying = [
+    no_longer_leaving = [
         HostRecovered(host.name, host.token)
         for host, entry in known
         if not entry.is_leaving and host.phase is HostPhase.LEAVING
     ]
-    return [*leaving, *staying]
+    return [*leaving, *no_longer_leaving]
--- a/src/robinthread/_internal/daemon/process.py
+++ b/src/robinthread/_internal/daemon/process.py
@@ -100,16 +100,16 @@
     """Make the real interfaces of a daemon."""
     platform = settings.platform
     connections_max = settings.entry.upstream_connections_max + CONTROL_CONNECTIONS_MAX
-    workers = CurlAsyncHTTPClient(force_instance=True, max_clients=connections_max)
+    upstream_client = CurlAsyncHTTPClient(force_instance=True, max_clients=connections_max)
     platform_client = CurlAsyncHTTPClient(force_instance=True, max_clients=PLATFORM_CONNECTIONS_MAX)
     list_hosts = (
         make_http_host_list(platform_client, platform.host_list_url)
         if platform.host_list_url
-        else _list_nothing
+        else _fail_without_host_list
     )
     return Environment(
         log=make_http_log(platform_client, platform.log_url, platform.log_timeout_s),
-        upstream=make_http_upstream(workers, settings.peers.ask_timeout_s),
+        upstream=make_http_upstream(upstream_client, settings.peers.ask_timeout_s),
         list_hosts=list_hosts,
         peers=make_pynng_transport(settings.listen.peer_address),
         wall_clock=time.time,
@@ -124,8 +124,8 @@
     process = DaemonProcess(settings)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     start = loop.create_task(process.start())
     logging.info(
         "daemon %s: callers %s, operators %s, metrics %s, peers %s",
@@ -144,7 +144,7 @@
         start.cancel()
 
 
-async def _list_nothing() -> tuple[ListedHost, ...]:
+async def _fail_without_host_list() -> tuple[ListedHost, ...]:
     raise ConnectionError("no host list is configured")
 
 
@@ -156,8 +156,8 @@
     try:
         context.load_cert_chain(listen.tls_certificate_file, listen.tls_key_file)
     except (OSError, ssl.SSLError) as error:
-        what = f"TLS files cannot be loaded: {error}"
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, what)) from error
+        message = f"TLS files cannot be loaded: {error}"
+        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, message)) from error
     return context
 
 
@@ -174,5 +174,5 @@
     try:
         return Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        what = f"{key} {path} cannot be read: {error.strerror}"
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, what)) from error
+        message = f"{key} {path} cannot be read: {error.strerror}"
+        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, message)) from error
--- a/src/robinthread/_internal/fold/folder.py
+++ b/src/robinthread/_internal/fold/folder.py
@@ -79,20 +79,20 @@
     def _fold_envelope(self, offset: int, envelope: Envelope) -> FoldedRecord:
         if envelope.id in self._seen:
             return FoldedRecord(offset, envelope.id, envelope.kind, ResultCode.REPEATED)
-        body, step = _apply(self.state, offset, envelope)
-        if isinstance(step, Success):
-            self.state = step.unwrap()
+        body, result = _apply(self.state, offset, envelope)
+        if isinstance(result, Success):
+            self.state = result.unwrap()
             code = ResultCode.OK
         else:
-            code = step.failure()
-        self._remember(envelope.id, code)
+            code = result.failure()
+        self._record_outcome(envelope.id, code)
         return FoldedRecord(offset, envelope.id, envelope.kind, code, body)
 
-    def _remember(self, record_id: str, code: ResultCode) -> None:
+    def _record_outcome(self, record_id: str, code: ResultCode) -> None:
         self._seen[record_id] = code.value
-        surplus = len(self._seen) - SEEN_IDS_MAX
-        for old in tuple(itertools.islice(self._seen, max(0, surplus))):
-            del self._seen[old]
+        excess_count = len(self._seen) - SEEN_IDS_MAX
+        for oldest_id in tuple(itertools.islice(self._seen, max(0, excess_count))):
+            del self._seen[oldest_id]
 
 
 def _apply(state: FleetState, offset: int, envelope: Envelope) -> tuple[object, FoldResult]:
--- a/src/robinthread/_internal/fold/kinds/config_published.py
+++ b/src/robinthread/_internal/fold/kinds/config_published.py
@@ -20,10 +20,10 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: ConfigPublished, at: Position) -> FoldResult:
+def fold(state: FleetState, body: ConfigPublished, position: Position) -> FoldResult:
     """Put the text in force if it was based on the current version."""
     current = state.config.get(body.name)
     if (current.version if current else 0) != body.based_on_version:
         return Failure(ResultCode.CONFLICT)
-    entry = ConfigEntry(body.name, body.text, version=at.offset)
+    entry = ConfigEntry(body.name, body.text, version=position.offset)
     return Success(replace(state, config=state.config | {body.name: entry}))
--- a/src/robinthread/_internal/fold/kinds/daemon_joined.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_joined.py
@@ -21,7 +21,7 @@
     operator_address: str
 
 
-def fold(state: FleetState, body: DaemonJoined, at: Position) -> FoldResult:
+def fold(state: FleetState, body: DaemonJoined, position: Position) -> FoldResult:
     """Add the daemon in place of any earlier incarnation of its name."""
     member = DaemonMember(
         body.name,
@@ -29,12 +29,12 @@
         body.hall,
         body.peer_address,
         body.operator_address,
-        joined_at=at.offset,
+        joined_at=position.offset,
     )
     return Success(
         replace(
             state,
             daemons=state.daemons | {body.name: member},
-            hall_epochs=state.hall_epochs | {body.hall: at.offset},
+            hall_epochs=state.hall_epochs | {body.hall: position.offset},
         )
     )
--- a/src/robinthread/_internal/fold/kinds/daemon_left.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_left.py
@@ -18,16 +18,16 @@
     incarnation: str
 
 
-def fold(state: FleetState, body: DaemonLeft, at: Position) -> FoldResult:
+def fold(state: FleetState, body: DaemonLeft, position: Position) -> FoldResult:
     """Remove that incarnation; void if another one has joined since."""
     member = state.daemons.get(body.name)
     if member is None or member.incarnation != body.incarnation:
         return Failure(ResultCode.NOT_A_MEMBER)
-    kept = {name: other for name, other in state.daemons.items() if name != body.name}
+    remaining = {name: other for name, other in state.daemons.items() if name != body.name}
     return Success(
         replace(
             state,
-            daemons=kept,
-            hall_epochs=state.hall_epochs | {member.hall: at.offset},
+            daemons=remaining,
+            hall_epochs=state.hall_epochs | {member.hall: position.offset},
         )
     )
--- a/src/robinthread/_internal/fold/kinds/drain_permitted.py
+++ b/src/robinthread/_internal/fold/kinds/drain_permitted.py
@@ -21,20 +21,20 @@
     token: int
 
 
-def fold(state: FleetState, body: DrainPermitted, at: Position) -> FoldResult:
+def fold(state: FleetState, body: DrainPermitted, position: Position) -> FoldResult:
     """Grant the permit if the pool's budget holds without the host."""
-    found = get_host_in_phase(
+    host_in_phase = get_host_in_phase(
         state, body.host, body.token, (HostPhase.SERVING, HostPhase.SET_ASIDE, HostPhase.FREE)
     )
-    if isinstance(found, Failure):
-        return found
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
     wave = state.waves.get(body.wave)
     if wave is None or body.host not in wave.waiting:
         return Failure(ResultCode.NOT_FOUND)
     if wave.state is not WaveState.RUNNING:
         return Failure(ResultCode.WAVE_ENDED)
-    host = found.unwrap()
-    permitted = replace(host, phase=HostPhase.PERMITTED, wave=body.wave, token=at.offset)
+    host = host_in_phase.unwrap()
+    permitted = replace(host, phase=HostPhase.PERMITTED, wave=body.wave, token=position.offset)
     after = put_host(state, permitted)
     if not is_budget_met(after, host.pool):
         return Failure(ResultCode.BUDGET_WOULD_BREAK)
--- a/src/robinthread/_internal/fold/kinds/drain_started.py
+++ b/src/robinthread/_internal/fold/kinds/drain_started.py
@@ -18,10 +18,10 @@
     token: int
 
 
-def fold(state: FleetState, body: DrainStarted, at: Position) -> FoldResult:
+def fold(state: FleetState, body: DrainStarted, position: Position) -> FoldResult:
     """Start the drain; void if the permit was taken back."""
-    found = get_host_in_phase(state, body.host, body.token, (HostPhase.PERMITTED,))
-    if isinstance(found, Failure):
-        return found
-    started = replace(found.unwrap(), phase=HostPhase.DRAINING, token=at.offset)
+    host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.PERMITTED,))
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    started = replace(host_in_phase.unwrap(), phase=HostPhase.DRAINING, token=position.offset)
     return Success(put_host(state, started))
--- a/src/robinthread/_internal/fold/kinds/hall_cut.py
+++ b/src/robinthread/_internal/fold/kinds/hall_cut.py
@@ -17,13 +17,13 @@
     hall: str
 
 
-def fold(state: FleetState, body: HallCut, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HallCut, position: Position) -> FoldResult:
     """Mark the hall cut off: its daemons own no claims until it heals.
 
     Void from an author whose own hall is cut off: where two halls lose each
     other, the first word in order stands.
     """
-    author = state.daemons.get(at.author)
+    author = state.daemons.get(position.author)
     if author is None or author.hall in state.cut_halls:
         return Failure(ResultCode.NOT_A_MEMBER)
     if body.hall in state.cut_halls:
--- a/src/robinthread/_internal/fold/kinds/hall_healed.py
+++ b/src/robinthread/_internal/fold/kinds/hall_healed.py
@@ -17,7 +17,7 @@
     hall: str
 
 
-def fold(state: FleetState, body: HallHealed, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HallHealed, position: Position) -> FoldResult:
     """Mark the hall healed."""
     if body.hall not in state.cut_halls:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/host_arrived.py
+++ b/src/robinthread/_internal/fold/kinds/host_arrived.py
@@ -25,7 +25,7 @@
     accelerators: int = 0
 
 
-def fold(state: FleetState, body: HostArrived, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostArrived, position: Position) -> FoldResult:
     """Add the host, free of any pool; void if it is known."""
     if body.name in state.hosts:
         return Failure(ResultCode.ALREADY_EXISTS)
@@ -37,6 +37,6 @@
         body.slots,
         body.connections,
         body.accelerators,
-        token=at.offset,
+        token=position.offset,
     )
     return Success(put_host(state, host))
--- a/src/robinthread/_internal/fold/kinds/host_assigned.py
+++ b/src/robinthread/_internal/fold/kinds/host_assigned.py
@@ -20,7 +20,7 @@
     pool: str
 
 
-def fold(state: FleetState, body: HostAssigned, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostAssigned, position: Position) -> FoldResult:
     """Assign the host; of racing assignments the first in order wins."""
     host = state.hosts.get(body.host)
     if host is None or body.pool not in state.pools:
@@ -29,5 +29,5 @@
         return Failure(ResultCode.HOST_IN_OTHER_POOL)
     if host.phase is not HostPhase.FREE:
         return Failure(ResultCode.WRONG_PHASE)
-    joined = replace(host, pool=intern(body.pool), phase=HostPhase.SERVING, token=at.offset)
-    return Success(end_finished_waves(put_host(state, joined), at.offset))
+    joined = replace(host, pool=intern(body.pool), phase=HostPhase.SERVING, token=position.offset)
+    return Success(end_finished_waves(put_host(state, joined), position.offset))
--- a/src/robinthread/_internal/fold/kinds/host_drained.py
+++ b/src/robinthread/_internal/fold/kinds/host_drained.py
@@ -25,16 +25,20 @@
     boot_id: str = ""
 
 
-def fold(state: FleetState, body: HostDrained, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostDrained, position: Position) -> FoldResult:
     """Take the host out for its reboot, or out of its pool for a release."""
-    found = get_host_in_phase(state, body.host, body.token, (HostPhase.DRAINING,))
-    if isinstance(found, Failure):
-        return found
-    host = found.unwrap()
+    host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.DRAINING,))
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    host = host_in_phase.unwrap()
     wave = state.waves.get(host.wave)
     if wave is not None and wave.kind is WaveKind.RELEASE:
-        free = replace(host, pool="", wave="", phase=HostPhase.FREE, token=at.offset)
-        return Success(mark_done_in_wave(put_host(state, free), wave.name, host.name, at.offset))
+        free = replace(host, pool="", wave="", phase=HostPhase.FREE, token=position.offset)
+        return Success(
+            mark_done_in_wave(put_host(state, free), wave.name, host.name, position.offset)
+        )
     return Success(
-        put_host(state, replace(host, phase=HostPhase.OUT, boot_id=body.boot_id, token=at.offset))
+        put_host(
+            state, replace(host, phase=HostPhase.OUT, boot_id=body.boot_id, token=position.offset)
+        )
     )
--- a/src/robinthread/_internal/fold/kinds/host_failed.py
+++ b/src/robinthread/_internal/fold/kinds/host_failed.py
@@ -18,7 +18,7 @@
     token: int
 
 
-def fold(state: FleetState, body: HostFailed, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostFailed, position: Position) -> FoldResult:
     """Mark the host failed and take back unstarted drains of its pool."""
     phases = (
         HostPhase.SERVING,
@@ -27,9 +27,9 @@
         HostPhase.OUT,
         HostPhase.SET_ASIDE,
     )
-    found = get_host_in_phase(state, body.host, body.token, phases)
-    if isinstance(found, Failure):
-        return found
-    host = found.unwrap()
-    state = put_host(state, replace(host, phase=HostPhase.FAILED, token=at.offset))
-    return Success(revoke_permits(state, host.pool, at.offset))
+    host_in_phase = get_host_in_phase(state, body.host, body.token, phases)
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    host = host_in_phase.unwrap()
+    state = put_host(state, replace(host, phase=HostPhase.FAILED, token=position.offset))
+    return Success(revoke_permits(state, host.pool, position.offset))
--- a/src/robinthread/_internal/fold/kinds/host_gone.py
+++ b/src/robinthread/_internal/fold/kinds/host_gone.py
@@ -17,14 +17,14 @@
     host: str
 
 
-def fold(state: FleetState, body: HostGone, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostGone, position: Position) -> FoldResult:
     """Remove the host and finish it in its wave; a fact, so no budget is asked."""
     host = state.hosts.get(body.host)
     if host is None:
         return Failure(ResultCode.NOT_FOUND)
-    kept = {name: other for name, other in state.hosts.items() if name != body.host}
-    state = replace(state, hosts=kept)
+    remaining = {name: other for name, other in state.hosts.items() if name != body.host}
+    state = replace(state, hosts=remaining)
     for wave in tuple(state.waves.values()):
         if wave.is_unfinished and body.host in wave.hosts:
-            state = mark_done_in_wave(state, wave.name, body.host, at.offset)
-    return Success(revoke_permits(state, host.pool, at.offset))
+            state = mark_done_in_wave(state, wave.name, body.host, position.offset)
+    return Success(revoke_permits(state, host.pool, position.offset))
--- a/src/robinthread/_internal/fold/kinds/host_leaving.py
+++ b/src/robinthread/_internal/fold/kinds/host_leaving.py
@@ -18,12 +18,12 @@
     host: str
 
 
-def fold(state: FleetState, body: HostLeaving, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostLeaving, position: Position) -> FoldResult:
     """Give the host no new work; a fact, so no budget is asked."""
     host = state.hosts.get(body.host)
     if host is None:
         return Failure(ResultCode.NOT_FOUND)
     if host.phase is HostPhase.LEAVING:
         return Failure(ResultCode.WRONG_PHASE)
-    state = put_host(state, replace(host, phase=HostPhase.LEAVING, token=at.offset))
-    return Success(revoke_permits(state, host.pool, at.offset))
+    state = put_host(state, replace(host, phase=HostPhase.LEAVING, token=position.offset))
+    return Success(revoke_permits(state, host.pool, position.offset))
--- a/src/robinthread/_internal/fold/kinds/host_recovered.py
+++ b/src/robinthread/_internal/fold/kinds/host_recovered.py
@@ -18,14 +18,14 @@
     token: int
 
 
-def fold(state: FleetState, body: HostRecovered, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostRecovered, position: Position) -> FoldResult:
     """Return the host to service; a wave that it was in takes it again."""
-    found = get_host_in_phase(
+    host_in_phase = get_host_in_phase(
         state, body.host, body.token, (HostPhase.FAILED, HostPhase.SET_ASIDE, HostPhase.LEAVING)
     )
-    if isinstance(found, Failure):
-        return found
-    host = found.unwrap()
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    host = host_in_phase.unwrap()
     phase = HostPhase.SERVING if host.pool else HostPhase.FREE
-    back = replace(host, phase=phase, wave="", token=at.offset)
-    return Success(put_host(state, back))
+    returned = replace(host, phase=phase, wave="", token=position.offset)
+    return Success(put_host(state, returned))
--- a/src/robinthread/_internal/fold/kinds/host_returned.py
+++ b/src/robinthread/_internal/fold/kinds/host_returned.py
@@ -23,12 +23,14 @@
     token: int
 
 
-def fold(state: FleetState, body: HostReturned, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostReturned, position: Position) -> FoldResult:
     """Return the host to service, or to the free hosts, and finish it in its wave."""
-    found = get_host_in_phase(state, body.host, body.token, (HostPhase.OUT,))
-    if isinstance(found, Failure):
-        return found
-    host = found.unwrap()
+    host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.OUT,))
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    host = host_in_phase.unwrap()
     phase = HostPhase.SERVING if host.pool else HostPhase.FREE
-    back = replace(host, phase=phase, wave="", token=at.offset)
-    return Success(mark_done_in_wave(put_host(state, back), host.wave, host.name, at.offset))
+    returned = replace(host, phase=phase, wave="", token=position.offset)
+    return Success(
+        mark_done_in_wave(put_host(state, returned), host.wave, host.name, position.offset)
+    )
--- a/src/robinthread/_internal/fold/kinds/host_set_aside.py
+++ b/src/robinthread/_internal/fold/kinds/host_set_aside.py
@@ -19,13 +19,13 @@
     token: int
 
 
-def fold(state: FleetState, body: HostSetAside, at: Position) -> FoldResult:
+def fold(state: FleetState, body: HostSetAside, position: Position) -> FoldResult:
     """Set the host aside; void if that alone would break its pool's budget."""
-    found = get_host_in_phase(state, body.host, body.token, (HostPhase.SERVING,))
-    if isinstance(found, Failure):
-        return found
-    host = found.unwrap()
-    after = put_host(state, replace(host, phase=HostPhase.SET_ASIDE, token=at.offset))
+    host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.SERVING,))
+    if isinstance(host_in_phase, Failure):
+        return host_in_phase
+    host = host_in_phase.unwrap()
+    after = put_host(state, replace(host, phase=HostPhase.SET_ASIDE, token=position.offset))
     if not is_budget_met(after, host.pool):
         return Failure(ResultCode.BUDGET_WOULD_BREAK)
     return Success(after)
--- a/src/robinthread/_internal/fold/kinds/pool_budget_set.py
+++ b/src/robinthread/_internal/fold/kinds/pool_budget_set.py
@@ -20,13 +20,13 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: PoolBudgetSet, at: Position) -> FoldResult:
+def fold(state: FleetState, body: PoolBudgetSet, position: Position) -> FoldResult:
     """Set the budget and take back unstarted drains that it no longer allows."""
     pool = state.pools.get(body.name)
     if pool is None:
         return Failure(ResultCode.NOT_FOUND)
     if pool.version != body.based_on_version:
         return Failure(ResultCode.CONFLICT)
-    changed = replace(pool, budget=body.budget, version=at.offset)
+    changed = replace(pool, budget=body.budget, version=position.offset)
     state = replace(state, pools=state.pools | {body.name: changed})
-    return Success(revoke_permits(state, body.name, at.offset))
+    return Success(revoke_permits(state, body.name, position.offset))
--- a/src/robinthread/_internal/fold/kinds/pool_created.py
+++ b/src/robinthread/_internal/fold/kinds/pool_created.py
@@ -20,9 +20,9 @@
     budget: Budget
 
 
-def fold(state: FleetState, body: PoolCreated, at: Position) -> FoldResult:
+def fold(state: FleetState, body: PoolCreated, position: Position) -> FoldResult:
     """Add the pool; void if one of its name exists."""
     if body.name in state.pools:
         return Failure(ResultCode.ALREADY_EXISTS)
-    pool = Pool(body.name, body.budget, version=at.offset)
+    pool = Pool(body.name, body.budget, version=position.offset)
     return Success(replace(state, pools=state.pools | {body.name: pool}))
--- a/src/robinthread/_internal/fold/kinds/pool_removed.py
+++ b/src/robinthread/_internal/fold/kinds/pool_removed.py
@@ -18,7 +18,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: PoolRemoved, at: Position) -> FoldResult:
+def fold(state: FleetState, body: PoolRemoved, position: Position) -> FoldResult:
     """Remove the pool; void while it has hosts."""
     pool = state.pools.get(body.name)
     if pool is None:
@@ -27,5 +27,5 @@
         return Failure(ResultCode.CONFLICT)
     if any(state.iter_pool_hosts(body.name)):
         return Failure(ResultCode.POOL_IN_USE)
-    pools = {name: kept for name, kept in state.pools.items() if name != body.name}
+    pools = {name: other for name, other in state.pools.items() if name != body.name}
     return Success(replace(state, pools=pools))
--- a/src/robinthread/_internal/fold/kinds/quota_set.py
+++ b/src/robinthread/_internal/fold/kinds/quota_set.py
@@ -20,10 +20,10 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: QuotaSet, at: Position) -> FoldResult:
+def fold(state: FleetState, body: QuotaSet, position: Position) -> FoldResult:
     """Set the quota if it was based on the current version."""
     current = state.quotas.get(body.team)
     if (current.version if current else 0) != body.based_on_version:
         return Failure(ResultCode.CONFLICT)
-    quota = Quota(body.team, body.max_slots, version=at.offset)
+    quota = Quota(body.team, body.max_slots, version=position.offset)
     return Success(replace(state, quotas=state.quotas | {body.team: quota}))
--- a/src/robinthread/_internal/fold/kinds/wave_created.py
+++ b/src/robinthread/_internal/fold/kinds/wave_created.py
@@ -25,14 +25,16 @@
     to_count: int = 0
 
 
-def fold(state: FleetState, body: WaveCreated, at: Position) -> FoldResult:
+def fold(state: FleetState, body: WaveCreated, position: Position) -> FoldResult:
     """Create the wave; void if a host of it is in another unfinished wave."""
     if body.name in state.waves:
         return Failure(ResultCode.ALREADY_EXISTS)
     if not body.hosts or any(name not in state.hosts for name in body.hosts):
         return Failure(ResultCode.NOT_FOUND)
-    taken = {name for wave in state.waves.values() if wave.is_unfinished for name in wave.waiting}
-    if taken & set(body.hosts):
+    hosts_in_waves = {
+        name for wave in state.waves.values() if wave.is_unfinished for name in wave.waiting
+    }
+    if hosts_in_waves & set(body.hosts):
         return Failure(ResultCode.HOST_IN_OTHER_WAVE)
     wave = Wave(
         body.name,
@@ -40,7 +42,7 @@
         body.kind,
         tuple(dict.fromkeys(body.hosts)),
         deadline_at_s=body.deadline_at_s,
-        version=at.offset,
+        version=position.offset,
         to_pool=body.to_pool,
         to_hall=body.to_hall,
         to_count=body.to_count,
--- a/src/robinthread/_internal/fold/kinds/wave_state_set.py
+++ b/src/robinthread/_internal/fold/kinds/wave_state_set.py
@@ -21,7 +21,7 @@
     based_on_version: int
 
 
-def fold(state: FleetState, body: WaveStateSet, at: Position) -> FoldResult:
+def fold(state: FleetState, body: WaveStateSet, position: Position) -> FoldResult:
     """Change the state; pausing or cancelling takes back unstarted drains."""
     wave = state.waves.get(body.name)
     if wave is None:
@@ -30,13 +30,13 @@
         return Failure(ResultCode.CONFLICT)
     if not wave.is_unfinished:
         return Failure(ResultCode.WAVE_ENDED)
-    changed = replace(wave, state=body.state, version=at.offset)
+    changed = replace(wave, state=body.state, version=position.offset)
     state = replace(state, waves=state.waves | {body.name: changed})
     if body.state is not WaveState.RUNNING:
-        back = {
-            name: replace(host, phase=HostPhase.SERVING, wave="", token=at.offset)
+        returned = {
+            name: replace(host, phase=HostPhase.SERVING, wave="", token=position.offset)
             for name, host in state.hosts.items()
             if host.wave == body.name and host.phase is HostPhase.PERMITTED
         }
-        state = replace(state, hosts=state.hosts | back)
+        state = replace(state, hosts=state.hosts | returned)
     return Success(state)
--- a/src/robinthread/_internal/fold/step.py
+++ b/src/robinthread/_internal/fold/step.py
@@ -50,8 +50,8 @@
         if is_budget_met(state, pool):
             break
         if host.phase is HostPhase.PERMITTED:
-            back = replace(host, phase=HostPhase.SERVING, wave="", token=offset)
-            state = put_host(state, back)
+            returned = replace(host, phase=HostPhase.SERVING, wave="", token=offset)
+            state = put_host(state, returned)
     return state
 
 
@@ -79,7 +79,7 @@
     """Tell whether a migration's pool has its hosts in the new data hall."""
     if not wave.to_hall:
         return True
-    there = sum(
+    host_count = sum(
         host.pool == wave.to_pool and host.hall == wave.to_hall for host in state.hosts.values()
     )
-    return there >= wave.to_count
+    return host_count >= wave.to_count
--- a/src/robinthread/_internal/follow/follower.py
+++ b/src/robinthread/_internal/follow/follower.py
@@ -92,7 +92,7 @@
             raise LogTruncatedError(
                 f"the log starts at {page.first_offset}, needed {self.state.next_offset}"
             )
-        folded = tuple(step for record in page.records for step in self._fold_record(record))
+        folded = tuple(outcome for record in page.records for outcome in self._fold_record(record))
         self._counters.add("records_folded", len(folded))
         was_ready = self.is_ready
         self.is_ready = self.is_ready or self.state.next_offset >= page.next_offset
--- a/src/robinthread/_internal/follow/publisher.py
+++ b/src/robinthread/_internal/follow/publisher.py
@@ -53,7 +53,7 @@
         self._make_id = make_id
         self._counters = counters
         self._pending: dict[str, Envelope] = {}
-        self._waiting: dict[str, list[asyncio.Future[FoldedRecord]]] = {}
+        self._waiters: dict[str, list[asyncio.Future[FoldedRecord]]] = {}
         self._has_pending = asyncio.Event()
 
     async def publish(
@@ -68,22 +68,22 @@
         if known is not None:
             return _make_result(FoldedRecord(-1, record_id, "", known))
         future: asyncio.Future[FoldedRecord] = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(record_id, []).append(future)
+        self._waiters.setdefault(record_id, []).append(future)
         self._pending[record_id] = self._make_envelope(body, record_id)
         self._has_pending.set()
         try:
             return _make_result(await asyncio.wait_for(future, timeout_s))
         except TimeoutError:
             self._counters.add("publish_timeouts")
-            what = f"Record {record_id} was not seen in the log within {timeout_s:g} s"
-            return Failure(make_fault(ResultCode.TIMED_OUT, what))
+            message = f"Record {record_id} was not seen in the log within {timeout_s:g} s"
+            return Failure(make_fault(ResultCode.TIMED_OUT, message))
         finally:
-            self._stop_waiting(record_id, future)
+            self._remove_waiter(record_id, future)
 
     def settle(self, folded: FoldedRecord) -> None:
         """Tell waiters what became of a record; the follower calls this."""
         self._pending.pop(folded.id, None)
-        for future in self._waiting.get(folded.id, ()):
+        for future in self._waiters.get(folded.id, ()):
             if not future.done():
                 future.set_result(folded)
 
@@ -99,7 +99,7 @@
             try:
                 await self._log.append(FLEET_STREAM, encode_batch(batch))
                 self._counters.add("fleet_appends")
-                self._forget(batch)
+                self._remove_pending(batch)
                 retry_s = RETRY_MIN_S
             except (LogUnavailableError, LogReplyLostError):
                 self._counters.add("fleet_append_failures")
@@ -107,14 +107,14 @@
                 await asyncio.sleep(retry_s)
                 retry_s = min(RETRY_MAX_S, retry_s * 2)
 
-    def _stop_waiting(self, record_id: str, future: asyncio.Future[FoldedRecord]) -> None:
-        futures = self._waiting.get(record_id, [])
+    def _remove_waiter(self, record_id: str, future: asyncio.Future[FoldedRecord]) -> None:
+        futures = self._waiters.get(record_id, [])
         futures.remove(future)
         if not futures:
-            del self._waiting[record_id]
+            del self._waiters[record_id]
             self._pending.pop(record_id, None)
 
-    def _forget(self, batch: tuple[Envelope, ...]) -> None:
+    def _remove_pending(self, batch: tuple[Envelope, ...]) -> None:
         for envelope in batch:
             self._pending.pop(envelope.id, None)
 
--- a/src/robinthread/_internal/snapshots/store.py
+++ b/src/robinthread/_internal/snapshots/store.py
@@ -7,7 +7,7 @@
 from robinthread._internal.snapshots.snapshot import Snapshot, decode_snapshot, encode_snapshot
 
 SNAPSHOT_STREAM: Final = "snapshots"
-LOOK_BACK_RECORDS: Final = 4
+RECENT_RECORDS: Final = 4
 
 
 async def write_snapshot(log: LogService, image: FolderImage) -> int:
@@ -20,10 +20,10 @@
 async def read_newest_snapshot(log: LogService) -> Snapshot | None:
     """Return the whole snapshot with the highest offset among the last few."""
     end = await log.read(SNAPSHOT_STREAM, 1 << 62, 1, 0.0)
-    start = max(end.first_offset, end.next_offset - LOOK_BACK_RECORDS)
+    start = max(end.first_offset, end.next_offset - RECENT_RECORDS)
     if start >= end.next_offset:
         return None
-    page = await log.read(SNAPSHOT_STREAM, start, LOOK_BACK_RECORDS, 0.0)
+    page = await log.read(SNAPSHOT_STREAM, start, RECENT_RECORDS, 0.0)
     found = [decode_snapshot(record.data) for record in page.records]
-    whole = [snapshot for snapshot in found if snapshot is not None]
-    return max(whole, key=lambda snapshot: snapshot.next_offset, default=None)
+    valid = [snapshot for snapshot in found if snapshot is not None]
+    return max(valid, key=lambda snapshot: snapshot.next_offset, default=None)
