--- a/src/robinthread/_internal/daemon/__init__.py
+++ b/src/robinthread/_internal/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: its tasks and how they are wired."""
+"""The daemon process: its services, their wiring and its periodic tasks."""
--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one of a kind on every entry host."""
+"""The daemon, of which each entry host runs one."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -44,7 +44,11 @@
 
 
 class Daemon:
-    """Everything that runs on one entry host, wired together."""
+    """The services of one entry host and the tasks that run them.
+
+    ``is_halted`` turns true permanently once the digest of this daemon's state differs
+    from those of most peers.  ``is_stopping`` is true from the start of a planned stop.
+    """
 
     def __init__(self, settings: DaemonSettings, environment: Environment) -> None:
         self.settings = settings
@@ -90,22 +94,25 @@
 
     @property
     def state(self) -> FleetState:
-        """Return the fleet state folded so far."""
+        """Return the fleet state after all log records applied so far."""
         return self.follower.state
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether callers' requests are taken."""
+        """Return whether the daemon accepts requests from callers."""
         return self.follower.is_ready and not self.is_halted and not self.is_stopping
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether the log was heard of late."""
+        """Return whether the follower is ready and read the log within ``freshness_limit_s``."""
         limit_s = self.settings.platform.freshness_limit_s
         return self.follower.is_ready and self.follower.get_lag_s() < limit_s
 
     async def start(self) -> None:
-        """Start all tasks; return once the daemon is ready and a member."""
+        """Start all tasks and return once the follower is ready.
+
+        Joining the fleet continues in the background; see ``wait_until_member``.
+        """
         self._start_task(self.router.run())
         await self._catch_up()
         self._start_task(self._follow())
@@ -121,21 +128,27 @@
         logging.info("daemon %s ready at offset %d", self.settings.name, self.state.next_offset)
 
     async def wait_until_member(self) -> None:
-        """Wait until the joining record is folded."""
+        """Wait until the record that this daemon joined has been applied."""
         while not self.is_member:
             await asyncio.sleep(START_RETRY_S / 10)
 
     @property
     def is_member(self) -> bool:
-        """Tell whether this incarnation is a member of the fleet."""
+        """Return whether this incarnation is a member of the fleet."""
         member = self.state.daemons.get(self.settings.name)
         return member is not None and member.incarnation == self.incarnation
 
     async def stop(self) -> None:
-        """Stop as planned: not ready, wait, finish what was accepted, hand over, leave."""
+        """Stop as planned: let accepted requests finish, then leave the fleet.
+
+        The daemon first reports itself as not ready and waits ``balancer_grace_s`` so that
+        load balancers stop routing to it.  It then rejects new requests, finishes accepted
+        ones for up to ``finish_timeout_s``, publishes that it leaves, which hands its partitions
+        over, and notifies its peers.
+        """
         stop = self.settings.stop
         self.is_stopping = True
-        logging.info("daemon %s stops", self.settings.name)
+        logging.info("daemon %s: planned stop begins", self.settings.name)
         self.events.note("stopping", self.settings.name)
         await asyncio.sleep(stop.balancer_grace_s)
         self.entry.is_stopping = True
@@ -150,7 +163,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def close(self) -> None:
-        """End at once, as a crash would."""
+        """Cancel all tasks at once, without leaving the fleet, as in a crash."""
         self.dispatch.close()
         self.steward.close()
         self.claims.close()
@@ -163,18 +176,18 @@
     async def publish(
         self, body: object, record_id: str = "", timeout_s: float = PUBLISH_TIMEOUT_S
     ) -> Result[FoldedRecord, Fault]:
-        """Publish a record in the fleet stream."""
+        """Append a record to the fleet stream and wait until it has been applied here."""
         return await self.publisher.publish(body, timeout_s, record_id)
 
     async def publish_ignoring_result(self, body: object) -> None:
-        """Publish a record whose outcome the log will tell anyway."""
+        """Publish a record for a caller that reads the outcome from the fleet state."""
         await self.publish(body)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
     def make_id(self) -> str:
-        """Return an id that no other record, lease or claim batch has."""
+        """Return an id that is unique among records, leases and claim batches."""
         return f"{self.environment.random.getrandbits(ID_BITS):016x}"
 
     async def _follow(self) -> None:
@@ -187,7 +200,12 @@
                 await asyncio.sleep(START_RETRY_S)
 
     async def _catch_up(self) -> None:
-        """Start from the newest snapshot, or with the platform out from a peer."""
+        """Load the newest snapshot, or peers' images if the log cannot be read.
+
+        ``is_ready`` is reset after a snapshot because the records that follow it still have to
+        be applied.  It stays true after a peer's image, so that the daemon can serve while the
+        log is unavailable.
+        """
         try:
             snapshot = await read_newest_snapshot(self.environment.log)
             if snapshot is not None:
@@ -230,7 +248,7 @@
             self._ensure_joined()
 
     def _update_services(self) -> None:
-        """Take up turns and hosts, unless the change was to something else."""
+        """Update claims and dispatchers if the daemons, cut halls or hosts have changed."""
         before, self._last_applied_state = self._last_applied_state, self.state
         if before.daemons is not self.state.daemons or before.cut_halls != self.state.cut_halls:
             self.claims.update_owned_partitions()
@@ -248,13 +266,14 @@
         )
 
     def get_digest(self) -> tuple[int, str]:
-        """Return the last digest and the offset that it stands for."""
+        """Return the offset and the digest of the state at the last comparison point."""
         return self.follower.digest
 
     def check_digest(self, name: str, offset: int, digest: str) -> None:
-        """Compare a peer's digest with ours; stop acting where more differ than agree.
+        """Compare a peer's digest with ours and halt if more daemons differ than agree.
 
-        A single daemon that folds wrongly so stops itself and not the others.
+        Ours counts as agreeing.  The majority rule makes a single daemon with a wrong state
+        halt itself and not the others.
         """
         self._peer_digests[name] = (offset, digest)
         own_offset, own_digest = self.follower.digest
@@ -269,7 +288,9 @@
         if digest != own_digest:
             self.counters.add("digests_differ")
         if differing_count > 1 + len(others) - differing_count and not self.is_halted:
-            logging.error("digest at %d differs from most peers': no longer acting", offset)
+            logging.error(
+                "state digest at offset %d differs from those of most peers; halting", offset
+            )
             self.is_halted = True
             self.events.note("digest_differs", name, str(offset))
 
@@ -291,7 +312,10 @@
                 await asyncio.sleep(JOIN_RETRY_S)
 
     async def _write_snapshots(self) -> None:
-        """Write a snapshot each time it is this daemon's turn."""
+        """Write a snapshot every ``snapshot_every_records`` if this daemon is chosen for it.
+
+        All daemons choose the same writer by rendezvous hashing over the members.
+        """
         records_per_snapshot = self.settings.platform.snapshot_every_records
         while True:
             await asyncio.sleep(START_RETRY_S)
@@ -313,5 +337,5 @@
             self.counters.add("snapshot_bytes", size)
 
     def is_hall_lead(self) -> bool:
-        """Tell whether this daemon follows the host list for its data hall."""
+        """Return whether this daemon polls the host list on behalf of its data hall."""
         return self.dispatch.get_dispatching_daemon("", self.settings.hall) == self.settings.name
--- a/src/robinthread/_internal/daemon/environment.py
+++ b/src/robinthread/_internal/daemon/environment.py
@@ -1,4 +1,4 @@
-"""The outside of a daemon, as plain functions."""
+"""External interfaces of a daemon, as plain functions."""
 
 import random
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """Interfaces that a daemon works through; tests put stand-ins here.
+    """Interfaces to everything outside the daemon; tests replace them by stand-ins.
 
-    ``wall_clock`` returns Unix time in seconds.  ``random`` is seeded in tests
-    and by the operating system otherwise.
+    ``wall_clock`` returns Unix time in seconds.  ``random`` has a fixed seed in tests and is
+    the operating system's generator otherwise.
     """
 
     log: LogService
--- a/src/robinthread/_internal/daemon/gauges.py
+++ b/src/robinthread/_internal/daemon/gauges.py
@@ -1,10 +1,10 @@
-"""Gauges of a daemon."""
+"""Metrics gauges of a daemon."""
 
 from robinthread._internal.daemon.daemon import Daemon
 
 
 def observe_daemon(daemon: Daemon) -> None:
-    """Publish a daemon's gauges, the three measures among them."""
+    """Register the gauges of a daemon, including its three measures of waves."""
     counters, measures = daemon.counters, daemon.measures
     counters.register_gauge("buffer_cost_slot_s", lambda: measures.buffer_slot_s)
     counters.register_gauge("rollout_time_s", lambda: measures.rollout_s)
--- a/src/robinthread/_internal/daemon/host_list_task.py
+++ b/src/robinthread/_internal/daemon/host_list_task.py
@@ -1,4 +1,4 @@
-"""Following the platform's host list for one data hall."""
+"""Periodic comparison of the platform's host list with the fleet state, for one data hall."""
 
 from __future__ import annotations
 
@@ -22,11 +22,10 @@
 
 
 async def follow_host_list(daemon: Daemon) -> None:
-    """Publish arrivals and departures of the hall's hosts while this daemon leads it.
+    """Publish changes of the hall's hosts in the platform's list while this daemon leads the hall.
 
-    The list lags, so a host that is missing from it is taken as gone only
-    once it also is free, out, failed or leaving.  One that the list shows as
-    leaving gets no new work from then on.
+    The list lags behind, so a host that is missing from it is removed only if it is also
+    free, out, failed or leaving.  A host that the list marks as leaving gets no new work.
     """
     while True:
         if daemon.is_hall_lead() and daemon.is_fresh:
@@ -66,7 +65,7 @@
 
 
 def _make_leaving_records(state: FleetState, listed: dict[str, ListedHost]) -> list[object]:
-    """Return records for hosts that begin to leave, or no longer do."""
+    """Return a record for each host that the list newly marks, or no longer marks, as leaving."""
     known = [(state.hosts[name], entry) for name, entry in listed.items() if name in state.hosts]
     leaving: list[object] = [
         HostLeaving(host.name)
--- a/src/robinthread/_internal/daemon/process.py
+++ b/src/robinthread/_internal/daemon/process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: listeners, clients, signals."""
+"""The daemon as an operating system process: listeners, HTTP clients and signals."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class Listener:
-    """A bound listener of a daemon; ``address`` has the real port."""
+    """A listening socket with its HTTP server; ``address`` has the port that was bound."""
 
     def __init__(self, address: str, tls: ssl.SSLContext | None = None) -> None:
         host, _, port = address.rpartition(":")
@@ -42,21 +42,21 @@
         self._server: HTTPServer | None = None
 
     def serve(self, application: Application, body_max_bytes: int) -> None:
-        """Begin to serve."""
+        """Start the HTTP server for ``application`` on the bound sockets."""
         self._server = HTTPServer(
             application, ssl_options=self._tls, max_body_size=2 * body_max_bytes
         )
         self._server.add_sockets(self._sockets)
 
     async def close(self) -> None:
-        """Stop listening and let open answers be written."""
+        """Stop listening and close connections after their responses are written."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
 
 
 class DaemonProcess:
-    """A daemon with its real interfaces."""
+    """A daemon connected to the network, the platform and the clock of its machine."""
 
     def __init__(self, settings: DaemonSettings, counters: Counters | None = None) -> None:
         listen = settings.listen
@@ -72,7 +72,10 @@
         self._token = _read_token(listen.operator_token_file)
 
     async def start(self) -> None:
-        """Serve operators and the scraper at once, callers as soon as ready."""
+        """Open all listeners, then start the daemon.
+
+        Operators and the metrics scraper are served at once, callers once the daemon is ready.
+        """
         body_max_bytes = self.daemon.settings.entry.body_max_bytes
         observe_daemon(self.daemon)
         self.operators.serve(make_operator_application(self.daemon, self._token), body_max_bytes)
@@ -81,7 +84,7 @@
         await self.daemon.start()
 
     async def stop(self) -> None:
-        """Stop as planned."""
+        """Stop the daemon as planned, then close its listeners."""
         await self.daemon.stop()
         for listener in (self.callers, self.operators, self.metrics):
             await listener.close()
@@ -97,7 +100,7 @@
 def make_environment(
     settings: DaemonSettings, counters: Counters, operator_address: str
 ) -> Environment:
-    """Make the real interfaces of a daemon."""
+    """Return the interfaces of a daemon in production."""
     platform = settings.platform
     connections_max = settings.entry.upstream_connections_max + CONTROL_CONNECTIONS_MAX
     upstream_client = CurlAsyncHTTPClient(force_instance=True, max_clients=connections_max)
@@ -145,7 +148,7 @@
 
 
 async def _fail_without_host_list() -> tuple[ListedHost, ...]:
-    raise ConnectionError("no host list is configured")
+    raise ConnectionError("platform.host_list_url is not set")
 
 
 def _make_tls(settings: DaemonSettings) -> ssl.SSLContext | None:
@@ -166,7 +169,9 @@
         return ""
     token = _read_file(path, "listen.operator_token_file").strip()
     if not token:
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, f"{path} holds no token"))
+        raise FaultError(
+            make_fault(ResultCode.BAD_SETTINGS, f"listen.operator_token_file {path} is empty")
+        )
     return token
 
 
--- a/src/robinthread/_internal/daemon/wiring.py
+++ b/src/robinthread/_internal/daemon/wiring.py
@@ -1,4 +1,4 @@
-"""How a daemon's parts are wired to each other."""
+"""Construction of a daemon's services with the functions that they need of each other."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_presence(daemon: Daemon) -> Presence:
-    """Wire the daemon's presence."""
+    """Return the service that monitors which daemons and halls are reachable."""
     context = PresenceContext(
         daemon.settings.name,
         daemon.settings.hall,
@@ -31,7 +31,7 @@
 
 
 def make_claims(daemon: Daemon) -> ClaimService:
-    """Wire the daemon's claims."""
+    """Return the service that grants claims for the partitions that this daemon owns."""
     context = ClaimContext(
         daemon.settings.name,
         daemon.settings.hall,
@@ -47,7 +47,7 @@
 
 
 def make_dispatch(daemon: Daemon) -> DispatchService:
-    """Wire the daemon's dispatch."""
+    """Return the service that runs requests on hosts."""
     context = DispatchContext(
         daemon.settings.hall,
         lambda: daemon.state,
@@ -68,7 +68,7 @@
 
 
 def make_entry(daemon: Daemon) -> EntryService:
-    """Wire the daemon's entry."""
+    """Return the service that accepts requests from callers."""
     context = EntryContext(
         daemon.settings.name,
         daemon.settings.hall,
@@ -89,7 +89,7 @@
 
 
 def make_steward(daemon: Daemon) -> Steward:
-    """Wire the daemon's steward."""
+    """Return the steward, which carries out waves on the hosts that this daemon dispatches."""
     context = StewardContext(
         daemon.settings.hall,
         lambda: daemon.state,
--- a/src/robinthread/_internal/fold/__init__.py
+++ b/src/robinthread/_internal/fold/__init__.py
@@ -1,1 +1,1 @@
-"""The fold of log records into the fleet state, one record kind a module."""
+"""Application of log records to the fleet state, with a module for each kind of record."""
--- a/src/robinthread/_internal/fold/envelope.py
+++ b/src/robinthread/_internal/fold/envelope.py
@@ -1,4 +1,4 @@
-"""Envelope of every record in the fleet stream."""
+"""Envelope in which records are stored in the fleet stream."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True)
 class Envelope:
-    """A record as it travels.
+    """An encoded record with its kind, id and author.
 
-    ``id`` is unique to the decision, so that a repeated append folds once.
-    ``based_on`` is the offset the author's decision was based on.
+    ``id`` stays the same when an append is repeated, so that the record is applied once.
+    ``based_on`` is the next offset of the state on which the author's decision was based.
     """
 
     kind: str
@@ -25,10 +25,10 @@
 
 
 def encode_batch(batch: tuple[Envelope, ...]) -> bytes:
-    """Encode envelopes that share one append."""
+    """Encode the envelopes of one append as one log record."""
     return msgspec.msgpack.encode(batch)
 
 
 def decode_batch(data: bytes) -> tuple[Envelope, ...]:
-    """Decode the envelopes of one log record; raise ``msgspec.DecodeError`` on bad bytes."""
+    """Decode the envelopes of one log record; raise ``msgspec.DecodeError`` if it is malformed."""
     return msgspec.msgpack.decode(data, type=tuple[Envelope, ...])
--- a/src/robinthread/_internal/fold/folder.py
+++ b/src/robinthread/_internal/fold/folder.py
@@ -1,4 +1,4 @@
-"""The folder: the fleet state and what is needed to fold the next record."""
+"""The folder, which applies log records to the fleet state."""
 
 import hashlib
 import itertools
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class FoldedRecord:
-    """What became of a record, for its author and for watchers of the state."""
+    """The outcome of a record, for its author and for watchers of the state."""
 
     offset: int
     id: str
@@ -31,19 +31,22 @@
 
 @dataclass(frozen=True)
 class FolderImage:
-    """The folder's whole content, as snapshots and peers carry it."""
+    """The complete content of a folder, as stored in snapshots and sent to peers.
+
+    ``seen`` are the ids of recent records with the values of their result codes.
+    """
 
     state: FleetState
     seen: tuple[tuple[str, int], ...]
 
 
 class Folder:
-    """Fold log records, in offset order, into the fleet state.
+    """Apply log records, in offset order, to the fleet state.
 
-    The outcome depends on the records alone: no clock, no random number, no
-    local setting.  Ids of the last ``SEEN_IDS_MAX`` records are kept, so that
-    a record appended twice is folded once and its second author learns the
-    first outcome.
+    The outcome depends only on the records, and not on a clock, random numbers or local
+    settings, so that all daemons derive the same state.  The ids of the last
+    ``SEEN_IDS_MAX`` records are stored with their outcomes, so that a record that was
+    appended twice is applied once and the first outcome can be looked up.
     """
 
     def __init__(self, image: FolderImage | None = None) -> None:
@@ -51,7 +54,10 @@
         self._seen: dict[str, int] = dict(image.seen) if image else {}
 
     def fold_record(self, offset: int, data: bytes) -> tuple[FoldedRecord, ...]:
-        """Fold the log record at ``offset`` and return what became of each part."""
+        """Apply the log record at ``offset`` and return the outcome of each record in its batch.
+
+        The result is empty if the log record has been applied already.
+        """
         if offset < self.state.next_offset:
             return ()
         folded = tuple(self._iter_folded(offset, data))
@@ -59,12 +65,12 @@
         return folded
 
     def get_outcome(self, record_id: str) -> ResultCode | None:
-        """Return the outcome of a record among the last ones, or None."""
+        """Return the outcome of a recent record, or None if its id is not stored."""
         code = self._seen.get(record_id)
         return None if code is None else ResultCode(code)
 
     def make_image(self) -> FolderImage:
-        """Return the whole content for a snapshot."""
+        """Return the complete content, for a snapshot or a peer."""
         return FolderImage(self.state, tuple(self._seen.items()))
 
     def _iter_folded(self, offset: int, data: bytes) -> Iterator[FoldedRecord]:
@@ -108,6 +114,6 @@
 
 
 def make_digest(image: FolderImage) -> str:
-    """Return a digest of the folder's content, the same for equal states."""
+    """Return a digest of the folder's content; equal contents have equal digests."""
     encoded = msgspec.msgpack.encode(image, order="deterministic")
     return hashlib.sha256(encoded).hexdigest()[:16]
--- a/src/robinthread/_internal/fold/kinds/config_published.py
+++ b/src/robinthread/_internal/fold/kinds/config_published.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ConfigPublished:
-    """A named text, based on a version of it; zero for a new one."""
+    """A configuration text and the version that it replaces, 0 for a new name."""
 
     name: str
     text: str
@@ -21,7 +21,7 @@
 
 
 def fold(state: FleetState, body: ConfigPublished, position: Position) -> FoldResult:
-    """Put the text in force if it was based on the current version."""
+    """Set the text; fail with ``CONFLICT`` if the version that it replaces is not current."""
     current = state.config.get(body.name)
     if (current.version if current else 0) != body.based_on_version:
         return Failure(ResultCode.CONFLICT)
--- a/src/robinthread/_internal/fold/kinds/daemon_joined.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_joined.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class DaemonJoined:
-    """A daemon's incarnation and addresses."""
+    """Name, incarnation, data hall and addresses of a daemon that joins."""
 
     name: str
     incarnation: str
@@ -22,7 +22,7 @@
 
 
 def fold(state: FleetState, body: DaemonJoined, position: Position) -> FoldResult:
-    """Add the daemon in place of any earlier incarnation of its name."""
+    """Add the daemon, replacing any earlier incarnation with the same name."""
     member = DaemonMember(
         body.name,
         body.incarnation,
--- a/src/robinthread/_internal/fold/kinds/daemon_left.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_left.py
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class DaemonLeft:
-    """An incarnation that stopped, or that its peers no longer hear."""
+    """An incarnation that stopped, or that its peers evicted for missing heartbeats."""
 
     name: str
     incarnation: str
 
 
 def fold(state: FleetState, body: DaemonLeft, position: Position) -> FoldResult:
-    """Remove that incarnation; void if another one has joined since."""
+    """Remove the incarnation; void if it is no member or another one has joined since."""
     member = state.daemons.get(body.name)
     if member is None or member.incarnation != body.incarnation:
         return Failure(ResultCode.NOT_A_MEMBER)
--- a/src/robinthread/_internal/fold/kinds/drain_permitted.py
+++ b/src/robinthread/_internal/fold/kinds/drain_permitted.py
@@ -1,4 +1,4 @@
-"""Record: a host gets a permit to drain."""
+"""Record: a host receives a permit to drain."""
 
 from dataclasses import dataclass, replace
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class DrainPermitted:
-    """A permit for a host of a running wave, under the host's fencing token."""
+    """A permit to drain a host in a running wave, with the host's fencing token."""
 
     host: str
     wave: str
@@ -22,7 +22,7 @@
 
 
 def fold(state: FleetState, body: DrainPermitted, position: Position) -> FoldResult:
-    """Grant the permit if the pool's budget holds without the host."""
+    """Grant the permit if the pool's budget is still met without the host."""
     host_in_phase = get_host_in_phase(
         state, body.host, body.token, (HostPhase.SERVING, HostPhase.SET_ASIDE, HostPhase.FREE)
     )
--- a/src/robinthread/_internal/fold/kinds/drain_started.py
+++ b/src/robinthread/_internal/fold/kinds/drain_started.py
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class DrainStarted:
-    """The start of a drain under its permit's token."""
+    """The start of a drain, with the fencing token of its permit."""
 
     host: str
     token: int
 
 
 def fold(state: FleetState, body: DrainStarted, position: Position) -> FoldResult:
-    """Start the drain; void if the permit was taken back."""
+    """Start the drain; void if the permit was revoked."""
     host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.PERMITTED,))
     if isinstance(host_in_phase, Failure):
         return host_in_phase
--- a/src/robinthread/_internal/fold/kinds/hall_cut.py
+++ b/src/robinthread/_internal/fold/kinds/hall_cut.py
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True)
 class HallCut:
-    """A data hall none of whose daemons is heard by another hall."""
+    """A data hall none of whose daemons can be reached from the author's hall."""
 
     hall: str
 
 
 def fold(state: FleetState, body: HallCut, position: Position) -> FoldResult:
-    """Mark the hall cut off: its daemons own no claims until it heals.
+    """Mark the hall as cut off: its daemons own no claims until it is reachable again.
 
-    Void from an author whose own hall is cut off: where two halls lose each
-    other, the first word in order stands.
+    Void if the author's own hall is cut off.  If two halls lose contact and each reports the
+    other, the first record in the log therefore counts.
     """
     author = state.daemons.get(position.author)
     if author is None or author.hall in state.cut_halls:
--- a/src/robinthread/_internal/fold/kinds/hall_healed.py
+++ b/src/robinthread/_internal/fold/kinds/hall_healed.py
@@ -1,4 +1,4 @@
-"""Record: a data hall is heard again."""
+"""Record: a data hall is reachable again."""
 
 from dataclasses import dataclass, replace
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True)
 class HallHealed:
-    """A data hall that was cut off."""
+    """A data hall that was cut off and is reachable again."""
 
     hall: str
 
 
 def fold(state: FleetState, body: HallHealed, position: Position) -> FoldResult:
-    """Mark the hall healed."""
+    """Mark the hall as no longer cut off; void if it is not cut off."""
     if body.hall not in state.cut_halls:
         return Failure(ResultCode.NOT_FOUND)
     return Success(replace(state, cut_halls=state.cut_halls - {body.hall}))
--- a/src/robinthread/_internal/fold/kinds/host_arrived.py
+++ b/src/robinthread/_internal/fold/kinds/host_arrived.py
@@ -1,4 +1,4 @@
-"""Record: a host arrives."""
+"""Record: a host is new in the platform's host list."""
 
 from dataclasses import dataclass
 from sys import intern
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HostArrived:
-    """A host as the platform's host list gave it."""
+    """A host as described by its entry in the platform's host list."""
 
     name: str
     hall: str
@@ -26,7 +26,7 @@
 
 
 def fold(state: FleetState, body: HostArrived, position: Position) -> FoldResult:
-    """Add the host, free of any pool; void if it is known."""
+    """Add the host without a pool; void if a host with its name exists."""
     if body.name in state.hosts:
         return Failure(ResultCode.ALREADY_EXISTS)
     host = Host(
--- a/src/robinthread/_internal/fold/kinds/host_assigned.py
+++ b/src/robinthread/_internal/fold/kinds/host_assigned.py
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class HostAssigned:
-    """A host and the one pool that it joins."""
+    """A free host and the pool that it joins."""
 
     host: str
     pool: str
 
 
 def fold(state: FleetState, body: HostAssigned, position: Position) -> FoldResult:
-    """Assign the host; of racing assignments the first in order wins."""
+    """Assign the host; of concurrent assignments the first in the log takes effect."""
     host = state.hosts.get(body.host)
     if host is None or body.pool not in state.pools:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/host_drained.py
+++ b/src/robinthread/_internal/fold/kinds/host_drained.py
@@ -1,4 +1,4 @@
-"""Record: a draining host has no work left."""
+"""Record: a draining host has finished its work."""
 
 from dataclasses import dataclass, replace
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class HostDrained:
-    """The end of a drain under its token; ``boot_id`` is the one before the reboot."""
+    """The end of a drain, with the drain's fencing token and the boot id before the reboot."""
 
     host: str
     token: int
@@ -26,7 +26,7 @@
 
 
 def fold(state: FleetState, body: HostDrained, position: Position) -> FoldResult:
-    """Take the host out for its reboot, or out of its pool for a release."""
+    """Mark the host as out for its reboot, or free it from its pool if the wave releases it."""
     host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.DRAINING,))
     if isinstance(host_in_phase, Failure):
         return host_in_phase
--- a/src/robinthread/_internal/fold/kinds/host_failed.py
+++ b/src/robinthread/_internal/fold/kinds/host_failed.py
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class HostFailed:
-    """A host that failed under a fencing token."""
+    """A host that failed, with its fencing token."""
 
     host: str
     token: int
 
 
 def fold(state: FleetState, body: HostFailed, position: Position) -> FoldResult:
-    """Mark the host failed and take back unstarted drains of its pool."""
+    """Mark the host as failed and revoke permits until its pool's budget is met."""
     phases = (
         HostPhase.SERVING,
         HostPhase.PERMITTED,
--- a/src/robinthread/_internal/fold/kinds/host_gone.py
+++ b/src/robinthread/_internal/fold/kinds/host_gone.py
@@ -1,4 +1,4 @@
-"""Record: a host leaves the platform's host list."""
+"""Record: a host is no longer in the platform's host list."""
 
 from dataclasses import dataclass, replace
 
@@ -12,13 +12,16 @@
 
 @dataclass(frozen=True)
 class HostGone:
-    """A host that the platform took away."""
+    """A host that the platform has removed."""
 
     host: str
 
 
 def fold(state: FleetState, body: HostGone, position: Position) -> FoldResult:
-    """Remove the host and finish it in its wave; a fact, so no budget is asked."""
+    """Remove the host and mark it as done in its wave.
+
+    The pool's budget is not checked, because the host is removed already.
+    """
     host = state.hosts.get(body.host)
     if host is None:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/host_leaving.py
+++ b/src/robinthread/_internal/fold/kinds/host_leaving.py
@@ -1,4 +1,4 @@
-"""Record: the platform takes a host away."""
+"""Record: the platform is going to remove a host."""
 
 from dataclasses import dataclass, replace
 
@@ -13,13 +13,16 @@
 
 @dataclass(frozen=True)
 class HostLeaving:
-    """A host that the platform's list shows as leaving."""
+    """A host that the platform's list marks as leaving."""
 
     host: str
 
 
 def fold(state: FleetState, body: HostLeaving, position: Position) -> FoldResult:
-    """Give the host no new work; a fact, so no budget is asked."""
+    """Mark the host as leaving, so that it gets no new work.
+
+    The pool's budget is not checked, because the platform has decided already.
+    """
     host = state.hosts.get(body.host)
     if host is None:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/host_recovered.py
+++ b/src/robinthread/_internal/fold/kinds/host_recovered.py
@@ -1,4 +1,4 @@
-"""Record: a host that failed, was set aside or was leaving serves again."""
+"""Record: a host that failed, was set aside or was leaving returns to service."""
 
 from dataclasses import dataclass, replace
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class HostRecovered:
-    """A host that was verified after a failure."""
+    """A host that was verified to work, or is no longer leaving, with its fencing token."""
 
     host: str
     token: int
 
 
 def fold(state: FleetState, body: HostRecovered, position: Position) -> FoldResult:
-    """Return the host to service; a wave that it was in takes it again."""
+    """Return the host to service; a wave that still lists it can drain it again."""
     host_in_phase = get_host_in_phase(
         state, body.host, body.token, (HostPhase.FAILED, HostPhase.SET_ASIDE, HostPhase.LEAVING)
     )
--- a/src/robinthread/_internal/fold/kinds/host_returned.py
+++ b/src/robinthread/_internal/fold/kinds/host_returned.py
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class HostReturned:
-    """A host verified after its reboot, under its token."""
+    """A host that was verified after its reboot, with its fencing token."""
 
     host: str
     token: int
 
 
 def fold(state: FleetState, body: HostReturned, position: Position) -> FoldResult:
-    """Return the host to service, or to the free hosts, and finish it in its wave."""
+    """Return the host to service, or to the free hosts, and mark it as done in its wave."""
     host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.OUT,))
     if isinstance(host_in_phase, Failure):
         return host_in_phase
--- a/src/robinthread/_internal/fold/kinds/host_set_aside.py
+++ b/src/robinthread/_internal/fold/kinds/host_set_aside.py
@@ -1,4 +1,4 @@
-"""Record: a host is set aside for its bad outcomes."""
+"""Record: a host is set aside because its jobs fail."""
 
 from dataclasses import dataclass, replace
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True)
 class HostSetAside:
-    """A host whose jobs fail, set aside by its dispatcher."""
+    """A host that its dispatcher sets aside, with its fencing token."""
 
     host: str
     token: int
 
 
 def fold(state: FleetState, body: HostSetAside, position: Position) -> FoldResult:
-    """Set the host aside; void if that alone would break its pool's budget."""
+    """Set the host aside; void if its pool's budget would not be met without it."""
     host_in_phase = get_host_in_phase(state, body.host, body.token, (HostPhase.SERVING,))
     if isinstance(host_in_phase, Failure):
         return host_in_phase
--- a/src/robinthread/_internal/fold/kinds/pool_budget_set.py
+++ b/src/robinthread/_internal/fold/kinds/pool_budget_set.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class PoolBudgetSet:
-    """A new budget, based on a version of the pool."""
+    """A new budget and the version of the pool that it was based on."""
 
     name: str
     budget: Budget
@@ -21,7 +21,7 @@
 
 
 def fold(state: FleetState, body: PoolBudgetSet, position: Position) -> FoldResult:
-    """Set the budget and take back unstarted drains that it no longer allows."""
+    """Set the budget and revoke permits that it no longer allows."""
     pool = state.pools.get(body.name)
     if pool is None:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/kinds/pool_created.py
+++ b/src/robinthread/_internal/fold/kinds/pool_created.py
@@ -21,7 +21,7 @@
 
 
 def fold(state: FleetState, body: PoolCreated, position: Position) -> FoldResult:
-    """Add the pool; void if one of its name exists."""
+    """Add the pool; void if a pool with its name exists."""
     if body.name in state.pools:
         return Failure(ResultCode.ALREADY_EXISTS)
     pool = Pool(body.name, body.budget, version=position.offset)
--- a/src/robinthread/_internal/fold/kinds/pool_removed.py
+++ b/src/robinthread/_internal/fold/kinds/pool_removed.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class PoolRemoved:
-    """The end of a pool, based on a version of it."""
+    """The removal of a pool, and the version of the pool that it was based on."""
 
     name: str
     based_on_version: int
--- a/src/robinthread/_internal/fold/kinds/quota_set.py
+++ b/src/robinthread/_internal/fold/kinds/quota_set.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class QuotaSet:
-    """A team's quota, based on a version of it; zero for a new one."""
+    """A team's quota and the version that it replaces, 0 for a new quota."""
 
     team: str
     max_slots: int
@@ -21,7 +21,7 @@
 
 
 def fold(state: FleetState, body: QuotaSet, position: Position) -> FoldResult:
-    """Set the quota if it was based on the current version."""
+    """Set the quota; fail with ``CONFLICT`` if the version that it replaces is not current."""
     current = state.quotas.get(body.team)
     if (current.version if current else 0) != body.based_on_version:
         return Failure(ResultCode.CONFLICT)
--- a/src/robinthread/_internal/fold/kinds/wave_created.py
+++ b/src/robinthread/_internal/fold/kinds/wave_created.py
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True)
 class WaveCreated:
-    """A wave over hosts; ``deadline_at_s`` is a Unix time in seconds, zero for none."""
+    """A new wave over ``hosts``.
+
+    ``deadline_at_s`` is a Unix time in seconds, 0 for none.  Only a migration sets the fields
+    ``to_pool``, ``to_hall`` and ``to_count``; see ``Wave``.
+    """
 
     name: str
     reason: str
@@ -26,7 +30,7 @@
 
 
 def fold(state: FleetState, body: WaveCreated, position: Position) -> FoldResult:
-    """Create the wave; void if a host of it is in another unfinished wave."""
+    """Create the wave; void if another unfinished wave still has to process one of its hosts."""
     if body.name in state.waves:
         return Failure(ResultCode.ALREADY_EXISTS)
     if not body.hosts or any(name not in state.hosts for name in body.hosts):
--- a/src/robinthread/_internal/fold/kinds/wave_state_set.py
+++ b/src/robinthread/_internal/fold/kinds/wave_state_set.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class WaveStateSet:
-    """A wave's new state, based on a version of the wave."""
+    """A wave's new state and the version of the wave that it was based on."""
 
     name: str
     state: WaveState
@@ -22,7 +22,7 @@
 
 
 def fold(state: FleetState, body: WaveStateSet, position: Position) -> FoldResult:
-    """Change the state; pausing or cancelling takes back unstarted drains."""
+    """Change the state; pausing or cancelling revokes permits whose drain has not started."""
     wave = state.waves.get(body.name)
     if wave is None:
         return Failure(ResultCode.NOT_FOUND)
--- a/src/robinthread/_internal/fold/registry.py
+++ b/src/robinthread/_internal/fold/registry.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class RecordKind:
-    """A record kind: its name, body type and fold function."""
+    """Name of a record kind, type of its body and function that applies it."""
 
     name: str
     body_type: type
--- a/src/robinthread/_internal/fold/step.py
+++ b/src/robinthread/_internal/fold/step.py
@@ -1,4 +1,4 @@
-"""Helpers shared by the record kinds."""
+"""Functions on the fleet state that several record kinds use."""
 
 from dataclasses import replace
 
@@ -14,14 +14,14 @@
 
 
 def put_host(state: FleetState, host: Host) -> FleetState:
-    """Return ``state`` with ``host`` in place of the one of its name."""
+    """Return ``state`` with ``host`` added or replacing the host with the same name."""
     return replace(state, hosts=state.hosts | {host.name: host})
 
 
 def get_host_in_phase(
     state: FleetState, name: str, token: int, phases: tuple[HostPhase, ...]
 ) -> Result[Host, ResultCode]:
-    """Return the host if it is in one of ``phases`` and ``token`` is its current one."""
+    """Return the host if ``token`` is its current token and its phase is one of ``phases``."""
     host = state.hosts.get(name)
     if host is None:
         return Failure(ResultCode.NOT_FOUND)
@@ -33,7 +33,7 @@
 
 
 def is_budget_met(state: FleetState, pool: str) -> bool:
-    """Tell whether the pool's budget holds in ``state``."""
+    """Return whether the pool's budget is met in ``state``; true for an unknown pool."""
     found = state.pools.get(pool)
     if found is None:
         return True
@@ -41,10 +41,10 @@
 
 
 def revoke_permits(state: FleetState, pool: str, offset: int) -> FleetState:
-    """Return unstarted drains of ``pool`` to service until its budget holds.
+    """Return hosts of ``pool`` whose drain has not started to service until its budget is met.
 
-    Called after every record that may spend the budget without asking, such
-    as a host's failure.
+    Called after every record that can break the budget and is not checked against it,
+    such as the failure of a host.
     """
     for host in tuple(state.iter_pool_hosts(pool)):
         if is_budget_met(state, pool):
@@ -56,7 +56,7 @@
 
 
 def mark_done_in_wave(state: FleetState, wave: str, host: str, offset: int) -> FleetState:
-    """Mark ``host`` done in ``wave`` and end the wave after its last host."""
+    """Mark ``host`` as done in ``wave``, and end the waves that are complete then."""
     found = state.waves.get(wave)
     if found is None:
         return state
@@ -66,7 +66,7 @@
 
 
 def end_finished_waves(state: FleetState, offset: int) -> FleetState:
-    """End the unfinished waves that have nothing left to do."""
+    """End each unfinished wave whose hosts are done and, in a migration, replaced."""
     ended = {
         name: replace(wave, state=WaveState.DONE, version=offset)
         for name, wave in state.waves.items()
@@ -76,7 +76,7 @@
 
 
 def has_target_hosts(state: FleetState, wave: Wave) -> bool:
-    """Tell whether a migration's pool has its hosts in the new data hall."""
+    """Return whether a migration has its hosts in the new data hall; true for other waves."""
     if not wave.to_hall:
         return True
     host_count = sum(
--- a/src/robinthread/_internal/follow/__init__.py
+++ b/src/robinthread/_internal/follow/__init__.py
@@ -1,1 +1,1 @@
-"""Following the log: offsets, freshness, catch-up."""
+"""Reading and appending to the fleet stream of the log, and the platform's host list."""
--- a/src/robinthread/_internal/follow/follower.py
+++ b/src/robinthread/_internal/follow/follower.py
@@ -1,4 +1,4 @@
-"""Following the fleet stream."""
+"""Reader of the fleet stream, which applies its records to the fleet state."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 
 
 class LogTruncatedError(Exception):
-    """The log no longer holds the record that must be folded next."""
+    """The log no longer holds the record that must be applied next."""
 
 
 class Follower:
-    """Read the fleet stream and fold it, forwards only.
+    """Read the fleet stream and apply its records; the state never goes back in offset.
 
-    ``is_ready`` turns true once the fold has reached the log's end or an
-    image from a peer has been taken.  ``last_read_at_s`` is the loop's time of
-    the last word from the log.  ``digest`` is the offset and digest of the state
-    at the last multiple of ``digest_every_records``, for comparison with peers.
+    ``is_ready`` turns true once the state has reached the end of the log, or once an image
+    has been loaded.  ``last_read_at_s`` is the event loop's time of the last successful read.
+    ``digest`` is the offset and digest of the state at the last multiple of
+    ``digest_every_records``, for comparison with peers.
     """
 
     def __init__(self, log: LogService, counters: Counters, digest_every_records: int) -> None:
@@ -43,15 +43,21 @@
 
     @property
     def state(self) -> FleetState:
-        """Return the fleet state folded so far."""
+        """Return the fleet state after all records applied so far."""
         return self.folder.state
 
     def watch(self, watcher: Callable[[tuple[FoldedRecord, ...]], None]) -> None:
-        """Call ``watcher`` after each step with what was folded in it."""
+        """Call ``watcher`` with the records of each page that was applied.
+
+        It is called with no records after an image is loaded or the follower becomes ready.
+        """
         self._watchers.append(watcher)
 
     def load_image(self, image: FolderImage) -> bool:
-        """Start from ``image`` if it is ahead of the state; return whether it was taken."""
+        """Replace the state by ``image`` unless that would go back; return whether it was replaced.
+
+        An image at the offset of the state is loaded only while the follower is not ready.
+        """
         if self.is_ready and image.state.next_offset <= self.state.next_offset:
             return False
         if image.state.next_offset < self.state.next_offset:
@@ -62,16 +68,19 @@
         return True
 
     async def wait_for_offset(self, offset: int) -> None:
-        """Wait until the record at ``offset`` is folded."""
+        """Wait until the record at ``offset`` has been applied."""
         while self.state.next_offset <= offset:
             await self._advanced.wait()
 
     def get_lag_s(self) -> float:
-        """Return the seconds since the last word from the log."""
+        """Return the seconds since the last successful read of the log."""
         return asyncio.get_running_loop().time() - self.last_read_at_s
 
     async def run(self) -> None:
-        """Follow the log until cancelled; raise ``LogTruncatedError``."""
+        """Read and apply records until cancelled.
+
+        Raise ``LogTruncatedError`` if the next record is no longer in the log.
+        """
         while True:
             try:
                 page = await self._log.read(
@@ -90,7 +99,8 @@
         self.last_read_at_s = asyncio.get_running_loop().time()
         if page.first_offset > self.state.next_offset:
             raise LogTruncatedError(
-                f"the log starts at {page.first_offset}, needed {self.state.next_offset}"
+                f"the log starts at offset {page.first_offset}, "
+                f"but offset {self.state.next_offset} is needed next"
             )
         folded = tuple(outcome for record in page.records for outcome in self._fold_record(record))
         self._counters.add("records_folded", len(folded))
--- a/src/robinthread/_internal/follow/host_list.py
+++ b/src/robinthread/_internal/follow/host_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts."""
+"""Client of the platform's list of live and leaving hosts."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class ListedHost:
-    """A host as the platform lists it."""
+    """An entry of the platform's host list."""
 
     name: str
     hall: str
@@ -25,7 +25,7 @@
 
 
 def make_http_host_list(client: AsyncHTTPClient, base_url: str) -> ListHostsFunction:
-    """Make the call that lists hosts; see docs/interfaces/host_list.md."""
+    """Return a function that fetches the host list; see docs/interfaces/host_list.md."""
 
     async def list_hosts() -> tuple[ListedHost, ...]:
         response = await client.fetch(f"{base_url}/v1/hosts")
--- a/src/robinthread/_internal/follow/publisher.py
+++ b/src/robinthread/_internal/follow/publisher.py
@@ -1,4 +1,4 @@
-"""Publishing records in the fleet stream, several to an append."""
+"""Publisher of records in the fleet stream, which batches them into appends."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True)
 class Author:
-    """The daemon that writes records."""
+    """Name and incarnation of the daemon that publishes a record."""
 
     name: str
     incarnation: str
 
 
 class Publisher:
-    """Append records and report what the fold made of them.
+    """Append records and report their outcomes once they have been applied.
 
-    A record whose append got no reply is appended again under its id: the
-    fold drops the second.  Whoever waits learns the outcome when the follower
-    has folded the record, never before.
+    A record whose append got no reply is appended again under the same id, and the
+    folder ignores the repetition.  ``publish`` returns the outcome only after the follower
+    has applied the record.
     """
 
     def __init__(
@@ -59,9 +59,10 @@
     async def publish(
         self, body: object, timeout_s: float, record_id: str = ""
     ) -> Result[FoldedRecord, Fault]:
-        """Publish ``body`` and wait until it is folded here.
+        """Publish ``body`` and wait until it has been applied here.
 
-        A repeated ``record_id`` yields the first outcome.
+        If a record with this ``record_id`` has been applied already, return its outcome.
+        Fail with ``TIMED_OUT`` after ``timeout_s``; the record may still be applied later.
         """
         record_id = record_id or self._make_id()
         known = self._get_outcome(record_id)
@@ -81,14 +82,14 @@
             self._remove_waiter(record_id, future)
 
     def settle(self, folded: FoldedRecord) -> None:
-        """Tell waiters what became of a record; the follower calls this."""
+        """Pass the outcome of an applied record to the callers of ``publish`` that wait for it."""
         self._pending.pop(folded.id, None)
         for future in self._waiters.get(folded.id, ()):
             if not future.done():
                 future.set_result(folded)
 
     async def run(self) -> None:
-        """Append pending records until cancelled."""
+        """Append pending records in batches until cancelled; retry failures with a back-off."""
         retry_s = RETRY_MIN_S
         while True:
             await self._has_pending.wait()
--- a/src/robinthread/_internal/platform_log/errors.py
+++ b/src/robinthread/_internal/platform_log/errors.py
@@ -2,8 +2,8 @@
 
 
 class LogUnavailableError(Exception):
-    """The log refused the call, or could not be reached; it had no effect."""
+    """The log refused the call or could not be reached; the call had no effect."""
 
 
 class LogReplyLostError(Exception):
-    """No reply came; whether the call had its effect is not known."""
+    """The call got no reply; it may or may not have had its effect."""
--- a/src/robinthread/_internal/platform_log/http_client.py
+++ b/src/robinthread/_internal/platform_log/http_client.py
@@ -1,4 +1,4 @@
-"""Client of the log over HTTP; see docs/interfaces/log.md for the protocol."""
+"""HTTP client of the platform's log; see docs/interfaces/log.md for the protocol."""
 
 import base64
 from urllib.parse import quote
@@ -30,7 +30,10 @@
 
 
 def make_http_log(client: AsyncHTTPClient, base_url: str, timeout_s: float) -> LogService:
-    """Make a log service that speaks to ``base_url``; each call ends in ``timeout_s``."""
+    """Return a log service that calls ``base_url``.
+
+    Calls time out after ``timeout_s``; reads after ``wait_s`` more, the time of the long poll.
+    """
 
     async def append(stream: str, data: bytes) -> int:
         url = f"{base_url}/v1/streams/{quote(stream)}/records"
--- a/src/robinthread/_internal/platform_log/page.py
+++ b/src/robinthread/_internal/platform_log/page.py
@@ -1,11 +1,11 @@
-"""A page of log records."""
+"""Log records and the pages in which they are read."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class LogRecord:
-    """A record and its offset."""
+    """The bytes of a log record and its offset in the stream."""
 
     offset: int
     data: bytes
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class LogPage:
-    """Records in offset order.
+    """Consecutive records of a stream, in offset order.
 
-    ``first_offset`` is the oldest offset that the stream still holds,
-    ``next_offset`` the one that the next append gets.
+    ``first_offset`` is the offset of the oldest record that the stream still holds,
+    ``next_offset`` the one that the next append will get.
     """
 
     records: tuple[LogRecord, ...]
--- a/src/robinthread/_internal/snapshots/__init__.py
+++ b/src/robinthread/_internal/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""Snapshots of the fleet state in a stream of the log."""
+"""Snapshots of the fleet state, stored in a stream of the platform's log."""
--- a/src/robinthread/_internal/snapshots/snapshot.py
+++ b/src/robinthread/_internal/snapshots/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: the folder's image as a record."""
+"""Encoding of the folder's image as a log record."""
 
 import zlib
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """An image of the fold before ``next_offset``, and its digest."""
+    """The folder's image after all records before ``next_offset``, and its digest."""
 
     next_offset: int
     digest: str
@@ -20,13 +20,13 @@
 
 
 def encode_snapshot(image: FolderImage) -> bytes:
-    """Encode and compress an image with its digest."""
+    """Return an image with its digest, encoded and compressed."""
     snapshot = Snapshot(image.state.next_offset, make_digest(image), image)
     return zlib.compress(msgspec.msgpack.encode(snapshot), COMPRESSION_LEVEL)
 
 
 def decode_snapshot(data: bytes) -> Snapshot | None:
-    """Decode a snapshot; return None where its bytes or its digest are wrong."""
+    """Return the decoded snapshot, or None if it is malformed or its digest does not match."""
     try:
         snapshot = msgspec.msgpack.decode(zlib.decompress(data), type=Snapshot)
     except (zlib.error, msgspec.MsgspecError):
--- a/src/robinthread/_internal/snapshots/store.py
+++ b/src/robinthread/_internal/snapshots/store.py
@@ -1,4 +1,4 @@
-"""Snapshots in a stream of the platform's log."""
+"""Reading and writing of snapshots in a stream of the platform's log."""
 
 from typing import Final
 
@@ -18,7 +18,10 @@
 
 
 async def read_newest_snapshot(log: LogService) -> Snapshot | None:
-    """Return the whole snapshot with the highest offset among the last few."""
+    """Return the valid snapshot with the highest offset among the last ``RECENT_RECORDS``.
+
+    None if there is none, for example in a new fleet.
+    """
     end = await log.read(SNAPSHOT_STREAM, 1 << 62, 1, 0.0)
     start = max(end.first_offset, end.next_offset - RECENT_RECORDS)
     if start >= end.next_offset:
