--- a/tests/functional/test_daemon_changes.py
+++ b/tests/functional/test_daemon_changes.py
@@ -41,18 +41,18 @@
 
 
 class DigestTest(TestCase):
-    def test_daemon_whose_state_differs_stops_acting_and_says_so(self) -> None:
+    def test_daemon_whose_state_differs_halts_and_records_an_event(self) -> None:
         async def work() -> None:
             settings = replace(SETTINGS, peers=replace(SETTINGS.peers, digest_every_records=8))
             fleet = await start_fleet(settings=settings)
-            odd = fleet.daemons["kandy-d0"]
-            odd.follower.folder.state = replace(odd.state, quotas={"x": Quota("x", 1)})
+            differing = fleet.daemons["kandy-d0"]
+            differing.follower.folder.state = replace(differing.state, quotas={"x": Quota("x", 1)})
             for number in range(16):
                 await publish(fleet.daemons["matale-d0"], ConfigPublished(f"c{number}", "x", 0))
-            await wait_until(lambda: odd.is_halted, 10.0)
-            answer = await serve(odd, "odd", is_repeatable=True)
+            await wait_until(lambda: differing.is_halted, 10.0)
+            answer = await serve(differing, "odd", is_repeatable=True)
             self.assertEqual(ResultCode.NOT_READY, answer.code)
-            events = [event.kind for event in odd.events.list_events()]
+            events = [event.kind for event in differing.events.list_events()]
             self.assertIn("digest_differs", events)
             await asyncio.sleep(10.0)
             halted = [name for name, daemon in fleet.daemons.items() if daemon.is_halted]
@@ -62,7 +62,7 @@
 
 
 class DaemonsFailTest(TestCase):
-    def test_daemon_dies_in_a_wave_and_its_successor_goes_on(self) -> None:
+    def test_wave_continues_after_daemons_crash(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(budget=Budget(min_serving_hosts=7))
             daemon = fleet.daemons["matale-d0"]
@@ -77,7 +77,7 @@
 
         run_virtual(work())
 
-    def test_planned_stop_cuts_no_request_and_refuses_none_that_it_took(self) -> None:
+    def test_planned_stop_finishes_accepted_requests(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             calls = [
--- a/tests/unit/test_fold.py
+++ b/tests/unit/test_fold.py
@@ -24,21 +24,21 @@
 
 
 class FoldTest(TestCase):
-    def test_failure_takes_back_a_permit_that_has_not_started(self) -> None:
+    def test_host_failure_revokes_unstarted_permit(self) -> None:
         fold = make_pool_of_three()
         permit(fold, "h1")
         fold.fold(HostFailed("h2", fold.folder.state.hosts["h2"].token))
         self.assertIs(HostPhase.SERVING, fold.folder.state.hosts["h1"].phase)
 
-    def test_start_under_a_permit_of_before_is_stale(self) -> None:
+    def test_drain_start_with_revoked_permit_is_stale(self) -> None:
         fold = make_pool_of_three()
-        old = permit(fold, "h1")
+        revoked_token = permit(fold, "h1")
         fold.fold(HostFailed("h2", fold.folder.state.hosts["h2"].token))
         fold.fold(HostRecovered("h2", fold.folder.state.hosts["h2"].token))
         permit(fold, "h1")
-        self.assertIs(ResultCode.STALE_TOKEN, fold.fold(DrainStarted("h1", old)).code)
+        self.assertIs(ResultCode.STALE_TOKEN, fold.fold(DrainStarted("h1", revoked_token)).code)
 
-    def test_record_appended_twice_folds_once_and_says_so(self) -> None:
+    def test_record_appended_twice_is_applied_once(self) -> None:
         fold = make_pool_of_three()
         body = DrainPermitted("h1", "w", fold.folder.state.hosts["h1"].token)
         first, second = fold.fold(body, record_id="same"), fold.fold(body, record_id="same")
@@ -47,7 +47,7 @@
 
 
 class FollowerTest(TestCase):
-    def test_state_never_goes_back_whatever_offers_it(self) -> None:
+    def test_older_image_is_not_loaded(self) -> None:
         async def work() -> None:
             follower = Follower(LogStandin().make_service(), Counters(), 256)
             self.assertTrue(follower.load_image(FolderImage(FleetState(next_offset=9), ())))
--- a/tests/unit/test_fold_random.py
+++ b/tests/unit/test_fold_random.py
@@ -78,7 +78,7 @@
         again = Folder(first.make_image())
         self.assertEqual(make_digest(first.make_image()), make_digest(again.make_image()))
 
-    def test_bytes_that_are_no_record_are_void_and_lose_nothing(self) -> None:
+    def test_malformed_log_records_are_skipped(self) -> None:
         folder = Folder()
         for offset, data in enumerate((b"", b"\xff", b"\x91\x01", encode_batch(()))):
             folder.fold_record(offset, data)
@@ -89,7 +89,7 @@
         body = msgspec.Raw(msgspec.msgpack.encode(HostGone("h1")))
         newer = Envelope("host_gone", "a", "d", "i", 0, body, version=99)
         unknown = Envelope("weather_changed", "b", "d", "i", 0, body)
-        codes = [step.code for step in folder.fold_record(0, encode_batch((newer, unknown)))]
+        codes = [outcome.code for outcome in folder.fold_record(0, encode_batch((newer, unknown)))]
         self.assertEqual([ResultCode.UNKNOWN_KIND] * 2, codes)
 
     def _encode(self, number: int) -> bytes:
--- a/tests/unit/test_spec_replay.py
+++ b/tests/unit/test_spec_replay.py
@@ -70,7 +70,7 @@
 
 
 class BudgetReplayTest(TestCase):
-    def test_every_guards_counterexample_is_refused(self) -> None:
+    def test_counterexample_of_each_guard_is_refused(self) -> None:
         protocol = make_budget()
         for guard in protocol.removable:
             broken, trace = find_counterexample(protocol, without=guard)
@@ -79,22 +79,22 @@
 
     def _replay(self, names: list[str]) -> None:
         fold = make_pool_of_three()
-        seen: dict[str, int] = {}
+        permit_tokens: dict[str, int] = {}
         for name in names:
             host = "h" + re.findall(r"host (\d)", name)[0]
-            held_before = self._is_held(fold)
-            is_own = "permit" in name or "starts" in name
-            self._take(fold, name, host, seen)
-            if is_own:
-                self.assertTrue(self._is_held(fold) or not held_before, name)
+            met_before = self._is_budget_met(fold)
+            is_daemon_decision = "permit" in name or "starts" in name
+            self._apply_step(fold, name, host, permit_tokens)
+            if is_daemon_decision:
+                self.assertTrue(self._is_budget_met(fold) or not met_before, name)
 
-    def _take(self, fold: Fold, name: str, host: str, seen: dict[str, int]) -> None:
+    def _apply_step(self, fold: Fold, name: str, host: str, permit_tokens: dict[str, int]) -> None:
         current = fold.folder.state.hosts[host]
         if name.startswith("permit"):
             if fold.fold(DrainPermitted(host, "w", current.token)).code is ResultCode.OK:
-                seen[host] = fold.folder.state.hosts[host].token
+                permit_tokens[host] = fold.folder.state.hosts[host].token
         elif "starts the drain" in name:
-            fold.fold(DrainStarted(host, seen.pop(host, -1)))
+            fold.fold(DrainStarted(host, permit_tokens.pop(host, -1)))
         elif "fails" in name:
             fold.fold(HostFailed(host, current.token))
         elif current.phase is HostPhase.FAILED:
@@ -103,13 +103,13 @@
             fold.fold(HostDrained(host, current.token, "b"))
             fold.fold(HostReturned(host, fold.folder.state.hosts[host].token))
 
-    def _is_held(self, fold: Fold) -> bool:
+    def _is_budget_met(self, fold: Fold) -> bool:
         state = fold.folder.state
         return state.pools["p"].budget.is_met_by(state.iter_pool_hosts("p"))
 
 
 class MembershipReplayTest(TestCase):
-    def test_racing_assignments_leave_one_pool(self) -> None:
+    def test_concurrent_assignments_leave_host_in_one_pool(self) -> None:
         protocol = make_membership()
         _, trace = find_counterexample(protocol, without="free in order")
         fold = Fold()
@@ -123,7 +123,7 @@
         ]
         self.assertEqual([ResultCode.OK, ResultCode.HOST_IN_OTHER_POOL], codes)
 
-    def test_halls_that_lose_each_other_are_not_both_cut(self) -> None:
+    def test_halls_that_lose_contact_are_not_both_cut(self) -> None:
         _, trace = find_counterexample(make_halls(), without="its own hall is not cut off")
         fold = Fold()
         for hall in ("1", "2"):
@@ -140,7 +140,7 @@
 class ClaimsReplayTest(TestCase):
     GUARDS = ("batch of the current epoch", "not claimed yet", "reads the stream before it grants")
 
-    def test_every_guards_counterexample_runs_once(self) -> None:
+    def test_counterexample_of_each_guard_runs_once(self) -> None:
         protocol = make_claims()
         for guard in self.GUARDS:
             broken, trace = find_counterexample(protocol, without=guard)
@@ -151,7 +151,7 @@
     def test_no_claim_after_the_deadline(self) -> None:
         async def work() -> int:
             log, owner = LogStandin(), {}
-            owner[1] = await self._take(log, 1)
+            owner[1] = await self._start_owner(log, 1)
             late = Claim(b"k" * 12, b"d" * 8, 50.0, "daemon-1", "i", 1)
             return (await owner[1].claim(late)).code
 
@@ -164,14 +164,14 @@
         for name in names:
             owner = (re.findall(r"owner (\d)", name) or [""])[0]
             if "takes the partition" in name:
-                owners[owner] = await self._take(log, int(owner))
+                owners[owner] = await self._start_owner(log, int(owner))
             elif "claims for daemon" in name:
                 daemon = re.findall(r"daemon (\d)", name)[0]
                 claim = Claim(b"k" * 12, b"d" * 8, 1000.0, f"daemon-{daemon}", "i", int(daemon))
                 granted += (await owners[owner].claim(claim)).code == ResultCode.OK
         return granted
 
-    async def _take(self, log: LogStandin, number: int) -> PartitionOwner:
+    async def _start_owner(self, log: LogStandin, number: int) -> PartitionOwner:
         ids = itertools.count()
         owner = PartitionOwner(
             0,
