--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -248,7 +248,7 @@
             self._ensure_joined()
 
     def _update_services(self) -> None:
-        """Update claims and dispatchers if the daemons, cut halls or hosts have changed."""
+        """Update claims and dispatchers after changes of the daemons, cut halls or hosts."""
         before, self._last_applied_state = self._last_applied_state, self.state
         if before.daemons is not self.state.daemons or before.cut_halls != self.state.cut_halls:
             self.claims.update_owned_partitions()
--- a/src/robinthread/_internal/daemon/host_list_task.py
+++ b/src/robinthread/_internal/daemon/host_list_task.py
@@ -1,4 +1,4 @@
-"""Periodic comparison of the platform's host list with the fleet state, for one data hall."""
+"""Periodic update of a data hall's hosts in the fleet state from the platform's host list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def follow_host_list(daemon: Daemon) -> None:
-    """Publish changes of the hall's hosts in the platform's list while this daemon leads the hall.
+    """Poll the platform's host list and publish changes while this daemon leads its hall.
 
     The list lags behind, so a host that is missing from it is removed only if it is also
     free, out, failed or leaving.  A host that the list marks as leaving gets no new work.
--- a/src/robinthread/_internal/fold/step.py
+++ b/src/robinthread/_internal/fold/step.py
@@ -41,7 +41,7 @@
 
 
 def revoke_permits(state: FleetState, pool: str, offset: int) -> FleetState:
-    """Return hosts of ``pool`` whose drain has not started to service until its budget is met.
+    """Revoke permits of ``pool``, whose hosts then serve again, until its budget is met.
 
     Called after every record that can break the budget and is not checked against it,
     such as the failure of a host.
@@ -56,7 +56,7 @@
 
 
 def mark_done_in_wave(state: FleetState, wave: str, host: str, offset: int) -> FleetState:
-    """Mark ``host`` as done in ``wave``, and end the waves that are complete then."""
+    """Mark ``host`` as done in ``wave`` and end the waves that are now complete."""
     found = state.waves.get(wave)
     if found is None:
         return state
@@ -66,7 +66,7 @@
 
 
 def end_finished_waves(state: FleetState, offset: int) -> FleetState:
-    """End each unfinished wave whose hosts are done and, in a migration, replaced."""
+    """End each unfinished wave whose hosts are all done; a migration also needs its new hosts."""
     ended = {
         name: replace(wave, state=WaveState.DONE, version=offset)
         for name, wave in state.waves.items()
@@ -76,7 +76,7 @@
 
 
 def has_target_hosts(state: FleetState, wave: Wave) -> bool:
-    """Return whether a migration has its hosts in the new data hall; true for other waves."""
+    """Return whether a migration has ``to_count`` hosts in its new hall; true for other waves."""
     if not wave.to_hall:
         return True
     host_count = sum(
--- a/src/robinthread/_internal/follow/follower.py
+++ b/src/robinthread/_internal/follow/follower.py
@@ -49,7 +49,8 @@
     def watch(self, watcher: Callable[[tuple[FoldedRecord, ...]], None]) -> None:
         """Call ``watcher`` with the records of each page that was applied.
 
-        It is called with no records after an image is loaded or the follower becomes ready.
+        The tuple is empty after an image is loaded, or if a page without records made the
+        follower ready.
         """
         self._watchers.append(watcher)
 
--- a/src/robinthread/_internal/platform_log/http_client.py
+++ b/src/robinthread/_internal/platform_log/http_client.py
@@ -32,7 +32,7 @@
 def make_http_log(client: AsyncHTTPClient, base_url: str, timeout_s: float) -> LogService:
     """Return a log service that calls ``base_url``.
 
-    Calls time out after ``timeout_s``; reads after ``wait_s`` more, the time of the long poll.
+    An append times out after ``timeout_s``, a read after ``timeout_s`` plus its ``wait_s``.
     """
 
     async def append(stream: str, data: bytes) -> int:
--- a/tests/functional/test_daemon_changes.py
+++ b/tests/functional/test_daemon_changes.py
@@ -1,4 +1,4 @@
-"""Daemons that join, die, stop as planned or fold another state."""
+"""Daemons that join, crash, stop as planned or derive a different state."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/unit/test_fold.py
+++ b/tests/unit/test_fold.py
@@ -1,4 +1,4 @@
-"""Single guards of the fold and the follower."""
+"""Checks of fencing tokens, repeated records and offsets in the folder and the follower."""
 
 from testtools import TestCase
 
--- a/tests/unit/test_fold_random.py
+++ b/tests/unit/test_fold_random.py
@@ -1,4 +1,4 @@
-"""Random sequences of records, with a fixed seed, against the fold's promises."""
+"""Properties of the folder under random records with a fixed seed: budgets, equal digests."""
 
 from collections.abc import Callable
 
--- a/tests/unit/test_spec_replay.py
+++ b/tests/unit/test_spec_replay.py
@@ -1,4 +1,4 @@
-"""Traces of the specification replayed against the code."""
+"""Replays counterexamples of the specification, each without one guard, against the code."""
 
 import asyncio
 import itertools
@@ -40,7 +40,7 @@
 
 
 class Fold:
-    """A folder that writes its own records."""
+    """A folder with a method that encodes a record and applies it at the next offset."""
 
     def __init__(self) -> None:
         self.folder = Folder()
