--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -16,7 +16,7 @@
 from tests.lib.virtual import run_virtual
 
 ONE_HALL = (HallSize("kandy", 2, 3),)
-FEW_SECONDS = 5.0
+HOST_LIST_WAIT_S = 5.0
 
 
 class HostsLeaveTest(TestCase):
@@ -26,7 +26,7 @@
             fleet = await start_fleet(ONE_HALL, settings=settings)
             daemon, leaving = get_daemon(fleet), "kandy-h000"
             worker = fleet.workers[f"{leaving}:80"]
-            long = [
+            long_requests = [
                 asyncio.create_task(serve(daemon, f"l{n}", run_s=60.0, left_s=300.0))
                 for n in range(6)
             ]
@@ -36,7 +36,7 @@
             fleet.host_list.set_hosts(
                 tuple(replace(host, is_leaving=host.name == leaving) for host in listed)
             )
-            await asyncio.sleep(FEW_SECONDS)
+            await asyncio.sleep(HOST_LIST_WAIT_S)
             started = worker.starts_count
             for number in range(40):
                 await serve(daemon, number, is_repeatable=True)
@@ -44,13 +44,13 @@
             await wait_until(lambda: not worker.list_remaining_s(), 30.0)
             fleet.host_list.set_hosts(tuple(host for host in listed if host.name != leaving))
             await wait_until(lambda: leaving not in daemon.state.hosts, 30.0)
-            codes = {answer.code for answer in await asyncio.gather(*long)}
+            codes = {answer.code for answer in await asyncio.gather(*long_requests)}
             self.assertEqual({ResultCode.RAN}, codes)
             self.assertEqual((), fleet.ledger.list_keys_run_twice())
 
         run_virtual(work())
 
-    def test_host_that_stays_after_all_serves_again(self) -> None:
+    def test_host_no_longer_marked_as_leaving_serves_again(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL)
             daemon = get_daemon(fleet)
@@ -62,16 +62,16 @@
 
         run_virtual(work())
 
-    def test_host_that_fails_on_is_set_aside_only_if_its_budget_allows(self) -> None:
-        for floor, phase in ((2, HostPhase.SET_ASIDE), (3, HostPhase.SERVING)):
-            run_virtual(self._fail_on(floor, phase))
+    def test_host_whose_jobs_fail_is_set_aside_only_if_budget_allows(self) -> None:
+        for min_serving_hosts, phase in ((2, HostPhase.SET_ASIDE), (3, HostPhase.SERVING)):
+            run_virtual(self._run_failing_jobs(min_serving_hosts, phase))
 
-    async def _fail_on(self, floor: int, phase: HostPhase) -> None:
+    async def _run_failing_jobs(self, min_serving_hosts: int, phase: HostPhase) -> None:
         settings = replace(
             SETTINGS, dispatch=DispatchSettings(suspend_min_s=0.1, suspend_max_s=0.2)
         )
         fleet = await start_fleet(
-            ONE_HALL, settings=settings, slots=1, budget=Budget(min_serving_hosts=floor)
+            ONE_HALL, settings=settings, slots=1, budget=Budget(min_serving_hosts=min_serving_hosts)
         )
         daemon = get_daemon(fleet)
         fleet.workers["kandy-h000:80"].mode = WorkerMode.FAILS_EVERYTHING
--- a/tests/functional/test_platform_outages.py
+++ b/tests/functional/test_platform_outages.py
@@ -21,7 +21,7 @@
 
 
 class PlatformTest(TestCase):
-    def test_platform_out_serves_what_it_can_and_refuses_claims_at_once(self) -> None:
+    def test_log_outage_allows_repeatable_requests_and_refuses_claims_at_once(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             fleet.log.faults.is_out = True
@@ -40,7 +40,7 @@
 
         run_virtual(work())
 
-    def test_slow_outage_is_waited_for_once_and_then_refused_at_once(self) -> None:
+    def test_request_after_first_failure_of_slow_log_is_refused_at_once(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL)
             fleet.log.faults = replace(fleet.log.faults, is_out=True, delay_s=1.0)
@@ -55,7 +55,7 @@
 
         run_virtual(work())
 
-    def test_cut_off_hall_serves_its_own_and_heals(self) -> None:
+    def test_cut_off_hall_serves_repeatable_requests_and_recovers(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             fleet.cut_halls.add("kandy")
@@ -74,7 +74,7 @@
 
         run_virtual(work())
 
-    def test_new_daemon_starts_from_a_snapshot_after_the_log_let_go(self) -> None:
+    def test_new_daemon_starts_from_a_snapshot_after_log_truncation(self) -> None:
         async def work() -> None:
             settings = replace(
                 SETTINGS, platform=replace(SETTINGS.platform, snapshot_every_records=20)
@@ -84,21 +84,21 @@
             for number in range(150):
                 await publish(get_daemon(fleet), ConfigPublished(f"c{number}", "x", 0))
             await asyncio.sleep(2.0)
-            fresh = await fleet.start_daemon("kandy-d9", "kandy")
-            await fresh.wait_until_member()
-            self.assertEqual(150, len(fresh.state.config))
-            self.assertEqual(ResultCode.RAN, (await serve(fresh, "new")).code)
+            new_daemon = await fleet.start_daemon("kandy-d9", "kandy")
+            await new_daemon.wait_until_member()
+            self.assertEqual(150, len(new_daemon.state.config))
+            self.assertEqual(ResultCode.RAN, (await serve(new_daemon, "new")).code)
 
         run_virtual(work())
 
-    def test_new_daemon_starts_from_a_peer_while_the_platform_is_out(self) -> None:
+    def test_new_daemon_starts_from_a_peer_during_log_outage(self) -> None:
         async def work() -> None:
             fleet = await start_fleet()
             fleet.log.faults.is_out = True
             await asyncio.sleep(1.0)
-            fresh = await fleet.start_daemon("kandy-d9", "kandy")
-            self.assertTrue(fresh.is_ready)
-            answer = await serve(fresh, "peer", is_repeatable=True)
+            new_daemon = await fleet.start_daemon("kandy-d9", "kandy")
+            self.assertTrue(new_daemon.is_ready)
+            answer = await serve(new_daemon, "peer", is_repeatable=True)
             self.assertEqual(ResultCode.RAN, answer.code)
 
         run_virtual(work())
