--- a/src/robinthread/_internal/daemon/process.py
+++ b/src/robinthread/_internal/daemon/process.py
@@ -72,7 +72,7 @@
         self._token = _read_token(listen.operator_token_file)
 
     async def start(self) -> None:
-        """Open all listeners, then start the daemon.
+        """Start to serve on all listeners, then start the daemon.
 
         Operators and the metrics scraper are served at once, callers once the daemon is ready.
         """
@@ -123,7 +123,10 @@
 
 
 async def run_daemon(settings: DaemonSettings) -> None:
-    """Run a daemon until SIGTERM or SIGINT, then stop as planned."""
+    """Run a daemon until SIGTERM or SIGINT, then stop as planned.
+
+    A signal that arrives before the daemon has started cancels the start.
+    """
     process = DaemonProcess(settings)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/tests/functional/test_hosts_leave.py
+++ b/tests/functional/test_hosts_leave.py
@@ -1,4 +1,4 @@
-"""Hosts that the platform takes away, and hosts set aside."""
+"""Hosts that the platform is removing, and hosts set aside because their jobs fail."""
 
 import asyncio
 from dataclasses import replace
--- a/tests/functional/test_platform_outages.py
+++ b/tests/functional/test_platform_outages.py
@@ -1,4 +1,4 @@
-"""The platform's log away, slow or cut off, and starts without it."""
+"""Unavailable, slow and truncated platform log, halls cut off from it, and starts without it."""
 
 import asyncio
 from dataclasses import replace
