--- a/src/robinthread/_internal/fold/kinds/host_arrived.py
+++ b/src/robinthread/_internal/fold/kinds/host_arrived.py
@@ -1,4 +1,4 @@
-"""Record: a host arrives."""
+"""Record: a host is new in the platform's host list."""
 
 from dataclasses import dataclass
 from sys import intern
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step, put_host
+from robinthread._internal.fold.step import FoldResult, put_host
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host import Host
 from robinthread._internal.results import ResultCode
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class HostArrived:
-    """A host as the platform's host list gave it."""
+    """A host as described by its entry in the platform's host list."""
 
     name: str
     hall: str
@@ -25,8 +25,8 @@
     accelerators: int = 0
 
 
-def fold(state: FleetState, body: HostArrived, at: Position) -> Step:
-    """Add the host, free of any pool; void if it is known."""
+def fold(state: FleetState, body: HostArrived, position: Position) -> FoldResult:
+    """Add the host without a pool; void if a host with its name exists."""
     if body.name in state.hosts:
         return Failure(ResultCode.ALREADY_EXISTS)
     host = Host(
@@ -37,6 +37,6 @@
         body.slots,
         body.connections,
         body.accelerators,
-        token=at.offset,
+        token=position.offset,
     )
     return Success(put_host(state, host))
--- a/src/robinthread/_internal/follow/publisher.py
+++ b/src/robinthread/_internal/follow/publisher.py
@@ -1,4 +1,4 @@
-"""Publishing records in the fleet stream, several to an append."""
+"""Publisher of records in the fleet stream, which batches them into appends."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True)
 class Author:
-    """The daemon that writes records."""
+    """Name and incarnation of the daemon that publishes a record."""
 
     name: str
     incarnation: str
 
 
 class Publisher:
-    """Append records and report what the fold made of them.
+    """Append records and report their outcomes once they have been applied.
 
-    A record whose append got no reply is appended again under its id: the
-    fold drops the second.  Whoever waits learns the outcome when the follower
-    has folded the record, never before.
+    A record whose append got no reply is appended again under the same id, and the
+    folder ignores the repetition.  ``publish`` returns the outcome only after the follower
+    has applied the record.
     """
 
     def __init__(
@@ -53,42 +53,43 @@
         self._make_id = make_id
         self._counters = counters
         self._pending: dict[str, Envelope] = {}
-        self._waiting: dict[str, list[asyncio.Future[FoldedRecord]]] = {}
+        self._waiters: dict[str, list[asyncio.Future[FoldedRecord]]] = {}
         self._has_pending = asyncio.Event()
 
     async def publish(
         self, body: object, timeout_s: float, record_id: str = ""
     ) -> Result[FoldedRecord, Fault]:
-        """Publish ``body`` and wait until it is folded here.
+        """Publish ``body`` and wait until it has been applied here.
 
-        A repeated ``record_id`` yields the first outcome.
+        If a record with this ``record_id`` has been applied already, return its outcome.
+        Fail with ``TIMED_OUT`` after ``timeout_s``; the record may still be applied later.
         """
         record_id = record_id or self._make_id()
         known = self._get_outcome(record_id)
         if known is not None:
             return _make_result(FoldedRecord(-1, record_id, "", known))
         future: asyncio.Future[FoldedRecord] = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(record_id, []).append(future)
+        self._waiters.setdefault(record_id, []).append(future)
         self._pending[record_id] = self._make_envelope(body, record_id)
         self._has_pending.set()
         try:
             return _make_result(await asyncio.wait_for(future, timeout_s))
         except TimeoutError:
             self._counters.add("publish_timeouts")
-            what = f"Record {record_id} was not seen in the log within {timeout_s:g} s"
-            return Failure(make_fault(ResultCode.TIMED_OUT, what))
+            message = f"Record {record_id} was not seen in the log within {timeout_s:g} s"
+            return Failure(make_fault(ResultCode.TIMED_OUT, message))
         finally:
-            self._stop_waiting(record_id, future)
+            self._remove_waiter(record_id, future)
 
     def settle(self, folded: FoldedRecord) -> None:
-        """Tell waiters what became of a record; the follower calls this."""
+        """Pass the outcome of an applied record to the callers of ``publish`` that wait for it."""
         self._pending.pop(folded.id, None)
-        for future in self._waiting.get(folded.id, ()):
+        for future in self._waiters.get(folded.id, ()):
             if not future.done():
                 future.set_result(folded)
 
     async def run(self) -> None:
-        """Append pending records until cancelled."""
+        """Append pending records in batches until cancelled; retry failures with a back-off."""
         retry_s = RETRY_MIN_S
         while True:
             await self._has_pending.wait()
@@ -99,7 +100,7 @@
             try:
                 await self._log.append(FLEET_STREAM, encode_batch(batch))
                 self._counters.add("fleet_appends")
-                self._forget(batch)
+                self._remove_pending(batch)
                 retry_s = RETRY_MIN_S
             except (LogUnavailableError, LogReplyLostError):
                 self._counters.add("fleet_append_failures")
@@ -107,14 +108,14 @@
                 await asyncio.sleep(retry_s)
                 retry_s = min(RETRY_MAX_S, retry_s * 2)
 
-    def _stop_waiting(self, record_id: str, future: asyncio.Future[FoldedRecord]) -> None:
-        futures = self._waiting.get(record_id, [])
+    def _remove_waiter(self, record_id: str, future: asyncio.Future[FoldedRecord]) -> None:
+        futures = self._waiters.get(record_id, [])
         futures.remove(future)
         if not futures:
-            del self._waiting[record_id]
+            del self._waiters[record_id]
             self._pending.pop(record_id, None)
 
-    def _forget(self, batch: tuple[Envelope, ...]) -> None:
+    def _remove_pending(self, batch: tuple[Envelope, ...]) -> None:
         for envelope in batch:
             self._pending.pop(envelope.id, None)
 
