--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -136,7 +136,7 @@
         stop = self.settings.stop
         self.is_stopping = True
         logging.info("daemon %s stops", self.settings.name)
-        self.events.note("stopping", self.settings.name)
+        self.events.record("stopping", self.settings.name)
         await asyncio.sleep(stop.balancer_grace_s)
         self.entry.is_stopping = True
         try:
@@ -243,7 +243,7 @@
             self.counters.add("records_void")
             return
         subjects = (getattr(record.body, field, "") for field in SUBJECT_FIELDS)
-        self.events.note(
+        self.events.record(
             record.kind, next(filter(None, subjects), ""), getattr(record.body, "wave", "")
         )
 
@@ -267,7 +267,7 @@
         if differing > 1 + len(others) - differing and not self.is_halted:
             logging.error("digest at %d differs from most peers': no longer acting", offset)
             self.is_halted = True
-            self.events.note("digest_differs", name, str(offset))
+            self.events.record("digest_differs", name, str(offset))
 
     def _ensure_joined(self) -> None:
         if self._join_task is None or self._join_task.done():
--- a/src/robinthread/_internal/dispatch/dispatch_service.py
+++ b/src/robinthread/_internal/dispatch/dispatch_service.py
@@ -114,7 +114,7 @@
         dispatcher = self.dispatchers.get(pool)
         if dispatcher is None:
             dispatcher = self.dispatchers[pool] = Dispatcher(pool, self._context, self._settings)
-            self._context.events.note("dispatcher_started", pool)
+            self._context.events.record("dispatcher_started", pool)
         dispatcher.update(hosts)
         loop = asyncio.get_running_loop()
         for host in hosts:
@@ -156,7 +156,7 @@
             return
         since_s = self._no_report_since_s.setdefault(host.name, now_s)
         if now_s - since_s >= self._settings.host_fail_after_s:
-            self._context.events.note("host_silent", host.name, host.pool)
+            self._context.events.record("host_silent", host.name, host.pool)
             await self._publish(HostFailed(host.name, host.token))
 
     async def _on_slot_request(self, sender: Sender, ask: SlotAsk) -> SlotReply:
--- a/src/robinthread/_internal/dispatch/dispatcher.py
+++ b/src/robinthread/_internal/dispatch/dispatcher.py
@@ -293,7 +293,7 @@
         slots, lease = victim
         slots.mark_preempted(lease.id)
         self._context.counters.add("preemptions")
-        self._context.events.note("preempt", lease.id, slots.host.name)
+        self._context.events.record("preempt", lease.id, slots.host.name)
         loop = asyncio.get_running_loop()
         self._context.router.tell(lease.holder_address, Preempt(lease.id))
         loop.call_later(self._settings.preempt_after_s, self._preempt_for, waiting)
--- a/src/robinthread/_internal/dispatch/outcome_tracker.py
+++ b/src/robinthread/_internal/dispatch/outcome_tracker.py
@@ -99,7 +99,7 @@
 
     def _suspend(self, slots: HostSlots, now_s: float) -> None:
         self._context.counters.add("hosts_suspended")
-        self._context.events.note("host_suspended", slots.host.name, self._pool)
+        self._context.events.record("host_suspended", slots.host.name, self._pool)
         pause_s = slots.health.suspended_until_s - now_s
         asyncio.get_running_loop().call_later(pause_s, self._grant_waiting)
         if slots.health.suspensions >= self._settings.set_aside_after_suspensions:
--- a/src/robinthread/_internal/entry/entry_service.py
+++ b/src/robinthread/_internal/entry/entry_service.py
@@ -176,7 +176,7 @@
             refusal = CallerAnswer(ResultCode(reply.code), retry_after_s=1.0)
             is_proven = reply.code == ResultCode.CLAIMS_FULL
             return refusal if is_proven else admit_earlier_tries(request, refusal)
-        self._context.events.note("claimed", request.request_id, request.pool)
+        self._context.events.record("claimed", request.request_id, request.pool)
         answer = await self._place(running, key)
         if answer.code.family is Family.DID_NOT_RUN:
             self._claims.release(claim)
--- a/src/robinthread/_internal/entry/try_runner.py
+++ b/src/robinthread/_internal/entry/try_runner.py
@@ -67,7 +67,7 @@
         running.token, running.task_id = slot.token, task.id
         self._by_lease[slot.lease_id] = running
         started_at_s = asyncio.get_running_loop().time()
-        self._context.events.note("sent", request.request_id, slot.host)
+        self._context.events.record("sent", request.request_id, slot.host)
         result = TryResult(SlotOutcome.LOST, ResultCode.OUTCOME_UNKNOWN)
         try:
             result = await run_try(self._context.upstream, slot.address, task, left_s)
@@ -79,7 +79,7 @@
                 self._start_task(self._stop_and_give_back(running, slot, task, run_s))
             else:
                 self._give_back(running, slot, result, run_s)
-        self._context.events.note(
+        self._context.events.record(
             result.outcome.name.lower(), request.request_id, slot.host, run_s * 1000
         )
         return result
--- a/src/robinthread/_internal/timeline/event_ring.py
+++ b/src/robinthread/_internal/timeline/event_ring.py
@@ -17,7 +17,7 @@
         self._hall = hall
         self._events: deque[Event] = deque(maxlen=capacity)
 
-    def note(self, kind: str, subject: str, detail: str = "", duration_ms: float = 0.0) -> None:
+    def record(self, kind: str, subject: str, detail: str = "", duration_ms: float = 0.0) -> None:
         """Note an event that happened just now."""
         self._events.append(
             Event(
--- a/src/robinthread/_internal/waves/host_maintenance.py
+++ b/src/robinthread/_internal/waves/host_maintenance.py
@@ -75,7 +75,7 @@
             idle = host.slots - self._count_in_use(host)
             await asyncio.sleep(DRAINED_CHECK_S)
             self._context.measures.record_held_back(idle, DRAINED_CHECK_S)
-        self._context.events.note("drained", host.name, host.wave)
+        self._context.events.record("drained", host.name, host.wave)
         boot_id = await read_boot_id(self._context, host)
         return await self._publish_step(HostDrained(host.name, host.token, boot_id))
 
@@ -87,10 +87,10 @@
         while self._is_still(host):
             boot_id = await read_boot_id(self._context, host)
             if boot_id and boot_id != host.boot_id:
-                self._context.events.note("returned", host.name, host.wave)
+                self._context.events.record("returned", host.name, host.wave)
                 return await self._publish_step(HostReturned(host.name, host.token))
             if asyncio.get_running_loop().time() - started_at_s > self._settings.return_timeout_s:
-                self._context.events.note("not_returned", host.name, host.wave)
+                self._context.events.record("not_returned", host.name, host.wave)
                 self._context.counters.add("hosts_not_returned")
                 return await self._publish_step(HostFailed(host.name, host.token))
             await asyncio.sleep(RETURN_CHECK_S)
--- a/src/robinthread/_internal/waves/steward.py
+++ b/src/robinthread/_internal/waves/steward.py
@@ -123,7 +123,7 @@
                 self._context.counters.add("permits_refused")
                 return
             self._context.counters.add("permits_granted")
-            self._context.events.note("permitted", name, wave.name)
+            self._context.events.record("permitted", name, wave.name)
 
     def _make_view(self, wave: Wave, pool: str) -> PoolView:
         state = self._context.get_state()
@@ -233,7 +233,7 @@
         if not lease.is_preempted:
             slots.mark_preempted(lease.id)
             self._context.measures.record_move()
-            self._context.events.note("move", lease.id, slots.host.name)
+            self._context.events.record("move", lease.id, slots.host.name)
             self._context.tell_holder(lease.holder_address, Preempt(lease.id))
 
 
