--- a/src/robinthread/_internal/cli/arguments.py
+++ b/src/robinthread/_internal/cli/arguments.py
@@ -43,5 +43,5 @@
     return {key: int(count) for key, _, count in parts}
 
 
-def _make_error(what: str) -> FaultError:
-    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, what))
+def _make_error(error_text: str) -> FaultError:
+    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text))
--- a/src/robinthread/_internal/cli/exit_code.py
+++ b/src/robinthread/_internal/cli/exit_code.py
@@ -5,7 +5,7 @@
 from robinthread._internal.results import FAMILY_SIZE, ResultCode
 
 FIRST_FAMILY: Final = 2
-CODES_A_FAMILY: Final = 40
+CODES_PER_FAMILY: Final = 40
 
 
 def get_exit_code(code: ResultCode) -> int:
@@ -16,4 +16,4 @@
     """
     if code.is_success:
         return 0
-    return (code.value // FAMILY_SIZE - FIRST_FAMILY) * CODES_A_FAMILY + code.value % FAMILY_SIZE
+    return (code.value // FAMILY_SIZE - FIRST_FAMILY) * CODES_PER_FAMILY + code.value % FAMILY_SIZE
--- a/src/robinthread/_internal/cli/main.py
+++ b/src/robinthread/_internal/cli/main.py
@@ -9,7 +9,7 @@
 from robinthread._internal.cli.exit_code import get_exit_code
 from robinthread._internal.results import Fault, FaultError, ResultCode, make_fault
 
-INTERRUPTED: Final = 130
+EXIT_INTERRUPTED: Final = 130
 NODE_VERB: Final = "node"
 DAEMON_VERB: Final = "daemon"
 SETTINGS_FLAG: Final = "--settings="
@@ -23,9 +23,9 @@
     try:
         return _run(list(arguments))
     except FaultError as error:
-        return _tell(error.fault)
+        return _report_fault(error.fault)
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
 
 
 def _run(arguments: list[str]) -> int:
@@ -64,15 +64,17 @@
         elif flag.startswith(POLICY_FLAG) and flag != POLICY_FLAG and not found.policy_path:
             found = replace(found, policy_path=flag.removeprefix(POLICY_FLAG))
         else:
-            what = f"node takes {METRICS_FLAG}PORT and {POLICY_FLAG}FILE, once each, not {flag}"
-            raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, what))
+            error_text = (
+                f"node takes {METRICS_FLAG}PORT and {POLICY_FLAG}FILE, once each, not {flag}"
+            )
+            raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text))
     return found
 
 
 def _parse_port(text: str) -> int:
     if not text.isdigit() or not 0 < int(text) < PORTS_COUNT:
-        what = f"{METRICS_FLAG}PORT is a whole number from 1 to 65535, not {text!r}"
-        raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, what))
+        error_text = f"{METRICS_FLAG}PORT is a whole number from 1 to 65535, not {text!r}"
+        raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text))
     return int(text)
 
 
@@ -85,6 +87,6 @@
     )
 
 
-def _tell(fault: Fault) -> int:
+def _report_fault(fault: Fault) -> int:
     print(str(fault), file=sys.stderr)
     return get_exit_code(fault.code)
--- a/src/robinthread/_internal/cli/parser.py
+++ b/src/robinthread/_internal/cli/parser.py
@@ -32,8 +32,8 @@
 
 def _find_error(text: str) -> str:
     lines = [line for line in text.splitlines() if line.startswith("ERROR:")]
-    said = lines[0].removeprefix("ERROR:").strip() if lines else "The command is not understood"
-    return f"{said}. See {PROGRAM} --help"
+    message = lines[0].removeprefix("ERROR:").strip() if lines else "The command is not understood"
+    return f"{message}. See {PROGRAM} --help"
 
 
 def _hide_deferred(result: object) -> object:
--- a/src/robinthread/_internal/commands/change.py
+++ b/src/robinthread/_internal/commands/change.py
@@ -32,8 +32,8 @@
     outcome = reply if isinstance(reply, pb.Outcome) else getattr(reply, "outcome", None)
     code = ResultCode(outcome.code) if outcome is not None and outcome.code else ResultCode.OK
     if not code.is_success:
-        raise FaultError(Fault(code, _explain(outcome)))
-    _show(reply, is_json)
+        raise FaultError(Fault(code, _format_failure(outcome)))
+    _print_reply(reply, is_json)
     if wait_s and outcome is not None:
         return _wait_in_force(target, outcome.version, wait_s)
     if follow_wave:
@@ -48,25 +48,25 @@
     )
 
 
-def _explain(outcome: Any) -> str:
+def _format_failure(outcome: Any) -> str:
     version = f" The current version is {outcome.version}." if outcome.version else ""
     return outcome.message + version
 
 
-def _show(reply: Any, is_json: bool) -> None:
+def _print_reply(reply: Any, is_json: bool) -> None:
     if is_json:
         print(to_json(reply))
     elif isinstance(reply, pb.Outcome):
         print(f"{reply.name.lower()}, version {reply.version}")
     elif isinstance(reply, pb.WavePlan):
-        _show_plan(reply)
+        _print_plan(reply)
     elif isinstance(reply, pb.ConfigHistory):
         for entry in reply.versions:
             name = ResultCode(entry.code).name.lower() if entry.code else "not known any more"
             print(f"version {entry.version}: {name}, {len(entry.text)} characters")
 
 
-def _show_plan(plan: Any) -> None:
+def _print_plan(plan: Any) -> None:
     for step in plan.steps:
         print(f"{step.start_s:10.1f} s  {step.host}  back at {step.returned_s:.1f} s")
     print(f"roll-out    {plan.rollout_s:10.1f} s       bound {plan.rollout_bound_s:10.1f}")
@@ -81,21 +81,21 @@
     ends_at_s = time.monotonic() + wait_s
     while True:
         status = call(target, "GetStatus", {})
-        late = [d.name for d in status.daemons if d.is_heard and d.next_offset <= version]
-        unheard = [d.name for d in status.daemons if not d.is_heard]
-        if not late:
-            print(f"in force on {len(status.daemons) - len(unheard)} daemons")
-            _tell_unheard(unheard, list(status.cut_halls))
+        lagging = [d.name for d in status.daemons if d.is_heard and d.next_offset <= version]
+        unreachable = [d.name for d in status.daemons if not d.is_heard]
+        if not lagging:
+            print(f"in force on {len(status.daemons) - len(unreachable)} daemons")
+            _print_unreachable(unreachable, list(status.cut_halls))
             return 0
         if time.monotonic() > ends_at_s:
-            what = f"Not yet in force on {', '.join(late)}"
-            raise FaultError(make_fault(ResultCode.TIMED_OUT, what))
+            error_text = f"Not yet in force on {', '.join(lagging)}"
+            raise FaultError(make_fault(ResultCode.TIMED_OUT, error_text))
         time.sleep(POLL_S)
 
 
-def _tell_unheard(unheard: list[str], cut_halls: list[str]) -> None:
-    if unheard:
-        print(f"not heard: {', '.join(unheard)}")
+def _print_unreachable(unreachable: list[str], cut_halls: list[str]) -> None:
+    if unreachable:
+        print(f"not heard: {', '.join(unreachable)}")
     if cut_halls:
         print(f"halls cut off: {', '.join(cut_halls)}")
 
--- a/src/robinthread/_internal/commands/client.py
+++ b/src/robinthread/_internal/commands/client.py
@@ -65,8 +65,8 @@
     try:
         return await client.fetch(request, raise_error=False)
     except (OSError, ValueError) as error:
-        what = f"No daemon answers at {target.address}: {error}"
-        raise FaultError(make_fault(ResultCode.UNREACHABLE, what)) from error
+        error_text = f"No daemon answers at {target.address}: {error}"
+        raise FaultError(make_fault(ResultCode.UNREACHABLE, error_text)) from error
 
 
 def _read_fault(body: bytes, status: int) -> Fault:
@@ -82,5 +82,5 @@
     try:
         return Path(path).read_text(encoding="utf-8").strip()
     except OSError as error:
-        what = f"--token_file {path} cannot be read: {error.strerror}"
-        raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, what)) from error
+        error_text = f"--token_file {path} cannot be read: {error.strerror}"
+        raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text)) from error
--- a/src/robinthread/_internal/commands/demo.py
+++ b/src/robinthread/_internal/commands/demo.py
@@ -41,8 +41,8 @@
 
 HALLS: Final = ("east", "west")
 POOLS: Final = ("tiles", "orders")
-DAEMONS_A_HALL: Final = 2
-HOSTS_A_POOL: Final = 4
+DAEMONS_PER_HALL: Final = 2
+HOSTS_PER_POOL: Final = 4
 SLOTS: Final = 8
 CONNECTIONS: Final = 64
 CALLERS: Final = 16
@@ -55,7 +55,7 @@
 
 
 @dataclass
-class _Tally:
+class _CallerResults:
     """What the callers owed and received."""
 
     codes: Counter[str] = field(default_factory=Counter)
@@ -84,10 +84,10 @@
         platform = self._listen(make_platform_application(self.log, self.host_list))
         # Two halls full of hosts, and as many again free in the second to migrate to.
         for pool, hall in (("tiles", "east"), ("orders", "east"), ("spare", "west")):
-            for index in range(HOSTS_A_POOL):
+            for index in range(HOSTS_PER_POOL):
                 self.hosts.append(self._start_worker(f"{pool}-{index}", hall))
         self.host_list.set_hosts(tuple(self.hosts))
-        for hall, index in itertools.product(HALLS, range(DAEMONS_A_HALL)):
+        for hall, index in itertools.product(HALLS, range(DAEMONS_PER_HALL)):
             settings = _make_settings(f"{hall}-{index}", hall, platform.address)
             self.processes.append(DaemonProcess(settings, Counters()))
         await asyncio.gather(*(process.start() for process in self.processes))
@@ -129,42 +129,42 @@
     client = CurlAsyncHTTPClient(force_instance=True, max_clients=4 * CALLERS)
     await site.start()
     for pool in POOLS:
-        await site.publish(PoolCreated(pool, Budget(min_serving_hosts=HOSTS_A_POOL - 1)))
+        await site.publish(PoolCreated(pool, Budget(min_serving_hosts=HOSTS_PER_POOL - 1)))
     for host in site.hosts:
         pool = host.name.partition("-")[0]
         if pool in POOLS:
             await site.publish(HostAssigned(host.name, pool))
-    tally = _Tally()
+    caller_results = _CallerResults()
     with tqdm(total=requests, unit="request", disable=not with_progress) as bar:
-        moving = asyncio.create_task(_move(site))
+        waves_task = asyncio.create_task(_run_waves(site))
         numbers = iter(range(requests))
         await asyncio.gather(
-            *(_call_in_turn(site, client, seed, numbers, tally, bar) for _ in range(CALLERS))
+            *(_run_caller(site, client, seed, numbers, caller_results, bar) for _ in range(CALLERS))
         )
-        held = await moving
-    _print_table(site, tally, requests, held)
+        budgets_held = await waves_task
+    _print_table(site, caller_results, requests, budgets_held)
     await site.close()
-    is_kept = (
-        tally.codes["RAN"] == requests
-        and not tally.wrong_answers
+    passed = (
+        caller_results.codes["RAN"] == requests
+        and not caller_results.wrong_answers
         and not site.ledger.list_keys_run_twice()
-        and held
+        and budgets_held
     )
-    return 0 if is_kept else 1
+    return 0 if passed else 1
 
 
-async def _move(site: _Site) -> bool:
+async def _run_waves(site: _Site) -> bool:
     """Reboot one pool's hosts, migrate the other; return whether budgets held throughout."""
-    held = True
+    budgets_held = True
 
-    def watch(_: object) -> None:
-        nonlocal held
-        held = held and all(
+    def check_budgets(_: object) -> None:
+        nonlocal budgets_held
+        budgets_held = budgets_held and all(
             pool.budget.is_met_by(site.state.iter_pool_hosts(pool.name))
             for pool in site.state.pools.values()
         )
 
-    site.processes[0].daemon.follower.watch(watch)
+    site.processes[0].daemon.follower.watch(check_budgets)
     tiles = tuple(host.name for host in site.hosts if host.name.startswith("tiles"))
     orders = tuple(host.name for host in site.hosts if host.name.startswith("orders"))
     await site.publish(WaveCreated("kernel", "kernel update", WaveKind.REBOOT, tiles))
@@ -184,19 +184,24 @@
             site.state.waves[name].state is WaveState.DONE for name in ("kernel", "to-west")
         )
     )
-    return held
+    return budgets_held
 
 
-async def _call_in_turn(
-    site: _Site, client: AsyncHTTPClient, seed: int, numbers: Any, tally: _Tally, bar: Any
+async def _run_caller(
+    site: _Site,
+    client: AsyncHTTPClient,
+    seed: int,
+    numbers: Any,
+    caller_results: _CallerResults,
+    bar: Any,
 ) -> None:
     for number in numbers:
-        await _call(site, client, seed, number, tally)
+        await _call(site, client, seed, number, caller_results)
         bar.update()
 
 
 async def _call(
-    site: _Site, client: AsyncHTTPClient, seed: int, number: int, tally: _Tally
+    site: _Site, client: AsyncHTTPClient, seed: int, number: int, caller_results: _CallerResults
 ) -> None:
     is_repeatable = number % 2 == 0
     process = site.processes[number % len(site.processes)]
@@ -214,15 +219,15 @@
         url, method="POST", headers=headers, body=body, request_timeout=DEADLINE_S
     )
     response = await client.fetch(request, raise_error=False)
-    tally.codes[response.headers.get("Result-Name", "NONE")] += 1
+    caller_results.codes[response.headers.get("Result-Name", "NONE")] += 1
     key = response.body.split(b" ", 1)[0].decode()
     is_right = (
         response.body == make_answer(key, body)
         and response.headers.get("Answer-Digest") == make_body_digest(response.body)
-        and key not in tally.keys
+        and key not in caller_results.keys
     )
-    tally.keys.add(key)
-    tally.wrong_answers += not is_right
+    caller_results.keys.add(key)
+    caller_results.wrong_answers += not is_right
 
 
 async def _wait_until(condition: Callable[[], bool]) -> None:
@@ -245,18 +250,20 @@
     )
 
 
-def _print_table(site: _Site, tally: _Tally, requests: int, held: bool) -> None:
+def _print_table(
+    site: _Site, caller_results: _CallerResults, requests: int, budgets_held: bool
+) -> None:
     measures = [process.daemon.measures for process in site.processes]
     moved = sum(host.slots for host in site.hosts if host.name.startswith(POOLS))
     rows = [
         ("answers owed", requests),
-        ("answers received", tally.codes["RAN"]),
-        ("wrong or mixed-up answers", tally.wrong_answers),
+        ("answers received", caller_results.codes["RAN"]),
+        ("wrong or mixed-up answers", caller_results.wrong_answers),
         ("requests run twice", len(site.ledger.list_keys_run_twice())),
         ("requests cut short", site.ledger.cut_short_count),
-        ("budgets held throughout", "yes" if held else "NO"),
-        ("hosts rebooted", HOSTS_A_POOL),
-        ("hosts migrated", HOSTS_A_POOL),
+        ("budgets held throughout", "yes" if budgets_held else "NO"),
+        ("hosts rebooted", HOSTS_PER_POOL),
+        ("hosts migrated", HOSTS_PER_POOL),
         ("moves of tasks", sum(part.moves for part in measures)),
         ("roll-out time, s", f"{max(part.rollout_s for part in measures):.1f}"),
         ("buffer cost, slot s", f"{sum(part.buffer_slot_s for part in measures):.1f}"),
--- a/src/robinthread/_internal/commands/explain.py
+++ b/src/robinthread/_internal/commands/explain.py
@@ -10,7 +10,7 @@
 from robinthread._internal.timeline.chrome_trace import make_chrome_trace
 from robinthread._internal.timeline.event import Event
 from robinthread._internal.timeline.hybrid_clock import LOGICAL_BITS
-from robinthread._internal.timeline.job_story import format_lines, select_lines, sort_by_cause
+from robinthread._internal.timeline.job_history import format_lines, select_lines, sort_by_cause
 from robinthread._internal.timeline.log_line import LogLine, iter_log_lines
 from robinthread._internal.timeline.losses import find_losses, format_losses, sum_losses
 
@@ -23,8 +23,8 @@
     chosen = select_lines(lines, job_id) if job_id else sort_by_cause(lines)
     chosen = [line for line in chosen if _matches(line, filters)]
     if not chosen:
-        what = f"no line of {file} is about {job_id or filters}"
-        raise FaultError(make_fault(ResultCode.NOT_FOUND, what))
+        error_text = f"no line of {file} is about {job_id or filters}"
+        raise FaultError(make_fault(ResultCode.NOT_FOUND, error_text))
     if chrome:
         events = list(map(_make_event, chosen))
         Path(chrome).write_bytes(msgspec.json.encode(make_chrome_trace(events)))
@@ -61,7 +61,7 @@
 
 def _matches(line: LogLine, filters: dict[str, str]) -> bool:
     return all(
-        line.node == value if name == "node" else line.names(name, value)
+        line.node == value if name == "node" else line.has_value(name, value)
         for name, value in filters.items()
     )
 
--- a/src/robinthread/_internal/commands/standin.py
+++ b/src/robinthread/_internal/commands/standin.py
@@ -28,12 +28,12 @@
     """Serve the log and the host list."""
     hosts = _read_hosts(hosts_file) if hosts_file else ()
 
-    def make() -> Application:
+    def make_application() -> Application:
         host_list = HostListStandin()
         host_list.set_hosts(hosts)
         return make_platform_application(LogStandin(), host_list)
 
-    asyncio.run(_serve(listen, make))
+    asyncio.run(_serve(listen, make_application))
     return 0
 
 
@@ -48,13 +48,13 @@
     return 0
 
 
-async def _serve(listen: str, make: Callable[[], Application]) -> None:
+async def _serve(listen: str, make_application: Callable[[], Application]) -> None:
     listener = Listener(listen)
-    listener.serve(make(), BODY_MAX_BYTES)
+    listener.serve(make_application(), BODY_MAX_BYTES)
     print(f"listening on {listener.address}", flush=True)
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
     await stopped.wait()
     await listener.close()
 
--- a/src/robinthread/_internal/commands/timeline.py
+++ b/src/robinthread/_internal/commands/timeline.py
@@ -17,7 +17,7 @@
 def run_timeline(target: Target, subjects: list[str], hall: str, chrome: str, is_json: bool) -> int:
     """Print events in order, or write them for a browser's trace viewer."""
     status = call(target, "GetStatus", {})
-    events, unheard = asyncio.run(_gather(target, status, subjects))
+    events, unreachable = asyncio.run(_gather(target, status, subjects))
     chosen = [event for event in events if not hall or event.hall == hall]
     if chrome:
         Path(chrome).write_bytes(msgspec.json.encode(make_chrome_trace(chosen)))
@@ -27,7 +27,7 @@
         return 0
     else:
         print("\n".join(format_event(event) for event in chosen))
-    for name in unheard:
+    for name in unreachable:
         print(f"missing: {name} does not answer")
     for cut in status.cut_halls:
         print(f"cut off: {cut}; its events may be missing")
@@ -37,17 +37,19 @@
 async def _gather(
     target: Target, status: Any, subjects: list[str]
 ) -> tuple[list[Event], list[str]]:
-    async def ask(name: str, address: str) -> list[Event] | str:
-        there = Target(address or target.address, target.token_file, target.ca_file)
+    async def fetch_events(name: str, address: str) -> list[Event] | str:
+        daemon_target = Target(address or target.address, target.token_file, target.ca_file)
         try:
-            reply = await call_async(there, "GetTimeline", {"subjects": subjects})
+            reply = await call_async(daemon_target, "GetTimeline", {"subjects": subjects})
         except FaultError:
             return name
         return list(_iter_events(reply))
 
-    parts = await asyncio.gather(*(ask(d.name, d.operator_address) for d in status.daemons))
-    events = [event for part in parts if not isinstance(part, str) for event in part]
-    return sorted(events, key=lambda event: event.stamp), [p for p in parts if isinstance(p, str)]
+    replies = await asyncio.gather(
+        *(fetch_events(d.name, d.operator_address) for d in status.daemons)
+    )
+    events = [event for result in replies if not isinstance(result, str) for event in result]
+    return sorted(events, key=lambda event: event.stamp), [p for p in replies if isinstance(p, str)]
 
 
 def _iter_events(reply: Any) -> Iterable[Event]:
--- a/src/robinthread/_internal/operators/calls.py
+++ b/src/robinthread/_internal/operators/calls.py
@@ -31,7 +31,7 @@
     from robinthread._internal.daemon.daemon import Daemon
 
 NAME_MAX: Final = 128
-HISTORY_PAGE: Final = 512
+HISTORY_PAGE_RECORDS: Final = 512
 SETTABLE_STATES: Final = {
     "running": WaveState.RUNNING,
     "paused": WaveState.PAUSED,
@@ -105,7 +105,7 @@
         raise _make_argument_error("from_hall and to_hall are the same")
     members = tuple(state.iter_pool_hosts(request.pool))
     leaving = tuple(host.name for host in members if host.hall == request.from_hall)
-    there = sum(host.hall == request.to_hall for host in members)
+    in_target_hall = sum(host.hall == request.to_hall for host in members)
     body = WaveCreated(
         request.name,
         f"migrate {request.pool} from {request.from_hall} to {request.to_hall}",
@@ -114,7 +114,7 @@
         _check_deadline(daemon, request.deadline_at_s),
         request.pool,
         request.to_hall,
-        there + len(leaving),
+        in_target_hall + len(leaving),
     )
     return await _publish(daemon, body, request.operation_id)
 
@@ -162,7 +162,7 @@
     versions = []
     offset = 0
     while True:
-        page = await daemon.environment.log.read(FLEET_STREAM, offset, HISTORY_PAGE, 0.0)
+        page = await daemon.environment.log.read(FLEET_STREAM, offset, HISTORY_PAGE_RECORDS, 0.0)
         for record in page.records:
             versions += _list_config_versions(daemon, request.name, record.offset, record.data)
         if not page.records:
@@ -240,21 +240,21 @@
 
 
 def _make_budget(budget: Any) -> Budget:
-    made = Budget(
+    parsed = Budget(
         budget.min_serving_hosts,
         budget.min_serving_slots,
         dict(budget.per_hall_hosts),
         dict(budget.per_rack_hosts),
     )
     floors = (
-        made.min_serving_hosts,
-        made.min_serving_slots,
-        *made.per_hall_hosts.values(),
-        *made.per_rack_hosts.values(),
+        parsed.min_serving_hosts,
+        parsed.min_serving_slots,
+        *parsed.per_hall_hosts.values(),
+        *parsed.per_rack_hosts.values(),
     )
     if min(floors) < 0:
         raise _make_argument_error("a floor of the budget is negative")
-    return made
+    return parsed
 
 
 def _select_hosts(state: FleetState, request: Any) -> list[Host]:
@@ -290,5 +290,5 @@
         )
 
 
-def _make_argument_error(what: str) -> FaultError:
-    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, what))
+def _make_argument_error(error_text: str) -> FaultError:
+    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text))
--- a/src/robinthread/_internal/operators/handler.py
+++ b/src/robinthread/_internal/operators/handler.py
@@ -16,7 +16,7 @@
 
 JSON_TYPE = "application/json"
 BINARY_TYPE = "application/x-protobuf"
-READING_METHODS = frozenset({"GetStatus", "GetTimeline", "GetConfigHistory", "PlanWave"})
+READ_ONLY_METHODS = frozenset({"GetStatus", "GetTimeline", "GetConfigHistory", "PlanWave"})
 HTTP_UNAUTHORIZED = 401
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
@@ -32,7 +32,7 @@
         self._daemon = daemon
         self._token = token
 
-    async def answer(self, method: str) -> None:
+    async def handle(self, method: str) -> None:
         """Answer one call."""
         try:
             reply = await self._call(method)
@@ -52,7 +52,7 @@
         request = self._decode(method)
         if not self._daemon.follower.is_ready:
             raise FaultError(make_fault(ResultCode.NOT_READY))
-        if self._daemon.is_halted and method not in READING_METHODS:
+        if self._daemon.is_halted and method not in READ_ONLY_METHODS:
             raise FaultError(make_fault(ResultCode.DIGEST_DIFFERS))
         try:
             return await call(self._daemon, request)
@@ -63,8 +63,10 @@
             raise FaultError(make_fault(ResultCode.INTERNAL, method)) from error
 
     def _check_token(self) -> None:
-        given = self._handler.request.headers.get("Authorization", "")
-        if not self._token or hmac.compare_digest(given.encode(), f"Bearer {self._token}".encode()):
+        presented = self._handler.request.headers.get("Authorization", "")
+        if not self._token or hmac.compare_digest(
+            presented.encode(), f"Bearer {self._token}".encode()
+        ):
             return
         self._daemon.counters.add("operator_calls_unauthorized")
         raise FaultError(make_fault(ResultCode.UNAUTHORIZED))
--- a/src/robinthread/_internal/operators/listener.py
+++ b/src/robinthread/_internal/operators/listener.py
@@ -16,7 +16,7 @@
         # Protocol buffers cost 4 MB, and most daemons never get an operators' call.
         from robinthread._internal.operators.handler import OperatorCall
 
-        await OperatorCall(self, self._daemon, self._token).answer(method)
+        await OperatorCall(self, self._daemon, self._token).handle(method)
 
 
 def make_operator_application(daemon: Daemon, token: str) -> Application:
--- a/src/robinthread/_internal/operators/schema.py
+++ b/src/robinthread/_internal/operators/schema.py
@@ -18,15 +18,15 @@
     return Path(__file__).with_name("robinthread.proto").read_text(encoding="utf-8")
 
 
-def check_schema(text: str, where: str) -> None:
+def check_schema(text: str, source: str) -> None:
     """Raise ``FaultError`` unless all that ``text`` names means the same here.
 
     What ours has and theirs lacks does no harm: fields are told by number.
     """
     problems = [*_list_message_problems(text), *_list_method_problems(text)]
     if problems:
-        what = f"{where} differs from this build: {'; '.join(problems)}"
-        raise FaultError(make_fault(ResultCode.SCHEMA_MISMATCH, what))
+        error_text = f"{source} differs from this build: {'; '.join(problems)}"
+        raise FaultError(make_fault(ResultCode.SCHEMA_MISMATCH, error_text))
 
 
 def _list_message_problems(text: str) -> list[str]:
--- a/src/robinthread/_internal/operators/status_call.py
+++ b/src/robinthread/_internal/operators/status_call.py
@@ -83,11 +83,11 @@
         reason=wave.reason,
         hosts=len(wave.hosts),
         done=len(wave.done),
-        waits_for=_tell_wait(state, wave),
+        waits_for=_describe_wait(state, wave),
     )
 
 
-def _tell_wait(state: FleetState, wave: Wave) -> str:
+def _describe_wait(state: FleetState, wave: Wave) -> str:
     """Tell in words what an unfinished wave waits for."""
     if not wave.is_unfinished:
         return ""
--- a/src/robinthread/_internal/timeline/chrome_trace.py
+++ b/src/robinthread/_internal/timeline/chrome_trace.py
@@ -6,7 +6,7 @@
 from robinthread._internal.timeline.event import Event
 from robinthread._internal.timeline.hybrid_clock import get_wall_ms
 
-MICROSECONDS_A_MS: Final = 1000
+MICROSECONDS_PER_MS: Final = 1000
 
 
 def make_chrome_trace(events: Sequence[Event]) -> dict[str, Any]:
@@ -41,7 +41,7 @@
 
 
 def _make_entry(event: Event, pid: int, tid: int) -> dict[str, Any]:
-    end_us = get_wall_ms(event.stamp) * MICROSECONDS_A_MS
+    end_us = get_wall_ms(event.stamp) * MICROSECONDS_PER_MS
     entry: dict[str, Any] = {
         "name": f"{event.kind} {event.subject}",
         "pid": pid,
@@ -49,6 +49,6 @@
         "args": {"detail": event.detail, "offset": event.next_offset, "stamp": event.stamp},
     }
     if event.duration_ms:
-        duration_us = event.duration_ms * MICROSECONDS_A_MS
+        duration_us = event.duration_ms * MICROSECONDS_PER_MS
         return {**entry, "ph": "X", "ts": end_us - duration_us, "dur": duration_us}
     return {**entry, "ph": "i", "s": "t", "ts": end_us}
--- a/src/robinthread/_internal/timeline/job_story.py
+++ b/src/robinthread/_internal/timeline/job_history.py
@@ -8,12 +8,12 @@
 
 # What must come before what, whatever the clocks of different nodes say: a job is
 # accepted by one node, and then taken in by another.
-ORDER: Final = {
+STAGES: Final = {
     "request_relayed": 0,
     "job_accepted": 1,
     "job_taken": 2,
 }
-RUNNING: Final = 3
+LATER_STAGE: Final = 3
 # Lines that tell why a job's owner could not go on, whichever job they name.
 POOL_EVENTS: Final = frozenset(
     {
@@ -57,18 +57,18 @@
 def select_lines(lines: Iterable[LogLine], job_id: str) -> list[LogLine]:
     """Return the lines of a job and those of its pool, hosts and nodes meanwhile."""
     lines = list(lines)
-    own = [line for line in lines if line.names("job", job_id)]
-    if not own:
+    job_lines = [line for line in lines if line.has_value("job", job_id)]
+    if not job_lines:
         return []
-    began_s = min(line.at_s for line in own)
-    ended_s = max(line.at_s for line in own)
-    pools = {line.fields["pool"] for line in own if "pool" in line.fields}
-    hosts = {line.fields["host"] for line in own if "host" in line.fields}
-    nodes = {line.node for line in own}
-    around = [
+    began_s = min(line.at_s for line in job_lines)
+    ended_s = max(line.at_s for line in job_lines)
+    pools = {line.fields["pool"] for line in job_lines if "pool" in line.fields}
+    hosts = {line.fields["host"] for line in job_lines if "host" in line.fields}
+    nodes = {line.node for line in job_lines}
+    context_lines = [
         line
         for line in lines
-        if not line.names("job", job_id)
+        if not line.has_value("job", job_id)
         and began_s <= line.at_s <= ended_s
         and (
             (line.event in NODE_EVENTS and line.node in nodes)
@@ -80,7 +80,7 @@
             )
         )
     ]
-    return sort_by_cause(own + around)
+    return sort_by_cause(job_lines + context_lines)
 
 
 def sort_by_cause(lines: Sequence[LogLine]) -> list[LogLine]:
@@ -96,12 +96,12 @@
 
 
 def _get_stage(line: LogLine) -> int:
-    return ORDER.get(line.event, RUNNING)
+    return STAGES.get(line.event, LATER_STAGE)
 
 
 def _get_time_s(line: LogLine, lines: Sequence[LogLine]) -> float:
     """Return when a line counts as written: not before the same job's earlier stages."""
-    if not line.job or line.event not in ORDER:
+    if not line.job or line.event not in STAGES:
         return line.at_s
     causes_s = [
         other.at_s
--- a/src/robinthread/_internal/timeline/log_line.py
+++ b/src/robinthread/_internal/timeline/log_line.py
@@ -25,17 +25,17 @@
         """Return the id of the job that the line is about, or ""."""
         return str(self.fields.get("job", ""))
 
-    def names(self, field: str, value: str) -> bool:
+    def has_value(self, field: str, value: str) -> bool:
         """Tell whether a field has a value, alone or among others that the line gathers.
 
         Names are gathered under the field's plural, pools as what ``counts`` are by.
         """
-        if str(self.fields.get(field)) == value or self._gathers(f"{field}s", value):
+        if str(self.fields.get(field)) == value or self._collects(f"{field}s", value):
             return True
-        is_of_pool = self.fields.get("to_pool") == value or self._gathers("counts", value)
+        is_of_pool = self.fields.get("to_pool") == value or self._collects("counts", value)
         return field == "pool" and is_of_pool
 
-    def _gathers(self, field: str, value: str) -> bool:
+    def _collects(self, field: str, value: str) -> bool:
         found = self.fields.get(field)
         return isinstance(found, list | dict) and value in found
 
--- a/src/robinthread/_internal/timeline/losses.py
+++ b/src/robinthread/_internal/timeline/losses.py
@@ -10,14 +10,14 @@
 from robinthread._internal.timeline.log_line import LogLine
 
 # How long a moment is over which losses are summed.
-MOMENT_S: Final = 2.0
-
-OWNER_AWAY: Final = "owner away"
-STORE_AWAY: Final = "store away"
-RUN_AGAIN: Final = "run again"
-NO_ROOM: Final = "no room"
-AT_WORK: Final = "at work"
-SHOWN_LATE: Final = "end recorded late"
+INTERVAL_S: Final = 2.0
+
+OWNER_UNAVAILABLE: Final = "owner away"
+STORE_UNAVAILABLE: Final = "store away"
+EARLIER_RUNS: Final = "run again"
+NO_CAPACITY: Final = "no room"
+LAST_RUN: Final = "at work"
+END_RECORDED_LATE: Final = "end recorded late"
 UNKNOWN: Final = "not in the lines"
 
 Span = tuple[float, float]
@@ -41,7 +41,7 @@
     @property
     def cause(self) -> str:
         """Return the leg beside the work itself that took longest."""
-        legs_s = {leg: took_s for leg, took_s in self.legs_s.items() if leg != AT_WORK}
+        legs_s = {leg: took_s for leg, took_s in self.legs_s.items() if leg != LAST_RUN}
         return max(legs_s, key=lambda leg: legs_s[leg], default=UNKNOWN)
 
 
@@ -57,7 +57,14 @@
     pool_size: str
 
 
-LEGS: Final = (OWNER_AWAY, STORE_AWAY, RUN_AGAIN, AT_WORK, NO_ROOM, SHOWN_LATE)
+LEGS: Final = (
+    OWNER_UNAVAILABLE,
+    STORE_UNAVAILABLE,
+    EARLIER_RUNS,
+    LAST_RUN,
+    NO_CAPACITY,
+    END_RECORDED_LATE,
+)
 
 
 def find_losses(lines: Sequence[LogLine]) -> list[JobLoss]:
@@ -66,12 +73,12 @@
     for line in lines:
         if line.job:
             by_job[line.job].append(line)
-    owners_away = _find_spans(lines, "pool", {"pool_closed", "pool_fenced"}, {"pool_opened"})
-    stores_away = _find_spans(lines, "writer", {"journal_stalled"}, {"journal_resumed"})
+    owner_gaps = _find_spans(lines, "pool", {"pool_closed", "pool_fenced"}, {"pool_opened"})
+    store_gaps = _find_spans(lines, "writer", {"journal_stalled"}, {"journal_resumed"})
     losses = (
-        _judge(own, owners_away, stores_away)
-        for own in by_job.values()
-        if any(line.event in ("job_ended", "job_failed") for line in own)
+        _compute_job_loss(job_lines, owner_gaps, store_gaps)
+        for job_lines in by_job.values()
+        if any(line.event in ("job_ended", "job_failed") for line in job_lines)
     )
     found = [loss for loss in losses if loss is not None]
     return sorted(found, key=lambda loss: loss.accepted_at_s)
@@ -85,7 +92,7 @@
     began_s = min(line.at_s for line in lines)
     groups: dict[tuple[str, float, str], list[JobLoss]] = defaultdict(list)
     for loss in losses:
-        moment_s = MOMENT_S * math.floor((loss.accepted_at_s - began_s) / MOMENT_S)
+        moment_s = INTERVAL_S * math.floor((loss.accepted_at_s - began_s) / INTERVAL_S)
         groups[loss.queue, moment_s, loss.cause].append(loss)
     rows = (
         LossRow(
@@ -94,7 +101,7 @@
             cause,
             len(group),
             round(sum(loss.late_s for loss in group), 3),
-            _get_pool_size(lines, group[0].pool, began_s + moment_s + MOMENT_S),
+            _get_pool_size(lines, group[0].pool, began_s + moment_s + INTERVAL_S),
         )
         for (queue, moment_s, cause), group in groups.items()
     )
@@ -103,39 +110,39 @@
 
 def format_losses(rows: Sequence[LossRow]) -> list[str]:
     """Write a table for a person."""
-    head = f"{'from s':>7s} {'queue':16s} {'cause':18s} {'jobs':>5s} {'late s':>8s}  pool"
-    return [head] + [
+    header = f"{'from s':>7s} {'queue':16s} {'cause':18s} {'jobs':>5s} {'late s':>8s}  pool"
+    return [header] + [
         f"{row.moment_s:7.0f} {row.queue:16s} {row.cause:18s} {row.job_count:5d} "
         f"{row.late_s:8.1f}  {row.pool_size}"
         for row in rows
     ]
 
 
-def _judge(
-    own: Sequence[LogLine],
-    owners_away: dict[str, list[Span]],
-    stores_away: dict[str, list[Span]],
+def _compute_job_loss(
+    job_lines: Sequence[LogLine],
+    owner_gaps: dict[str, list[Span]],
+    store_gaps: dict[str, list[Span]],
 ) -> JobLoss | None:
     """Return a job's loss, or None where it was on time."""
-    end = next(line for line in own if line.event in ("job_ended", "job_failed"))
+    end = next(line for line in job_lines if line.event in ("job_ended", "job_failed"))
     took_s = end.fields.get("took_ms", 0) / 1000
     late_s = took_s - end.fields.get("allowed_ms", 0) / 1000
     if end.fields.get("outcome") == "canceled" or (late_s <= 0 and end.event != "job_failed"):
         return None
-    accepted_s = next((line.at_s for line in own if line.event == "job_accepted"), math.inf)
+    accepted_s = next((line.at_s for line in job_lines if line.event == "job_accepted"), math.inf)
     accepted_s = min(accepted_s, end.at_s - took_s)
     pool = str(end.fields.get("pool", ""))
-    runs_s = _list_runs(own)
-    again_s = [span for task, spans in runs_s.items() for span in spans[:-1]]
-    work_s = [spans[-1] for spans in runs_s.values()]
-    last_s = max((until_s for _from_s, until_s in work_s), default=end.at_s)
-    known = {
-        OWNER_AWAY: owners_away.get(pool, []) + _before_taken(own, accepted_s),
-        STORE_AWAY: stores_away.get(f"pool/{pool}", []),
-        RUN_AGAIN: again_s,
-        AT_WORK: work_s,
-        SHOWN_LATE: [(last_s, end.at_s)],
-        NO_ROOM: [(accepted_s, last_s)],
+    runs_s = _list_runs(job_lines)
+    earlier_runs_s = [span for task, spans in runs_s.items() for span in spans[:-1]]
+    last_runs_s = [spans[-1] for spans in runs_s.values()]
+    last_end_s = max((until_s for _from_s, until_s in last_runs_s), default=end.at_s)
+    spans_by_leg = {
+        OWNER_UNAVAILABLE: owner_gaps.get(pool, []) + _find_pickup_delay(job_lines, accepted_s),
+        STORE_UNAVAILABLE: store_gaps.get(f"pool/{pool}", []),
+        EARLIER_RUNS: earlier_runs_s,
+        LAST_RUN: last_runs_s,
+        END_RECORDED_LATE: [(last_end_s, end.at_s)],
+        NO_CAPACITY: [(accepted_s, last_end_s)],
     }
     return JobLoss(
         end.job,
@@ -143,19 +150,21 @@
         pool,
         accepted_s,
         round(late_s, 3),
-        _share_out((accepted_s, end.at_s), known),
+        _split_by_leg((accepted_s, end.at_s), spans_by_leg),
     )
 
 
-def _before_taken(own: Sequence[LogLine], accepted_s: float) -> list[Span]:
-    taken_s = min((line.at_s for line in own if line.event == "job_taken"), default=accepted_s)
+def _find_pickup_delay(job_lines: Sequence[LogLine], accepted_s: float) -> list[Span]:
+    taken_s = min(
+        (line.at_s for line in job_lines if line.event == "job_taken"), default=accepted_s
+    )
     return [(accepted_s, max(accepted_s, taken_s))]
 
 
-def _list_runs(own: Sequence[LogLine]) -> dict[str, list[Span]]:
+def _list_runs(job_lines: Sequence[LogLine]) -> dict[str, list[Span]]:
     """Return, by task, when each of its runs was on a host."""
     runs_s: dict[str, dict[int, list[float]]] = defaultdict(dict)
-    for line in own:
+    for line in job_lines:
         if line.event in ("run_started", "run_ended", "run_failed"):
             task, run = str(line.fields.get("task")), int(line.fields.get("run", 0))
             runs_s[task].setdefault(run, []).append(line.at_s)
@@ -165,16 +174,19 @@
     }
 
 
-def _share_out(whole: Span, known: dict[str, list[Span]]) -> dict[str, float]:
+def _split_by_leg(job_span: Span, spans_by_leg: dict[str, list[Span]]) -> dict[str, float]:
     """Cut a job's time at all ends of spans, and give each piece to the first leg it is in."""
     cuts = sorted(
-        {*whole, *itertools.chain.from_iterable(itertools.chain.from_iterable(known.values()))}
+        {
+            *job_span,
+            *itertools.chain.from_iterable(itertools.chain.from_iterable(spans_by_leg.values())),
+        }
     )
-    cuts = [cut for cut in cuts if whole[0] <= cut <= whole[1]]
+    cuts = [cut for cut in cuts if job_span[0] <= cut <= job_span[1]]
     legs_s: dict[str, float] = defaultdict(float)
     for from_s, until_s in itertools.pairwise(cuts):
         middle_s = (from_s + until_s) / 2
-        leg = next((leg for leg in LEGS if _covers(known[leg], middle_s)), UNKNOWN)
+        leg = next((leg for leg in LEGS if _covers(spans_by_leg[leg], middle_s)), UNKNOWN)
         legs_s[leg] += until_s - from_s
     return {leg: round(took_s, 3) for leg, took_s in legs_s.items()}
 
@@ -200,14 +212,14 @@
 
 def _get_pool_size(lines: Sequence[LogLine], pool: str, until_s: float) -> str:
     """Return a pool's size as the steward last told before a time."""
-    told = [
+    size_lines = [
         line
         for line in lines
         if line.event == "pool_sized" and line.fields.get("pool") == pool and line.at_s <= until_s
     ]
-    if not told:
+    if not size_lines:
         return "not told"
-    fields = max(told, key=lambda line: line.at_s).fields
+    fields = max(size_lines, key=lambda line: line.at_s).fields
     return (
         f"{fields['usable']} usable, {fields['arriving']} arriving, {fields['fetch_count']} wanted"
     )
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -6,11 +6,11 @@
 
 from robinthread._internal.timeline.log_line import LogLine
 from robinthread._internal.timeline.losses import (
-    NO_ROOM,
-    OWNER_AWAY,
-    RUN_AGAIN,
-    SHOWN_LATE,
-    STORE_AWAY,
+    EARLIER_RUNS,
+    END_RECORDED_LATE,
+    NO_CAPACITY,
+    OWNER_UNAVAILABLE,
+    STORE_UNAVAILABLE,
     find_losses,
     format_losses,
     sum_losses,
@@ -58,11 +58,11 @@
         ]
         again = [make_line(102.9, "run_started", job=JOB, task="0.0.0", run=2)]
         for expected, lines in {
-            NO_ROOM: make_job(102.0, 103.0, 103.1, 2.0),
-            OWNER_AWAY: make_job(102.0, 103.0, 103.1, 2.0) + closed,
-            STORE_AWAY: make_job(102.0, 103.0, 103.1, 2.0) + stalled,
-            SHOWN_LATE: make_job(100.1, 101.0, 103.0, 2.0),
-            RUN_AGAIN: make_job(100.1, 102.8, 104.0, 2.0)
+            NO_CAPACITY: make_job(102.0, 103.0, 103.1, 2.0),
+            OWNER_UNAVAILABLE: make_job(102.0, 103.0, 103.1, 2.0) + closed,
+            STORE_UNAVAILABLE: make_job(102.0, 103.0, 103.1, 2.0) + stalled,
+            END_RECORDED_LATE: make_job(100.1, 101.0, 103.0, 2.0),
+            EARLIER_RUNS: make_job(100.1, 102.8, 104.0, 2.0)
             + again
             + [make_line(103.9, "run_ended", job=JOB, task="0.0.0", run=2)],
         }.items():
@@ -74,5 +74,5 @@
         size = make_line(100.5, "pool_sized", pool="press", usable=2, arriving=1, fetch_count=9)
         lines = [*make_job(102.0, 103.0, 103.1, 2.0), size]
         (row,) = sum_losses(find_losses(lines), lines)
-        self.assertEqual(("sheets", 0.0, NO_ROOM, 1), (row.queue, row.moment_s, row.cause, 1))
+        self.assertEqual(("sheets", 0.0, NO_CAPACITY, 1), (row.queue, row.moment_s, row.cause, 1))
         self.assertIn("2 usable, 1 arriving, 9 wanted", format_losses([row])[1])
