--- a/src/robinthread/_internal/commands/__init__.py
+++ b/src/robinthread/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' verbs, one module each."""
+"""Implementation of the command-line verbs."""
--- a/src/robinthread/_internal/commands/change.py
+++ b/src/robinthread/_internal/commands/change.py
@@ -1,4 +1,4 @@
-"""Make an operators' call, show its reply, and wait until it is in force."""
+"""Make an operator call, print its reply, and wait until the change is in force."""
 
 import asyncio
 import secrets
@@ -25,7 +25,12 @@
     wait_s: float = 0.0,
     follow_wave: str = "",
 ) -> int:
-    """Make the call; return the exit code of its result code."""
+    """Make the call and return the exit code of its result code; raise ``FaultError`` on failure.
+
+    An empty ``operation_id`` in ``fields`` is replaced by a random one.  If ``wait_s`` is set, wait
+    that long for the daemons to apply the change; else show the progress of the wave named
+    ``follow_wave``, if any, until it ends.
+    """
     if "operation_id" in fields and not fields["operation_id"]:
         fields = {**fields, "operation_id": secrets.token_hex(8)}
     reply = call(target, method, fields)
@@ -42,7 +47,7 @@
 
 
 def to_json(message: Any) -> str:
-    """Return a message as JSON with the schema's field names."""
+    """Return a protobuf message as JSON with the field names of the schema."""
     return json_format.MessageToJson(
         message, preserving_proto_field_name=True, always_print_fields_with_no_presence=True
     )
@@ -77,7 +82,7 @@
 
 
 def _wait_in_force(target: Target, version: int, wait_s: float) -> int:
-    """Wait until every heard daemon has applied the log up to ``version``."""
+    """Wait until every reachable daemon has applied the log record at offset ``version``."""
     ends_at_s = time.monotonic() + wait_s
     while True:
         status = call(target, "GetStatus", {})
@@ -101,7 +106,7 @@
 
 
 def _follow_wave(target: Target, name: str) -> int:
-    """Show a wave's progress until it ends."""
+    """Show a progress bar of the wave until it is done or cancelled."""
 
     async def follow() -> None:
         with tqdm(unit="host", desc=name) as bar:
--- a/src/robinthread/_internal/commands/client.py
+++ b/src/robinthread/_internal/commands/client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' calls."""
+"""Client of the operator calls."""
 
 import asyncio
 from dataclasses import dataclass
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A daemon's operators' listener and how to speak to it."""
+    """Address and credentials for a daemon's operator listener.
+
+    TLS is used if ``ca_file`` is set.
+    """
 
     address: str
     token_file: str = ""
@@ -29,12 +32,12 @@
 
 
 def call(target: Target, method: str, fields: dict[str, Any]) -> Any:
-    """Make one call and return its reply; raise ``FaultError``."""
+    """Make one call and return its reply; raise ``FaultError`` if it fails."""
     return asyncio.run(call_async(target, method, fields))
 
 
 async def call_async(target: Target, method: str, fields: dict[str, Any]) -> Any:
-    """Make one call on the running loop; raise ``FaultError``."""
+    """Make one call on the running event loop; raise ``FaultError`` if it fails."""
     descriptor = pb.DESCRIPTOR.services_by_name["Operators"].methods_by_name[method]
     request = json_format.ParseDict(fields, getattr(pb, descriptor.input_type.name)())
     client = SimpleAsyncHTTPClient(force_instance=True)
@@ -65,7 +68,7 @@
     try:
         return await client.fetch(request, raise_error=False)
     except (OSError, ValueError) as error:
-        error_text = f"No daemon answers at {target.address}: {error}"
+        error_text = f"No response from a daemon at {target.address}: {error}"
         raise FaultError(make_fault(ResultCode.UNREACHABLE, error_text)) from error
 
 
@@ -75,7 +78,7 @@
         outcome.ParseFromString(body)
         return Fault(ResultCode(outcome.code), outcome.message)
     except (DecodeError, ValueError):
-        return make_fault(ResultCode.UNREACHABLE, f"The daemon answered with HTTP status {status}")
+        return make_fault(ResultCode.UNREACHABLE, f"The daemon responded with HTTP status {status}")
 
 
 def _read_token(path: str) -> str:
--- a/src/robinthread/_internal/commands/config_check.py
+++ b/src/robinthread/_internal/commands/config_check.py
@@ -1,4 +1,4 @@
-"""Check a daemon's settings file."""
+"""Validation of a daemon's settings file."""
 
 from returns.result import Success
 
@@ -9,7 +9,7 @@
 
 
 def read_settings(path: str) -> DaemonSettings:
-    """Read and check a settings file; raise ``FaultError`` that names every fault."""
+    """Read and validate a settings file; raise a ``FaultError`` that lists all errors in it."""
     result = parse_settings(read_text(path), path)
     if isinstance(result, Success):
         return result.unwrap()
@@ -17,7 +17,7 @@
 
 
 def run_config_check(path: str) -> int:
-    """Tell whether the file is good."""
+    """Validate the file and print a confirmation; raise ``FaultError`` if it is invalid."""
     settings = read_settings(path)
     print(f"{path} is good: daemon {settings.name} in {settings.hall}")
     return 0
--- a/src/robinthread/_internal/commands/daemon.py
+++ b/src/robinthread/_internal/commands/daemon.py
@@ -11,7 +11,7 @@
 
 
 def run_daemon_command(path: str) -> int:
-    """Run a daemon with the settings at ``path`` until it is told to stop."""
+    """Run a daemon with the settings file at ``path`` until the process is stopped."""
     limit_arenas()
     settings = read_settings(path)
     flags.FLAGS([PROGRAM])
--- a/src/robinthread/_internal/commands/demo.py
+++ b/src/robinthread/_internal/commands/demo.py
@@ -1,4 +1,4 @@
-"""The main job on one machine: requests, a maintenance wave and a migration."""
+"""Demonstration on one machine: requests during a maintenance wave and a migration."""
 
 import asyncio
 import itertools
@@ -56,7 +56,7 @@
 
 @dataclass
 class _CallerResults:
-    """What the callers owed and received."""
+    """Result codes, wrong answers and request keys that the callers received."""
 
     codes: Counter[str] = field(default_factory=Counter)
     wrong_answers: int = 0
@@ -64,7 +64,7 @@
 
 
 class _Site:
-    """Everything the demo runs, on loopback."""
+    """Platform, workers and daemons of the demonstration, on loopback."""
 
     def __init__(self) -> None:
         self.ledger = Ledger()
@@ -76,13 +76,14 @@
 
     @property
     def state(self) -> FleetState:
-        """Return the fleet state as the first daemon has folded it."""
+        """Return the fleet state of the first daemon."""
         return self.processes[0].daemon.state
 
     async def start(self) -> None:
         """Start the platform, the workers and the daemons."""
         platform = self._listen(make_platform_application(self.log, self.host_list))
-        # Two halls full of hosts, and as many again free in the second to migrate to.
+        # The hosts of both pools in the first hall, and free hosts in the second as the target of
+        # the migration.
         for pool, hall in (("tiles", "east"), ("orders", "east"), ("spare", "west")):
             for index in range(HOSTS_PER_POOL):
                 self.hosts.append(self._start_worker(f"{pool}-{index}", hall))
@@ -95,15 +96,16 @@
         await _wait_until(lambda: len(self.state.daemons) == len(self.processes))
 
     async def publish(self, body: object) -> None:
-        """Publish a record through the first daemon."""
+        """Publish a record through the first daemon; raise ``FaultError`` if it is refused."""
         result = await self.processes[0].daemon.publish(body)
         if not isinstance(result, Success):
             raise FaultError(result.failure())
 
     async def close(self) -> None:
-        """Stop the daemons as planned."""
+        """Stop the daemons gracefully."""
         await asyncio.gather(*(process.stop() for process in self.processes))
-        # Long polls that end with the loop are no news, but tornado logs them.
+        # tornado logs an error for each long poll that is still open when the event loop ends;
+        # these are expected.
         getLogger("tornado").setLevel(CRITICAL)
 
     def _listen(self, application: Any) -> Listener:
@@ -119,7 +121,10 @@
 
 
 def run_demo(requests: int, seed: int, with_progress: bool) -> int:
-    """Run the demo and print its table; return 0 if every promise was kept."""
+    """Run the demonstration and print a table of its results.
+
+    Return 0 if every request ran exactly once with a right answer and all budgets held, else 1.
+    """
     logging.set_verbosity(logging.ERROR)
     return asyncio.run(_run(requests, seed, with_progress))
 
@@ -154,7 +159,10 @@
 
 
 async def _run_waves(site: _Site) -> bool:
-    """Reboot one pool's hosts, migrate the other; return whether budgets held throughout."""
+    """Reboot the hosts of one pool and migrate the other.
+
+    Return whether the budgets of all pools were met after each change of the fleet state.
+    """
     budgets_held = True
 
     def check_budgets(_: object) -> None:
@@ -267,7 +275,8 @@
         ("moves of tasks", sum(part.moves for part in measures)),
         ("roll-out time, s", f"{max(part.rollout_s for part in measures):.1f}"),
         ("buffer cost, slot s", f"{sum(part.buffer_slot_s for part in measures):.1f}"),
-        # No order of drains costs less than the reboots themselves: more is no fault.
+        # Lower bound of the buffer cost: every order of drains costs at least the reboots
+        # themselves.  A higher cost is not an error.
         ("of it the reboots alone", f"{moved / 2 * REBOOT_S:.1f}"),
         ("log appends", site.log.appends_count),
     ]
--- a/src/robinthread/_internal/commands/experiment.py
+++ b/src/robinthread/_internal/commands/experiment.py
@@ -1,4 +1,4 @@
-"""Play days of a described deployment, and compare two policies."""
+"""Simulation of days of a deployment, and comparison of two policies."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -34,10 +34,11 @@
 
 @dataclass(frozen=True)
 class ExperimentOptions:
-    """What to play: a deployment's file, or so many drawn ones; and what to write.
+    """Deployments to simulate, from ``file`` or ``drawn`` generated ones, and output files.
 
-    ``vary`` is a key of the file and its values, as machines.count=6,8,12; ``ablates`` switches
-    each mechanism of the policy, one by one.
+    ``vary`` is a key of the deployment file and the values to simulate, as
+    machines.count=6,8,12.  ``ablates`` adds a variant of the policy for each of its mechanisms,
+    with that mechanism switched.
     """
 
     file: str = ""
@@ -55,7 +56,10 @@
 
 
 def run_experiment(options: ExperimentOptions) -> int:
-    """Play the days, and print a table; with ``compare``, of both policies."""
+    """Simulate the days and print a table of the results, for both policies with ``compare``.
+
+    Return 1 if a simulated day broke a promise, else 0.
+    """
     arms = list(_iter_arms(options))
     seeds = range(options.first_seed, options.first_seed + options.seeds)
     runs = make_runs(arms, seeds)
@@ -87,7 +91,7 @@
 
 def _read_deployments(options: ExperimentOptions) -> list[Deployment]:
     if bool(options.file) == bool(options.drawn) or not options.seeds:
-        text = "give either --file or --drawn, and one seed at least"
+        text = "expected either --file or --drawn, and --seeds of at least 1"
         raise FaultError(make_fault(ResultCode.BAD_ARGUMENT, text))
     if options.file:
         return [_unwrap(parse_deployment(read_text(options.file), options.file))]
--- a/src/robinthread/_internal/commands/explain.py
+++ b/src/robinthread/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""Tell the life of a request from the log lines of all nodes."""
+"""History of a job, and causes of delay, from the log lines of all nodes."""
 
 import sys
 from collections.abc import Iterator, Sequence
@@ -18,12 +18,16 @@
 
 
 def run_explain(job_id: str, file: str, filters: dict[str, str], chrome: str, is_json: bool) -> int:
-    """Print the lines of a job, or of what the filters name, in causal order."""
+    """Print the log lines of a job and of its pools, hosts and nodes in causal order.
+
+    If ``job_id`` is empty, start from all lines.  Only lines that match all ``filters`` are
+    printed.  If ``chrome`` is set, they are written to that file as trace events instead.
+    """
     lines = list(_read(file))
     chosen = select_lines(lines, job_id) if job_id else sort_by_cause(lines)
     chosen = [line for line in chosen if _matches(line, filters)]
     if not chosen:
-        error_text = f"no line of {file} is about {job_id or filters}"
+        error_text = f"no log line in {file} matches {job_id or filters}"
         raise FaultError(make_fault(ResultCode.NOT_FOUND, error_text))
     if chrome:
         events = list(map(_make_event, chosen))
@@ -37,7 +41,7 @@
 
 
 def run_losses(file: str, is_json: bool) -> int:
-    """Print what cost the jobs their time that were late or failed."""
+    """Print the causes of delay of late and failed jobs."""
     lines = list(_read(file))
     losses = find_losses(lines)
     rows = sum_losses(losses, lines)
@@ -67,12 +71,12 @@
 
 
 def _make_event(line: LogLine) -> Event:
-    """Return a line as an event of the time line; log lines have no offset of their own."""
+    """Return a line as a timeline event, with offset 0, as log lines have no log offset."""
     detail = " ".join(f"{key}={value}" for key, value in line.fields.items())
     stamp = int(line.at_s * 1000) << LOGICAL_BITS
     return Event(stamp, 0, line.node, "", line.event, line.job, detail)
 
 
 def make_filters(pairs: Sequence[tuple[str, str]]) -> dict[str, str]:
-    """Return the filters that are set."""
+    """Return the filters whose value is not empty."""
     return {name: value for name, value in pairs if value}
--- a/src/robinthread/_internal/commands/node.py
+++ b/src/robinthread/_internal/commands/node.py
@@ -14,9 +14,9 @@
 
 
 def run_node_command(metrics_port: int | None, policy_path: str) -> int:
-    """Run a node with the settings that the platform laid out, until it is told to stop.
+    """Run a node with the settings file that the platform provides, until it is stopped.
 
-    How it decides stands in the file at ``policy_path``; empty for the defaults.
+    The policy is read from ``policy_path``; the defaults apply if it is empty.
     """
     path = get_settings_path()
     policy = _read_policy(policy_path) if policy_path else PolicySettings()
@@ -27,7 +27,7 @@
 
 
 def _read_policy(path: str) -> PolicySettings:
-    """Read the policy file; raise ``FaultError`` where it is not valid."""
+    """Read the policy file; raise ``FaultError`` if it is invalid."""
     result = parse_policy(read_text(path), path)
     if isinstance(result, Success):
         return result.unwrap()
--- a/src/robinthread/_internal/commands/standin.py
+++ b/src/robinthread/_internal/commands/standin.py
@@ -25,7 +25,7 @@
 
 
 def run_platform(listen: str, hosts_file: str) -> int:
-    """Serve the log and the host list."""
+    """Serve a log and a host list until SIGTERM or SIGINT."""
     hosts = _read_hosts(hosts_file) if hosts_file else ()
 
     def make_application() -> Application:
@@ -38,7 +38,7 @@
 
 
 def run_worker(name: str, listen: str, slots: int, reboot_s: float) -> int:
-    """Serve one worker."""
+    """Serve one worker until SIGTERM or SIGINT."""
     asyncio.run(
         _serve(
             listen,
--- a/src/robinthread/_internal/commands/status.py
+++ b/src/robinthread/_internal/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the state of the whole in one picture."""
+"""Overview of the state of the fleet."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def run_status(target: Target, with_hosts: bool, is_json: bool) -> int:
-    """Print what the daemon at ``target`` knows."""
+    """Print the fleet status as seen by the daemon at ``target``."""
     status = call(target, "GetStatus", {})
     print(to_json(status) if is_json else "\n".join(_iter_lines(status, with_hosts)))
     return 0
--- a/src/robinthread/_internal/commands/timeline.py
+++ b/src/robinthread/_internal/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Gather the events of all daemons and show them in one order."""
+"""Collection of the events of all daemons in one order."""
 
 import asyncio
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 
 def run_timeline(target: Target, subjects: list[str], hall: str, chrome: str, is_json: bool) -> int:
-    """Print events in order, or write them for a browser's trace viewer."""
+    """Print the events in order, or write them to ``chrome`` for a browser's trace viewer."""
     status = call(target, "GetStatus", {})
     events, unreachable = asyncio.run(_gather(target, status, subjects))
     chosen = [event for event in events if not hall or event.hall == hall]
--- a/src/robinthread/_internal/commands/wave_progress.py
+++ b/src/robinthread/_internal/commands/wave_progress.py
@@ -1,4 +1,4 @@
-"""Show a pool's serving hosts against its budget over time."""
+"""Number of serving hosts of a pool over time, compared with its budget."""
 
 import datetime
 from collections.abc import Iterator, Sequence
@@ -15,7 +15,7 @@
 
 
 def run_wave_progress(target: Target, pool: str) -> int:
-    """Print a line for each change of a pool's serving hosts that the daemon remembers."""
+    """Print a line for each change of a pool's serving hosts in the daemon's event ring."""
     status = call(target, "GetStatus", {})
     found = next((entry for entry in status.pools if entry.name == pool), None)
     if found is None:
@@ -28,7 +28,10 @@
 
 
 def _iter_lines(events: Sequence[Any], serving_now: int, floor: int) -> Iterator[str]:
-    """Walk back from what serves now to what served before each event."""
+    """Yield a line for each change, counting from the number that served before the first one.
+
+    That number is derived from ``serving_now`` by undoing all changes.
+    """
     changes = [(event, _get_change(event.kind)) for event in events if _get_change(event.kind)]
     serving = serving_now - sum(change for _, change in changes)
     for event, change in changes:
--- a/src/robinthread/_internal/timeline/__init__.py
+++ b/src/robinthread/_internal/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""Events of all processes in one order that respects cause."""
+"""Events of all processes in one causally consistent order."""
--- a/src/robinthread/_internal/timeline/chrome_trace.py
+++ b/src/robinthread/_internal/timeline/chrome_trace.py
@@ -10,10 +10,10 @@
 
 
 def make_chrome_trace(events: Sequence[Event]) -> dict[str, Any]:
-    """Return the trace: a process for each data hall, a thread for each daemon.
+    """Return the trace, with a process for each data hall and a thread for each daemon.
 
-    The form is the Trace Event Format's JSON object with complete ("X") and
-    instant ("i") events, times in microseconds.
+    The trace is a JSON object of the Trace Event Format with complete ("X") and
+    instant ("i") events and times in microseconds.
     """
     halls = {hall: index for index, hall in enumerate(sorted({e.hall for e in events}), 1)}
     daemons = {name: index for index, name in enumerate(sorted({e.daemon for e in events}), 1)}
--- a/src/robinthread/_internal/timeline/event.py
+++ b/src/robinthread/_internal/timeline/event.py
@@ -1,15 +1,15 @@
-"""An event in the time line."""
+"""An event on the timeline."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that changed in a process.
+    """A change in a process.
 
-    ``stamp`` is of the hybrid logical clock, ``next_offset`` the log offset
-    that the process had applied.  ``subject`` names a request, host, wave,
-    pool or data hall; ``duration_ms`` is zero for an instant.
+    ``stamp`` is a stamp of the hybrid logical clock.  ``next_offset`` is the offset
+    of the log record that the process was to apply next.  ``subject`` names a request,
+    host, wave, pool or data hall.  ``duration_ms`` is zero for an instant event.
     """
 
     stamp: int
--- a/src/robinthread/_internal/timeline/event_ring.py
+++ b/src/robinthread/_internal/timeline/event_ring.py
@@ -1,4 +1,4 @@
-"""Bounded ring of a process's events."""
+"""Bounded buffer of a process's latest events."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -8,7 +8,7 @@
 
 
 class EventRing:
-    """Keep the last ``capacity`` events of a process."""
+    """Ring buffer of the last ``capacity`` events of a process."""
 
     def __init__(self, daemon: str, hall: str, clock: HybridClock, capacity: int) -> None:
         self.clock = clock
@@ -18,7 +18,7 @@
         self._events: deque[Event] = deque(maxlen=capacity)
 
     def record(self, kind: str, subject: str, detail: str = "", duration_ms: float = 0.0) -> None:
-        """Note an event that happened just now."""
+        """Append an event that ends now, stamped by the hybrid clock."""
         self._events.append(
             Event(
                 self.clock.tick(),
@@ -33,7 +33,7 @@
         )
 
     def list_events(self, subjects: Iterable[str] = ()) -> tuple[Event, ...]:
-        """Return the events, or those whose subject or detail names one of ``subjects``."""
+        """Return the events that name one of ``subjects``, or all events if it is empty."""
         wanted = tuple(subjects)
         return tuple(
             event
--- a/src/robinthread/_internal/timeline/hybrid_clock.py
+++ b/src/robinthread/_internal/timeline/hybrid_clock.py
@@ -8,10 +8,10 @@
 
 
 class HybridClock:
-    """A clock that follows wall time and never contradicts cause.
+    """A clock that follows wall time and whose stamps respect causality.
 
-    A stamp is one integer: milliseconds of Unix time, then ``LOGICAL_BITS``
-    bits of a counter.  After Kulkarni and others, "Logical Physical Clocks"
+    A stamp is one integer: Unix time in milliseconds, followed by a counter of
+    ``LOGICAL_BITS`` bits.  After Kulkarni and others, "Logical Physical Clocks"
     (2014).
     """
 
@@ -20,12 +20,12 @@
         self._last = 0
 
     def tick(self) -> int:
-        """Return a stamp for a local event or a message that is sent."""
+        """Return a stamp for a local event or a message about to be sent."""
         self._last = max(self._last + 1, self._get_physical())
         return self._last
 
     def merge(self, stamp: int) -> int:
-        """Return a stamp later than ``stamp``, for a message that arrives."""
+        """Return a stamp later than ``stamp``, the stamp of a received message."""
         self._last = max(self._last + 1, stamp + 1, self._get_physical())
         return self._last
 
@@ -34,5 +34,5 @@
 
 
 def get_wall_ms(stamp: int) -> float:
-    """Return the milliseconds of Unix time in a stamp."""
+    """Return a stamp as Unix time in milliseconds, with the counter as the fraction."""
     return (stamp >> LOGICAL_BITS) + (stamp & ((1 << LOGICAL_BITS) - 1)) / (1 << LOGICAL_BITS)
--- a/src/robinthread/_internal/timeline/job_history.py
+++ b/src/robinthread/_internal/timeline/job_history.py
@@ -1,4 +1,4 @@
-"""The life of one request, gathered from the log lines of all nodes."""
+"""History of one job, collected from the log lines of all nodes."""
 
 import datetime
 from collections.abc import Iterable, Sequence
@@ -6,15 +6,15 @@
 
 from robinthread._internal.timeline.log_line import LogLine
 
-# What must come before what, whatever the clocks of different nodes say: a job is
-# accepted by one node, and then taken in by another.
+# Causal order of a job's first events, whatever times the nodes' clocks show: one node
+# accepts a job, and only then can another one take it over.
 STAGES: Final = {
     "request_relayed": 0,
     "job_accepted": 1,
     "job_taken": 2,
 }
 LATER_STAGE: Final = 3
-# Lines that tell why a job's owner could not go on, whichever job they name.
+# Events that explain why a job's owner could not make progress, whichever job they name.
 POOL_EVENTS: Final = frozenset(
     {
         "owner_missing",
@@ -32,7 +32,8 @@
         "host_paused",
     }
 )
-# Lines that tell what a node had lost or regained, for the nodes that a job met.
+# Events that show what a node had lost or regained, selected for the nodes that logged
+# lines of the job.
 NODE_EVENTS: Final = frozenset(
     {
         "started",
@@ -55,7 +56,10 @@
 
 
 def select_lines(lines: Iterable[LogLine], job_id: str) -> list[LogLine]:
-    """Return the lines of a job and those of its pool, hosts and nodes meanwhile."""
+    """Return the lines of a job, and of its pools, hosts and nodes between its first and last line.
+
+    The result is empty if no line names the job.
+    """
     lines = list(lines)
     job_lines = [line for line in lines if line.has_value("job", job_id)]
     if not job_lines:
@@ -84,10 +88,11 @@
 
 
 def sort_by_cause(lines: Sequence[LogLine]) -> list[LogLine]:
-    """Sort lines by time, but put no job's taking in before its acceptance.
+    """Sort lines by time, but keep the events of ``STAGES`` in order for each job.
 
-    Nodes' clocks differ: a line that shows an earlier time than one that it rests
-    on is put right after that one.  All later lines of a job are its owner's own.
+    The clocks of nodes differ: a line with an earlier time than a line of an earlier
+    stage is placed right after that line.  All later lines of a job come from its
+    owner, so their times are of one clock.
     """
     ranked = [
         (_get_time_s(line, lines), _get_stage(line), number) for number, line in enumerate(lines)
@@ -100,7 +105,7 @@
 
 
 def _get_time_s(line: LogLine, lines: Sequence[LogLine]) -> float:
-    """Return when a line counts as written: not before the same job's earlier stages."""
+    """Return the time to sort a line by: at least the times of the same job's earlier stages."""
     if not line.job or line.event not in STAGES:
         return line.at_s
     causes_s = [
@@ -112,7 +117,7 @@
 
 
 def format_lines(lines: Sequence[LogLine]) -> list[str]:
-    """Write lines for a person, with the time since the first one."""
+    """Format lines for display, with the seconds since the first line."""
     began_s = lines[0].at_s if lines else 0.0
     return [_format_line(line, began_s) for line in lines]
 
--- a/src/robinthread/_internal/timeline/log_line.py
+++ b/src/robinthread/_internal/timeline/log_line.py
@@ -1,4 +1,4 @@
-"""A structured log line of a node, read back."""
+"""Parsing of the structured log lines of nodes."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -7,13 +7,13 @@
 
 import msgspec
 
-# What a line has beside the fields of its event.
+# Keys of every line, in addition to the fields of its event.
 ENVELOPE: Final = frozenset({"at", "node", "event", "level"})
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line: Unix time in seconds, the node that wrote it, its event and fields."""
+    """A log line: Unix time in seconds, the node that wrote it, its event and fields."""
 
     at_s: float
     node: str
@@ -22,13 +22,14 @@
 
     @property
     def job(self) -> str:
-        """Return the id of the job that the line is about, or ""."""
+        """Return the id of the job that the line names, or "" if it names none."""
         return str(self.fields.get("job", ""))
 
     def has_value(self, field: str, value: str) -> bool:
-        """Tell whether a field has a value, alone or among others that the line gathers.
+        """Return whether a field has ``value``, alone or in a collection.
 
-        Names are gathered under the field's plural, pools as what ``counts`` are by.
+        A line that stands for several events lists their values under the plural of the
+        field; pools also stand in ``to_pool`` and as the keys of ``counts``.
         """
         if str(self.fields.get(field)) == value or self._collects(f"{field}s", value):
             return True
@@ -41,10 +42,10 @@
 
 
 def iter_log_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Iterate over the structured lines of a text; what comes before a brace is skipped.
+    """Parse the structured lines among ``lines``, and skip all others.
 
-    Collectors put names and times of their own before a line; lines of no event are
-    left out.
+    Log collectors prefix lines with names and times of their own, so the text before the
+    first brace is ignored.  Lines without an event and a time are skipped.
     """
     for text in lines:
         brace = text.find("{")
--- a/src/robinthread/_internal/timeline/losses.py
+++ b/src/robinthread/_internal/timeline/losses.py
@@ -1,4 +1,7 @@
-"""Which leg cost the jobs their time that were late or failed, from the log lines of a day."""
+"""Causes of delay of late and failed jobs, from the log lines of a day.
+
+The time from a job's acceptance to its recorded end is split into legs, each with one cause.
+"""
 
 import itertools
 import math
@@ -9,7 +12,7 @@
 
 from robinthread._internal.timeline.log_line import LogLine
 
-# How long a moment is over which losses are summed.
+# Length of the intervals over which losses are summed.
 INTERVAL_S: Final = 2.0
 
 OWNER_UNAVAILABLE: Final = "owner away"
@@ -25,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobLoss:
-    """A job that was late or failed, and its seconds by leg.
+    """A job that was late or failed, and the seconds of each of its legs.
 
-    ``accepted_at_s`` is Unix time.  A leg that overlaps one that stands before it in
-    ``LEGS`` counts only what is left.
+    ``accepted_at_s`` is Unix time.  Where legs overlap, the time counts for the one that
+    comes first in ``LEGS``.
     """
 
     job: str
@@ -40,14 +43,17 @@
 
     @property
     def cause(self) -> str:
-        """Return the leg beside the work itself that took longest."""
+        """Return the longest leg other than ``LAST_RUN``, or ``UNKNOWN`` if there is none."""
         legs_s = {leg: took_s for leg, took_s in self.legs_s.items() if leg != LAST_RUN}
         return max(legs_s, key=lambda leg: legs_s[leg], default=UNKNOWN)
 
 
 @dataclass(frozen=True, slots=True)
 class LossRow:
-    """Late jobs of one queue, moment and cause, with the pool's size as last told."""
+    """Late and failed jobs of one queue, interval and cause, with the pool's last logged size.
+
+    ``moment_s`` is the start of the interval in seconds since the first line.
+    """
 
     queue: str
     moment_s: float
@@ -68,7 +74,7 @@
 
 
 def find_losses(lines: Sequence[LogLine]) -> list[JobLoss]:
-    """Return the jobs that the lines show as late or failed, in the order of acceptance."""
+    """Return the losses of late and failed jobs, in the order of acceptance."""
     by_job: dict[str, list[LogLine]] = defaultdict(list)
     for line in lines:
         if line.job:
@@ -85,7 +91,7 @@
 
 
 def sum_losses(losses: Iterable[JobLoss], lines: Sequence[LogLine]) -> list[LossRow]:
-    """Sum losses by queue, moment and cause, the dearest first; moments count from the first."""
+    """Sum losses by queue, interval and cause; rows with the most jobs come first."""
     losses = list(losses)
     if not losses:
         return []
@@ -109,7 +115,7 @@
 
 
 def format_losses(rows: Sequence[LossRow]) -> list[str]:
-    """Write a table for a person."""
+    """Format rows as the lines of a table, with a header."""
     header = f"{'from s':>7s} {'queue':16s} {'cause':18s} {'jobs':>5s} {'late s':>8s}  pool"
     return [header] + [
         f"{row.moment_s:7.0f} {row.queue:16s} {row.cause:18s} {row.job_count:5d} "
@@ -123,7 +129,7 @@
     owner_gaps: dict[str, list[Span]],
     store_gaps: dict[str, list[Span]],
 ) -> JobLoss | None:
-    """Return a job's loss, or None where it was on time."""
+    """Return a job's loss, or None if it was canceled, or ended on time without failing."""
     end = next(line for line in job_lines if line.event in ("job_ended", "job_failed"))
     took_s = end.fields.get("took_ms", 0) / 1000
     late_s = took_s - end.fields.get("allowed_ms", 0) / 1000
@@ -162,7 +168,7 @@
 
 
 def _list_runs(job_lines: Sequence[LogLine]) -> dict[str, list[Span]]:
-    """Return, by task, when each of its runs was on a host."""
+    """Return, by task, the spans of its runs on hosts, in the order of run numbers."""
     runs_s: dict[str, dict[int, list[float]]] = defaultdict(dict)
     for line in job_lines:
         if line.event in ("run_started", "run_ended", "run_failed"):
@@ -175,7 +181,11 @@
 
 
 def _split_by_leg(job_span: Span, spans_by_leg: dict[str, list[Span]]) -> dict[str, float]:
-    """Cut a job's time at all ends of spans, and give each piece to the first leg it is in."""
+    """Return the seconds of a job by leg.
+
+    The job's span is cut at the ends of all other spans, and each piece counts for the first
+    leg that covers it, or for ``UNKNOWN``.
+    """
     cuts = sorted(
         {
             *job_span,
@@ -198,7 +208,7 @@
 def _find_spans(
     lines: Sequence[LogLine], key: str, begins: set[str], ends: set[str]
 ) -> dict[str, list[Span]]:
-    """Return, by the value of a field, the times between a beginning and the next end."""
+    """Return, by the value of the field ``key``, the spans from a begin event to the next end."""
     spans: dict[str, list[Span]] = defaultdict(list)
     began_s: dict[str, float] = {}
     for line in sorted(lines, key=lambda line: line.at_s):
@@ -211,7 +221,7 @@
 
 
 def _get_pool_size(lines: Sequence[LogLine], pool: str, until_s: float) -> str:
-    """Return a pool's size as the steward last told before a time."""
+    """Return a pool's size as last logged up to ``until_s``, or "not told"."""
     size_lines = [
         line
         for line in lines
--- a/src/robinthread/_internal/timeline/text.py
+++ b/src/robinthread/_internal/timeline/text.py
@@ -1,4 +1,4 @@
-"""Events as lines of text."""
+"""Formatting of events as lines of text."""
 
 import datetime
 
