--- a/src/robinthread/_internal/cli/__init__.py
+++ b/src/robinthread/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line: parsing of verbs, flags and exit codes."""
+"""Command line: verbs, flags and exit codes."""
--- a/src/robinthread/_internal/cli/config_verbs.py
+++ b/src/robinthread/_internal/cli/config_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs of settings files and published configuration."""
+"""Verbs for settings files and published configuration."""
 
 from robinthread._internal.cli.arguments import as_count, as_seconds, as_text
 from robinthread._internal.cli.deferred import Deferred
@@ -9,7 +9,7 @@
     """Settings files and published configuration."""
 
     def check(self, settings: str) -> Deferred:
-        """Check a daemon's settings file and tell every fault."""
+        """Validate a daemon's settings file and report all errors in it."""
 
         def work() -> int:
             from robinthread._internal.commands.config_check import run_config_check
--- a/src/robinthread/_internal/cli/connection.py
+++ b/src/robinthread/_internal/cli/connection.py
@@ -1,4 +1,4 @@
-"""How operators' verbs reach a daemon."""
+"""Connection of operator verbs to a daemon."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class Connection:
-    """How operators' verbs reach a daemon, and how they show its replies."""
+    """Address and credentials of a daemon for operator verbs, and the output format of replies."""
 
     def __init__(self, address: str, token_file: str, ca_file: str, is_json: bool) -> None:
         self._address = address
@@ -16,13 +16,13 @@
         self.is_json = is_json
 
     def make_target(self) -> Any:
-        """Return the target of calls."""
+        """Return the ``Target`` of calls; raise ``FaultError`` if the address is empty."""
         from robinthread._internal.commands.client import Target
 
         return Target(as_text("address", self._address), str(self._token_file), str(self._ca_file))
 
     def call(self, method: str, fields: dict[str, Any], **extra: Any) -> Deferred:
-        """Return the deferred call of a method."""
+        """Return a deferred call of ``method``; ``extra`` is passed on to ``run_change``."""
 
         def work() -> int:
             from robinthread._internal.commands.change import run_change
--- a/src/robinthread/_internal/cli/deferred.py
+++ b/src/robinthread/_internal/cli/deferred.py
@@ -1,13 +1,13 @@
-"""Verbs that run only after the whole command line was understood."""
+"""Deferred execution of verbs until the whole command line has been parsed."""
 
 from collections.abc import Callable
 
 
 class Deferred:
-    """A verb's work, put off until no argument is left over.
+    """A verb's work, deferred until all arguments have been parsed.
 
-    ``fire`` calls a verb before it meets an unknown flag, so a verb that acted
-    at once would have acted on a command line that is then refused.
+    ``fire`` calls a verb before it detects an unknown flag, so a verb that acted
+    immediately would have acted on a command line that is then rejected.
     """
 
     __slots__ = ("_work",)
@@ -17,5 +17,5 @@
 
 
 def run_deferred(deferred: Deferred) -> int:
-    """Do the work and return the exit code."""
+    """Run the deferred work and return the exit code."""
     return deferred._work()
--- a/src/robinthread/_internal/cli/exit_code.py
+++ b/src/robinthread/_internal/cli/exit_code.py
@@ -9,9 +9,9 @@
 
 
 def get_exit_code(code: ResultCode) -> int:
-    """Return the exit code: 0 for success, else one that tells the result code.
+    """Return the exit code: 0 for success, else one that identifies the result code.
 
-    An exit code has eight bits, so family and number are packed:
+    An exit code has eight bits, so the family and the number within it are packed:
     ``(code // 100 - 2) * 40 + code % 100``.
     """
     if code.is_success:
--- a/src/robinthread/_internal/cli/extras.py
+++ b/src/robinthread/_internal/cli/extras.py
@@ -1,4 +1,4 @@
-"""Verbs that need more than what is installed by default."""
+"""Check for the optional dependencies of verbs."""
 
 from importlib.util import find_spec
 
@@ -6,8 +6,8 @@
 
 
 def require_extra(extra: str, *modules: str) -> None:
-    """Raise ``FaultError`` that tells what to install where a module of an extra is missing."""
+    """Raise a ``FaultError`` that names the extra to install if one of its modules is missing."""
     missing = [module for module in modules if find_spec(module) is None]
     if missing:
-        text = f"needs {', '.join(missing)}; install robinthread[{extra}]"
+        text = f"missing modules: {', '.join(missing)}; install robinthread[{extra}]"
         raise FaultError(make_fault(ResultCode.NOT_FOUND, text))
--- a/src/robinthread/_internal/cli/group.py
+++ b/src/robinthread/_internal/cli/group.py
@@ -1,10 +1,10 @@
-"""Verbs that share a connection."""
+"""Base class of verb groups."""
 
 from robinthread._internal.cli.connection import Connection
 
 
 class Group:
-    """Verbs that share a connection."""
+    """Group of verbs that share a connection."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
--- a/src/robinthread/_internal/cli/main.py
+++ b/src/robinthread/_internal/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry of the command line."""
+"""Entry point of the command line."""
 
 import sys
 from collections.abc import Sequence
@@ -30,14 +30,15 @@
 
 def _run(arguments: list[str]) -> int:
     if arguments[:1] == [NODE_VERB]:
-        # As below: a node's start must be quick and its memory small.
+        # A node bypasses the command-line library as a daemon does below: it must start quickly
+        # and use little memory.
         from robinthread._internal.commands.node import run_node_command
 
         flags = _parse_node_flags(arguments[1:])
         return run_node_command(flags.metrics_port, flags.policy_path)
     if _is_plain_daemon(arguments):
-        # A daemon keeps what it imports for life: letter 1 bounds its memory, so
-        # the usual way to start one does without the command line's library.
+        # Imported modules stay in memory for the daemon's lifetime, and letter 1 limits that
+        # memory, so the usual way to start a daemon bypasses the command-line library.
         from robinthread._internal.commands.daemon import run_daemon_command
 
         return run_daemon_command(arguments[1].removeprefix(SETTINGS_FLAG))
@@ -49,14 +50,14 @@
 
 @dataclass(frozen=True)
 class _NodeFlags:
-    """Where a node serves metrics, if anywhere, and its policy file, empty for none."""
+    """Port on which a node serves metrics, None to serve none, and its policy file, or ""."""
 
     metrics_port: int | None = None
     policy_path: str = ""
 
 
 def _parse_node_flags(flags: list[str]) -> _NodeFlags:
-    """Return a node's flags, each given once at most; raise ``FaultError``."""
+    """Return a node's flags; raise ``FaultError`` for an unknown or repeated one."""
     found = _NodeFlags()
     for flag in flags:
         if flag.startswith(METRICS_FLAG) and found.metrics_port is None:
--- a/src/robinthread/_internal/cli/migration_verbs.py
+++ b/src/robinthread/_internal/cli/migration_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs of migrations."""
+"""Verbs for migrations."""
 
 from robinthread._internal.cli.arguments import as_seconds, as_text
 from robinthread._internal.cli.deferred import Deferred
@@ -18,7 +18,7 @@
         operation_id: str = "",
         wait: bool = False,
     ) -> Deferred:
-        """Release a pool's hosts in one hall while free hosts of another join it."""
+        """Release a pool's hosts in one data hall while free hosts of another one join it."""
         fields = {
             "operation_id": str(operation_id),
             "name": as_text("name", name),
--- a/src/robinthread/_internal/cli/parser.py
+++ b/src/robinthread/_internal/cli/parser.py
@@ -1,4 +1,4 @@
-"""The command line by ``fire``."""
+"""Parsing of the command line with ``fire``."""
 
 import contextlib
 import io
@@ -15,7 +15,10 @@
 
 
 def parse_arguments(arguments: list[str]) -> object:
-    """Return the deferred verb, or None where help was shown; raise ``FaultError``."""
+    """Return the deferred verb, or None if help was shown.
+
+    Raise ``FaultError`` if the command line is invalid.
+    """
     errors = io.StringIO()
     try:
         with contextlib.redirect_stderr(errors):
@@ -32,7 +35,7 @@
 
 def _find_error(text: str) -> str:
     lines = [line for line in text.splitlines() if line.startswith("ERROR:")]
-    message = lines[0].removeprefix("ERROR:").strip() if lines else "The command is not understood"
+    message = lines[0].removeprefix("ERROR:").strip() if lines else "The command is invalid"
     return f"{message}. See {PROGRAM} --help"
 
 
--- a/src/robinthread/_internal/cli/pool_verbs.py
+++ b/src/robinthread/_internal/cli/pool_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs of pools."""
+"""Verbs for pools."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
         operation_id: str = "",
         wait_s: float = 0,
     ) -> Deferred:
-        """Create a pool; floors by data hall or rack as kandy=3,matale=2."""
+        """Create a pool; minimum hosts by data hall or rack are given as kandy=3,matale=2."""
         fields = {
             "operation_id": str(operation_id),
             "name": as_text("name", name),
@@ -41,7 +41,7 @@
         operation_id: str = "",
         wait_s: float = 0,
     ) -> Deferred:
-        """Set a pool's budget; the version is what ``status`` shows."""
+        """Set a pool's budget; based_on_version is the version that ``status`` shows."""
         fields = {
             "operation_id": str(operation_id),
             "name": as_text("name", name),
--- a/src/robinthread/_internal/cli/quota_verbs.py
+++ b/src/robinthread/_internal/cli/quota_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs of teams' quotas."""
+"""Verbs for quotas of teams."""
 
 from robinthread._internal.cli.arguments import as_count, as_text
 from robinthread._internal.cli.deferred import Deferred
--- a/src/robinthread/_internal/cli/standin_verbs.py
+++ b/src/robinthread/_internal/cli/standin_verbs.py
@@ -1,14 +1,14 @@
-"""Verbs of the platform's stand-ins."""
+"""Verbs for stand-ins of the platform."""
 
 from robinthread._internal.cli.arguments import as_count, as_seconds, as_text
 from robinthread._internal.cli.deferred import Deferred
 
 
 class StandinVerbs:
-    """Small stand-ins for the platform, for a first look without one."""
+    """Small stand-ins for the platform, to try robinthread without one."""
 
     def platform(self, listen: str, hosts_file: str = "") -> Deferred:
-        """Serve a log in memory and a host list read from a TOML file."""
+        """Serve an in-memory log and a host list read from a TOML file."""
 
         def work() -> int:
             from robinthread._internal.commands.standin import run_platform
--- a/src/robinthread/_internal/cli/verbs.py
+++ b/src/robinthread/_internal/cli/verbs.py
@@ -1,8 +1,8 @@
-"""Verbs of the command line: thin shells that import their command when run.
+"""Verbs of the command line: thin wrappers that import their implementation when run.
 
-Flags that every operators' verb takes: ``--address`` of a daemon's operators'
-listener (or the environment variable ROBINTHREAD_ADDRESS), ``--token_file``,
-``--ca_file`` where the listener speaks TLS, and ``--json``.
+Every operator verb takes these flags: ``--address`` of a daemon's operator listener
+(or the environment variable ROBINTHREAD_ADDRESS), ``--token_file``, ``--ca_file``
+if the listener uses TLS, and ``--json``.
 """
 
 import os
@@ -46,7 +46,7 @@
         self.standin = StandinVerbs()
 
     def daemon(self, settings: str) -> Deferred:
-        """Run a daemon with a settings file until it is told to stop."""
+        """Run a daemon with a settings file until the process is stopped."""
 
         def work() -> int:
             from robinthread._internal.commands.daemon import run_daemon_command
@@ -56,7 +56,7 @@
         return Deferred(work)
 
     def demo(self, requests: int = 400, seed: int = 1, progress: bool = True) -> Deferred:
-        """Run the main job on this machine: requests, a wave and a migration."""
+        """Run a demonstration on this machine: requests, a maintenance wave and a migration."""
 
         def work() -> int:
             from robinthread._internal.commands.demo import run_demo
@@ -80,10 +80,10 @@
         processes: int = 0,
         progress: bool = True,
     ) -> Deferred:
-        """Play days of a deployment on virtual time: --file=TOML, or --drawn=N drawn ones.
+        """Simulate days of a deployment in virtual time: --file=TOML, or --drawn=N generated ones.
 
         --policy and --compare name policy files that are compared seed by seed; empty for the
-        defaults.  --vary=machines.count=6,8 plays each value of a key of the file.
+        defaults.  --vary=machines.count=6,8 simulates each value of a key of the file.
         --ablate switches each mechanism of the policy, one by one.
         --output=FILE writes JSON lines, --plot=FILE an SVG of the first day.
         """
@@ -118,7 +118,7 @@
         self,
         hosts: bool = False,
     ) -> Deferred:
-        """Show budgets, what is away, what waits for what, how fresh each daemon is."""
+        """Show budgets, unavailable hosts, what waves wait for, and how current each daemon is."""
 
         def work() -> int:
             from robinthread._internal.commands.status import run_status
@@ -133,7 +133,7 @@
         hall: str = "",
         chrome: str = "",
     ) -> Deferred:
-        """Show events of all daemons in order; --chrome=FILE writes trace-event JSON."""
+        """Show the events of all daemons in order; --chrome=FILE writes trace-event JSON."""
 
         def work() -> int:
             from robinthread._internal.commands.timeline import run_timeline
@@ -160,11 +160,11 @@
         chrome: str = "",
         losses: bool = False,
     ) -> Deferred:
-        """Tell a job's life from the nodes' log lines in a file, or standard input ("-").
+        """Show a job's history from the nodes' log lines in a file, or standard input ("-").
 
-        Without an id all lines are shown that --node, --host, --pool and --wave
-        leave; --chrome=FILE writes trace-event JSON.  --losses sums up, over all lines,
-        what cost the jobs their time that were late or failed.
+        --node, --host, --pool and --wave filter the lines; without a job id, all lines that
+        match are shown.  --chrome=FILE writes trace-event JSON.  --losses sums up, over all
+        lines, the causes of delay of late and failed jobs.
         """
 
         def work() -> int:
@@ -185,7 +185,7 @@
         return Deferred(work)
 
     def schema(self) -> Deferred:
-        """Print the schema of the operators' calls."""
+        """Print the schema of the operator calls."""
 
         def work() -> int:
             from robinthread._internal.operators.schema import read_schema
--- a/src/robinthread/_internal/cli/wave_verbs.py
+++ b/src/robinthread/_internal/cli/wave_verbs.py
@@ -1,4 +1,4 @@
-"""Verbs of maintenance waves."""
+"""Verbs for maintenance waves."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
         reboot_s: float = 0,
         deadline_at_s: float = 0,
     ) -> Deferred:
-        """Show a wave's order, times, buffer cost and moves; nothing happens."""
+        """Preview a wave's order, times, buffer cost and moves without starting it."""
         fields = {
             "hosts": as_names("hosts", hosts),
             "pool": str(pool),
@@ -40,7 +40,7 @@
         operation_id: str = "",
         wait: bool = False,
     ) -> Deferred:
-        """Begin a wave; with --wait, show its progress until it ends."""
+        """Start a wave; with --wait, show its progress until it ends."""
         fields = {
             "operation_id": str(operation_id),
             "name": as_text("name", name),
@@ -54,7 +54,7 @@
         return self._connection.call("CreateWave", fields, follow_wave=str(name) if wait else "")
 
     def progress(self, pool: str) -> Deferred:
-        """Show a pool's serving hosts against its budget over time."""
+        """Show the number of serving hosts of a pool over time, compared with its budget."""
 
         def work() -> int:
             from robinthread._internal.commands.wave_progress import run_wave_progress
@@ -68,7 +68,7 @@
         name: str,
         based_on_version: int,
     ) -> Deferred:
-        """Pause a wave: drains that have not started are taken back."""
+        """Pause a wave: drains that have not started are withdrawn."""
         return self._connection.call("SetWaveState", _make_state(name, "paused", based_on_version))
 
     def resume(
@@ -84,7 +84,7 @@
         name: str,
         based_on_version: int,
     ) -> Deferred:
-        """Cancel a wave: hosts that are away come back, no other leaves."""
+        """Cancel a wave: hosts that are out return to service, and no other host is drained."""
         return self._connection.call(
             "SetWaveState", _make_state(name, "cancelled", based_on_version)
         )
--- a/src/robinthread/_internal/operators/__init__.py
+++ b/src/robinthread/_internal/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' remote procedure calls."""
+"""Remote procedure calls for operators."""
--- a/src/robinthread/_internal/operators/calls.py
+++ b/src/robinthread/_internal/operators/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: each checks its arguments and publishes a record."""
+"""Operator calls: changes validate their arguments and publish a record; others only read."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 async def assign_hosts(daemon: Daemon, request: Any) -> Any:
-    """Assign free hosts to a pool; the first that fails ends the call."""
+    """Assign free hosts to a pool, and stop at the first host that cannot be assigned."""
     if not request.hosts:
         raise _make_argument_error("hosts is empty")
     outcome = make_outcome(ResultCode.OK)
@@ -82,7 +82,7 @@
 
 
 async def create_wave(daemon: Daemon, request: Any) -> Any:
-    """Create a wave over the named hosts, or those of a pool or data hall."""
+    """Create a wave over the named hosts, or over the hosts of a pool, a data hall or both."""
     _check_name(request.name, "name")
     hosts = _select_hosts(daemon.state, request)
     body = WaveCreated(
@@ -132,7 +132,7 @@
 
 
 async def plan_wave(daemon: Daemon, request: Any) -> Any:
-    """Preview a wave; nothing happens."""
+    """Return the plan of a wave without creating it."""
     hosts = _select_hosts(daemon.state, request)
     plan: Any = preview_wave(daemon, hosts, request.reboot_s, request.deadline_at_s)
     plan.outcome.CopyFrom(make_outcome(ResultCode.OK))
@@ -171,12 +171,12 @@
 
 
 async def get_status(daemon: Daemon, request: Any) -> Any:
-    """Return the state of the whole."""
+    """Return the status of the fleet as this daemon sees it."""
     return make_status(daemon)
 
 
 async def get_timeline(daemon: Daemon, request: Any) -> Any:
-    """Return this daemon's events."""
+    """Return this daemon's events that name one of the subjects, or all events."""
     return pb.Timeline(
         events=[
             pb.TimelineEvent(
--- a/src/robinthread/_internal/operators/handler.py
+++ b/src/robinthread/_internal/operators/handler.py
@@ -1,4 +1,4 @@
-"""Operators' calls over HTTP."""
+"""HTTP handling of operator calls."""
 
 import hmac
 from typing import Any
@@ -25,7 +25,7 @@
 
 
 class OperatorCall:
-    """Check the token, decode the message, make the call, encode the reply."""
+    """One call: checks the token, decodes the request, makes the call and encodes the reply."""
 
     def __init__(self, handler: RequestHandler, daemon: Daemon, token: str) -> None:
         self._handler = handler
@@ -33,7 +33,7 @@
         self._token = token
 
     async def handle(self, method: str) -> None:
-        """Answer one call."""
+        """Make the call and write its reply, or a fault, as the HTTP response."""
         try:
             reply = await self._call(method)
         except FaultError as error:
--- a/src/robinthread/_internal/operators/listener.py
+++ b/src/robinthread/_internal/operators/listener.py
@@ -1,4 +1,4 @@
-"""The operators' listener."""
+"""HTTP listener for operator calls."""
 
 from tornado.web import Application, RequestHandler
 
@@ -13,14 +13,15 @@
         self._token = token
 
     async def post(self, method: str) -> None:
-        # Protocol buffers cost 4 MB, and most daemons never get an operators' call.
+        # Imported on the first call: the protocol buffer modules take 4 MB of memory, and most
+        # daemons never receive an operator call.
         from robinthread._internal.operators.handler import OperatorCall
 
         await OperatorCall(self, self._daemon, self._token).handle(method)
 
 
 def make_operator_application(daemon: Daemon, token: str) -> Application:
-    """Make the operators' listener; an empty ``token`` admits everybody."""
+    """Return the listener's application; an empty ``token`` turns authentication off."""
     return Application(
         [(rf"/{SERVICE}/(\w+)", _OperatorHandler, {"daemon": daemon, "token": token})],
         log_function=lambda handler: None,
--- a/src/robinthread/_internal/operators/preview_call.py
+++ b/src/robinthread/_internal/operators/preview_call.py
@@ -1,4 +1,4 @@
-"""The operators' preview of a wave."""
+"""Preview of a wave for operators."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 def preview_wave(
     daemon: Daemon, hosts: list[Host], reboot_s: float, deadline_at_s: float
 ) -> object:
-    """Return the plan of a wave over ``hosts`` without beginning anything."""
+    """Return the plan of a wave over ``hosts`` without creating it.
+
+    ``reboot_s`` of 0 stands for the estimate in the settings, ``deadline_at_s`` of 0 for no
+    deadline.
+    """
     pools = sorted({host.pool for host in hosts})
     preview = merge_previews(
         make_preview(_make_input(daemon, pool, hosts, reboot_s)) for pool in pools
--- a/src/robinthread/_internal/operators/schema.py
+++ b/src/robinthread/_internal/operators/schema.py
@@ -1,4 +1,4 @@
-"""Compatibility of the operators' copy of the schema with the one built in."""
+"""Compatibility check of an operator's copy of the schema with the built-in one."""
 
 import re
 from pathlib import Path
@@ -14,14 +14,15 @@
 
 
 def read_schema() -> str:
-    """Return the schema that this build speaks."""
+    """Return the text of the schema that this build implements."""
     return Path(__file__).with_name("robinthread.proto").read_text(encoding="utf-8")
 
 
 def check_schema(text: str, source: str) -> None:
-    """Raise ``FaultError`` unless all that ``text`` names means the same here.
+    """Raise ``FaultError`` unless this build has all messages, fields and methods in ``text``.
 
-    What ours has and theirs lacks does no harm: fields are told by number.
+    Fields must have the same numbers, as these identify them on the wire.  What only this build
+    defines is compatible.  ``source`` names the origin of ``text`` in the error.
     """
     problems = [*_list_message_problems(text), *_list_method_problems(text)]
     if problems:
@@ -49,7 +50,7 @@
     ours = pb.DESCRIPTOR.services_by_name["Operators"].methods_by_name
     theirs = _METHOD.findall(_strip_comments(text))
     if not theirs:
-        return ["it names no method"]
+        return ["it defines no method"]
     return [f"method {name} is unknown" for name in theirs if name not in ours]
 
 
--- a/src/robinthread/_internal/operators/status_call.py
+++ b/src/robinthread/_internal/operators/status_call.py
@@ -1,4 +1,4 @@
-"""The operators' status: the state of the whole in one message."""
+"""Fleet status for operators in one message."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_status(daemon: Daemon) -> pb.Status:
-    """Return what this daemon knows of the fleet, and how fresh that is."""
+    """Return the fleet status as this daemon sees it, and how current it is."""
     state = daemon.state
     return pb.Status(
         daemon=daemon.settings.name,
@@ -88,7 +88,7 @@
 
 
 def _describe_wait(state: FleetState, wave: Wave) -> str:
-    """Tell in words what an unfinished wave waits for."""
+    """Describe what an unfinished wave waits for; "" if the wave has ended or waits for nothing."""
     if not wave.is_unfinished:
         return ""
     if wave.state is WaveState.PAUSED:
