--- a/src/robinthread/_internal/commands/wave_progress.py
+++ b/src/robinthread/_internal/commands/wave_progress.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.commands.client import Target, call
 from robinthread._internal.results import FaultError, ResultCode, make_fault
-from robinthread._internal.timeline.hybrid_clock import MILLISECONDS, get_wall_ms
+from robinthread._internal.timeline.hybrid_clock import MS_PER_S, get_wall_ms
 
 LEAVING_KINDS: Final = frozenset({"drain_permitted", "host_failed", "host_set_aside"})
 RETURNING_KINDS: Final = frozenset({"host_returned", "host_recovered", "host_assigned"})
@@ -36,7 +36,7 @@
     serving = serving_now - sum(change for _, change in changes)
     for event, change in changes:
         serving += change
-        at = datetime.datetime.fromtimestamp(get_wall_ms(event.stamp) / MILLISECONDS, datetime.UTC)
+        at = datetime.datetime.fromtimestamp(get_wall_ms(event.stamp) / MS_PER_S, datetime.UTC)
         yield (
             f"{at:%H:%M:%S} {_draw(serving, floor)} {serving} of at least {floor}  "
             f"{event.kind} {event.subject}"
--- a/src/robinthread/_internal/timeline/hybrid_clock.py
+++ b/src/robinthread/_internal/timeline/hybrid_clock.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 LOGICAL_BITS: Final = 16
-MILLISECONDS: Final = 1000
+MS_PER_S: Final = 1000
 
 
 class HybridClock:
@@ -30,7 +30,7 @@
         return self._last
 
     def _get_physical(self) -> int:
-        return int(self._wall_clock() * MILLISECONDS) << LOGICAL_BITS
+        return int(self._wall_clock() * MS_PER_S) << LOGICAL_BITS
 
 
 def get_wall_ms(stamp: int) -> float:
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -16,7 +16,7 @@
 from robinthread._internal.standins.job import Job, encode_job
 from tests.lib.processes import Site
 
-WRONG_CALLS: tuple[tuple[tuple[str, ...], ResultCode, str], ...] = (
+INVALID_CALLS: tuple[tuple[tuple[str, ...], ResultCode, str], ...] = (
     (("pool", "create"), ResultCode.BAD_ARGUMENT, "name"),
     (("pool", "create", "x", "--bogus=1"), ResultCode.BAD_ARGUMENT, "bogus"),
     (("pool", "create", "a b"), ResultCode.BAD_ARGUMENT, "name"),
@@ -53,7 +53,7 @@
         codes = [self._request(daemon, f"n{daemon}", "no")["Result-Name"] for daemon in (1, 0)]
         self.assertEqual(["RAN", "RAN"], codes)
 
-    def test_2_wave_runs_to_its_end_and_the_timeline_tells_it(self) -> None:
+    def test_2_wave_runs_to_its_end_and_the_timeline_shows_it(self) -> None:
         plan = json.loads(self._run("wave", "plan", "--pool=tiles", "--reboot_s=2", "--json"))
         self.assertEqual(4, len(plan["steps"]))
         self._run("wave", "run", "kernel", "update", "--pool=tiles", "--wait", daemon=1)
@@ -70,8 +70,8 @@
         self.assertEqual((3, 4), (min(served[4:]), served[-1]))
         self.assertIn("###|", lines[-1])
 
-    def test_3_wrong_calls_give_a_numbered_error_and_no_traceback(self) -> None:
-        for arguments, code, text in WRONG_CALLS:
+    def test_3_invalid_calls_give_a_result_code_and_no_traceback(self) -> None:
+        for arguments, code, text in INVALID_CALLS:
             done = self.site.run(*arguments)
             self.assertEqual(get_exit_code(code), done.returncode, f"{arguments}: {done.stderr}")
             self.assertIn(f"[{code.value} {code.name}]", done.stderr)
@@ -102,14 +102,14 @@
         self.assertEqual(get_exit_code(ResultCode.SCHEMA_MISMATCH), done.returncode)
         self.assertIn("max_slots", done.stderr)
 
-    def test_5_malformed_requests_are_told_so(self) -> None:
+    def test_5_malformed_request_is_rejected_as_bad_request(self) -> None:
         headers = self._request(0, "bad", "perhaps")
         self.assertEqual("BAD_REQUEST", headers["Result-Name"])
 
     def test_6_daemon_has_no_child_process(self) -> None:
         self.assertEqual("", self.site.daemons[0].list_children())
 
-    def test_7_planned_stop_under_load_answers_what_it_took(self) -> None:
+    def test_7_graceful_stop_under_load_answers_accepted_requests(self) -> None:
         answers: list[str] = []
 
         def call(number: int) -> None:
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -41,7 +41,7 @@
             code = run_command_line(["explain", *arguments])
         return code, output.getvalue().splitlines()
 
-    def test_lines_come_in_causal_order_with_what_happened_to_the_jobs_hosts(self) -> None:
+    def test_job_lines_and_events_of_its_hosts_are_in_causal_order(self) -> None:
         code, lines = self.explain(JOB, str(self.file))
         self.assertEqual(0, code)
         events = [line.split()[4] for line in lines]
@@ -50,11 +50,11 @@
         )
         self.assertIn("host=h1", lines[3])
 
-    def test_filters_leave_the_lines_of_one_host(self) -> None:
+    def test_host_filter_selects_the_lines_of_one_host(self) -> None:
         _code, lines = self.explain("--host=h2", f"--file={self.file}")
         self.assertEqual(1, len(lines))
 
-    def test_filters_find_what_is_told_with_others(self) -> None:
+    def test_filters_match_values_in_collections(self) -> None:
         _code, lines = self.explain("--host=h9", f"--file={self.file}")
         self.assertEqual(["host_gone"], [line.split()[4] for line in lines])
         _code, lines = self.explain("--pool=fold", f"--file={self.file}")
@@ -68,7 +68,7 @@
         entries = json.loads(target.read_text())["traceEvents"]
         self.assertIn(f"job_taken {JOB}", [entry["name"] for entry in entries])
 
-    def test_unknown_id_and_missing_file_are_told_by_number(self) -> None:
+    def test_unknown_id_and_missing_file_are_reported_with_result_codes(self) -> None:
         code, lines = self.explain("0" * 16, str(self.file))
         self.assertNotEqual(0, code)
         self.assertIn("[601 NOT_FOUND]", lines[0])
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -44,10 +44,10 @@
 
 
 class LossesTest(TestCase):
-    def test_job_on_time_is_no_loss(self) -> None:
+    def test_job_on_time_has_no_loss(self) -> None:
         self.assertEqual([], find_losses(make_job(100.1, 101.0, 101.1, allowed_s=2.0)))
 
-    def test_each_leg_is_told_apart(self) -> None:
+    def test_delay_is_attributed_to_its_cause(self) -> None:
         closed = [
             make_line(100.1, "pool_closed", pool="press"),
             make_line(101.9, "pool_opened", pool="press"),
@@ -70,7 +70,7 @@
             self.assertEqual(expected, loss.cause)
             self.assertAlmostEqual(sum(loss.legs_s.values()), loss.late_s + 2.0, places=2)
 
-    def test_rows_tell_queue_moment_and_the_pools_size(self) -> None:
+    def test_rows_have_queue_interval_and_pool_size(self) -> None:
         size = make_line(100.5, "pool_sized", pool="press", usable=2, arriving=1, fetch_count=9)
         lines = [*make_job(102.0, 103.0, 103.1, 2.0), size]
         (row,) = sum_losses(find_losses(lines), lines)
