--- a/src/robinthread/_internal/commands/change.py
+++ b/src/robinthread/_internal/commands/change.py
@@ -93,7 +93,7 @@
             _print_unreachable(unreachable, list(status.cut_halls))
             return 0
         if time.monotonic() > ends_at_s:
-            error_text = f"Not yet in force on {', '.join(lagging)}"
+            error_text = f"Not in force after {wait_s:g} s on {', '.join(lagging)}"
             raise FaultError(make_fault(ResultCode.TIMED_OUT, error_text))
         time.sleep(POLL_S)
 
--- a/src/robinthread/_internal/operators/handler.py
+++ b/src/robinthread/_internal/operators/handler.py
@@ -59,7 +59,7 @@
         except (FaultError, LogUnavailableError, LogReplyLostError):
             raise
         except Exception as error:
-            logging.exception("operators' call %s failed", method)
+            logging.exception("operator call %s failed", method)
             raise FaultError(make_fault(ResultCode.INTERNAL, method)) from error
 
     def _check_token(self) -> None:
--- a/src/robinthread/_internal/timeline/job_history.py
+++ b/src/robinthread/_internal/timeline/job_history.py
@@ -7,7 +7,7 @@
 from robinthread._internal.timeline.log_line import LogLine
 
 # Causal order of a job's first events, whatever times the nodes' clocks show: one node
-# accepts a job, and only then can another one take it over.
+# accepts a job, and only then does another node take it.
 STAGES: Final = {
     "request_relayed": 0,
     "job_accepted": 1,
--- a/src/robinthread/_internal/timeline/losses.py
+++ b/src/robinthread/_internal/timeline/losses.py
@@ -15,6 +15,7 @@
 # Length of the intervals over which losses are summed.
 INTERVAL_S: Final = 2.0
 
+# Legs of a job, and the names by which tables and JSON show them.
 OWNER_UNAVAILABLE: Final = "owner away"
 STORE_UNAVAILABLE: Final = "store away"
 EARLIER_RUNS: Final = "run again"
@@ -63,6 +64,7 @@
     pool_size: str
 
 
+# In order of precedence: time that several legs cover counts for the first one.
 LEGS: Final = (
     OWNER_UNAVAILABLE,
     STORE_UNAVAILABLE,
@@ -161,6 +163,7 @@
 
 
 def _find_pickup_delay(job_lines: Sequence[LogLine], accepted_s: float) -> list[Span]:
+    """Return the span from a job's acceptance until its owner took it."""
     taken_s = min(
         (line.at_s for line in job_lines if line.event == "job_taken"), default=accepted_s
     )
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a platform, four workers, two daemons, operators."""
+"""Operator verbs and requests against real processes: a platform, four workers, two daemons."""
 
 import json
 import signal
--- a/tests/functional/test_tls.py
+++ b/tests/functional/test_tls.py
@@ -1,4 +1,4 @@
-"""Operators' calls over TLS."""
+"""Operator calls over TLS."""
 
 import asyncio
 import tempfile
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""The life of a request from log lines."""
+"""History of a job, and filtered lines, from the log lines of nodes."""
 
 import contextlib
 import io
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""What cost late jobs their time."""
+"""Causes of delay of late jobs, from their log lines."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 def make_job(started_s: float, ended_s: float, shown_s: float, allowed_s: float) -> list[LogLine]:
-    """Make a job of one task, accepted and taken at 100 s."""
+    """Return the log lines of a job with one task, accepted and taken at 100 s."""
     return [
         make_line(100.0, "job_accepted", job=JOB, pool="press"),
         make_line(100.0, "job_taken", job=JOB, pool="press"),
--- a/tests/unit/test_node_flags.py
+++ b/tests/unit/test_node_flags.py
@@ -1,4 +1,4 @@
-"""Flags of the node verb, and a policy file that is refused at start."""
+"""Validation of the node verb's flags and policy file at start."""
 
 import contextlib
 import io
