--- a/src/robinthread/_internal/commands/demo.py
+++ b/src/robinthread/_internal/commands/demo.py
@@ -104,8 +104,8 @@
     async def close(self) -> None:
         """Stop the daemons gracefully."""
         await asyncio.gather(*(process.stop() for process in self.processes))
-        # tornado logs an error for each long poll that is still open when the event loop ends;
-        # these are expected.
+        # tornado logs each long poll that is still open when the event loop ends, which is
+        # expected here.
         getLogger("tornado").setLevel(CRITICAL)
 
     def _listen(self, application: Any) -> Listener:
