--- a/src/robinthread/_internal/commands/wave_progress.py
+++ b/src/robinthread/_internal/commands/wave_progress.py
@@ -1,4 +1,4 @@
-"""Show a pool's serving hosts against its budget over time."""
+"""Number of serving hosts of a pool over time, compared with its budget."""
 
 import datetime
 from collections.abc import Iterator, Sequence
@@ -6,7 +6,7 @@
 
 from robinthread._internal.commands.client import Target, call
 from robinthread._internal.results import FaultError, ResultCode, make_fault
-from robinthread._internal.timeline.hybrid_clock import MILLISECONDS, get_wall_ms
+from robinthread._internal.timeline.hybrid_clock import MS_PER_S, get_wall_ms
 
 LEAVING_KINDS: Final = frozenset({"drain_permitted", "host_failed", "host_set_aside"})
 RETURNING_KINDS: Final = frozenset({"host_returned", "host_recovered", "host_assigned"})
@@ -15,7 +15,7 @@
 
 
 def run_wave_progress(target: Target, pool: str) -> int:
-    """Print a line for each change of a pool's serving hosts that the daemon remembers."""
+    """Print a line for each change of a pool's serving hosts in the daemon's event ring."""
     status = call(target, "GetStatus", {})
     found = next((entry for entry in status.pools if entry.name == pool), None)
     if found is None:
@@ -28,12 +28,15 @@
 
 
 def _iter_lines(events: Sequence[Any], serving_now: int, floor: int) -> Iterator[str]:
-    """Walk back from what serves now to what served before each event."""
+    """Yield a line for each change, counting from the number that served before the first one.
+
+    That number is derived from ``serving_now`` by undoing all changes.
+    """
     changes = [(event, _get_change(event.kind)) for event in events if _get_change(event.kind)]
     serving = serving_now - sum(change for _, change in changes)
     for event, change in changes:
         serving += change
-        at = datetime.datetime.fromtimestamp(get_wall_ms(event.stamp) / MILLISECONDS, datetime.UTC)
+        at = datetime.datetime.fromtimestamp(get_wall_ms(event.stamp) / MS_PER_S, datetime.UTC)
         yield (
             f"{at:%H:%M:%S} {_draw(serving, floor)} {serving} of at least {floor}  "
             f"{event.kind} {event.subject}"
--- a/src/robinthread/_internal/daemon/daemon.py
+++ b/src/robinthread/_internal/daemon/daemon.py
@@ -149,7 +149,7 @@
         stop = self.settings.stop
         self.is_stopping = True
         logging.info("daemon %s: planned stop begins", self.settings.name)
-        self.events.note("stopping", self.settings.name)
+        self.events.record("stopping", self.settings.name)
         await asyncio.sleep(stop.balancer_grace_s)
         self.entry.is_stopping = True
         try:
@@ -261,7 +261,7 @@
             self.counters.add("records_void")
             return
         subjects = (getattr(record.body, field, "") for field in SUBJECT_FIELDS)
-        self.events.note(
+        self.events.record(
             record.kind, next(filter(None, subjects), ""), getattr(record.body, "wave", "")
         )
 
@@ -292,7 +292,7 @@
                 "state digest at offset %d differs from those of most peers; halting", offset
             )
             self.is_halted = True
-            self.events.note("digest_differs", name, str(offset))
+            self.events.record("digest_differs", name, str(offset))
 
     def _ensure_joined(self) -> None:
         if self._join_task is None or self._join_task.done():
--- a/src/robinthread/_internal/operators/calls.py
+++ b/src/robinthread/_internal/operators/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: each checks its arguments and publishes a record."""
+"""Operator calls: changes validate their arguments and publish a record; others only read."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     from robinthread._internal.daemon.daemon import Daemon
 
 NAME_MAX: Final = 128
-HISTORY_PAGE: Final = 512
+HISTORY_PAGE_RECORDS: Final = 512
 SETTABLE_STATES: Final = {
     "running": WaveState.RUNNING,
     "paused": WaveState.PAUSED,
@@ -68,7 +68,7 @@
 
 
 async def assign_hosts(daemon: Daemon, request: Any) -> Any:
-    """Assign free hosts to a pool; the first that fails ends the call."""
+    """Assign free hosts to a pool, and stop at the first host that cannot be assigned."""
     if not request.hosts:
         raise _make_argument_error("hosts is empty")
     outcome = make_outcome(ResultCode.OK)
@@ -82,7 +82,7 @@
 
 
 async def create_wave(daemon: Daemon, request: Any) -> Any:
-    """Create a wave over the named hosts, or those of a pool or data hall."""
+    """Create a wave over the named hosts, or over the hosts of a pool, a data hall or both."""
     _check_name(request.name, "name")
     hosts = _select_hosts(daemon.state, request)
     body = WaveCreated(
@@ -105,7 +105,7 @@
         raise _make_argument_error("from_hall and to_hall are the same")
     members = tuple(state.iter_pool_hosts(request.pool))
     leaving = tuple(host.name for host in members if host.hall == request.from_hall)
-    there = sum(host.hall == request.to_hall for host in members)
+    in_target_hall = sum(host.hall == request.to_hall for host in members)
     body = WaveCreated(
         request.name,
         f"migrate {request.pool} from {request.from_hall} to {request.to_hall}",
@@ -114,7 +114,7 @@
         _check_deadline(daemon, request.deadline_at_s),
         request.pool,
         request.to_hall,
-        there + len(leaving),
+        in_target_hall + len(leaving),
     )
     return await _publish(daemon, body, request.operation_id)
 
@@ -132,7 +132,7 @@
 
 
 async def plan_wave(daemon: Daemon, request: Any) -> Any:
-    """Preview a wave; nothing happens."""
+    """Return the plan of a wave without creating it."""
     hosts = _select_hosts(daemon.state, request)
     plan: Any = preview_wave(daemon, hosts, request.reboot_s, request.deadline_at_s)
     plan.outcome.CopyFrom(make_outcome(ResultCode.OK))
@@ -162,7 +162,7 @@
     versions = []
     offset = 0
     while True:
-        page = await daemon.environment.log.read(FLEET_STREAM, offset, HISTORY_PAGE, 0.0)
+        page = await daemon.environment.log.read(FLEET_STREAM, offset, HISTORY_PAGE_RECORDS, 0.0)
         for record in page.records:
             versions += _list_config_versions(daemon, request.name, record.offset, record.data)
         if not page.records:
@@ -171,12 +171,12 @@
 
 
 async def get_status(daemon: Daemon, request: Any) -> Any:
-    """Return the state of the whole."""
+    """Return the status of the fleet as this daemon sees it."""
     return make_status(daemon)
 
 
 async def get_timeline(daemon: Daemon, request: Any) -> Any:
-    """Return this daemon's events."""
+    """Return this daemon's events that name one of the subjects, or all events."""
     return pb.Timeline(
         events=[
             pb.TimelineEvent(
@@ -240,21 +240,21 @@
 
 
 def _make_budget(budget: Any) -> Budget:
-    made = Budget(
+    parsed = Budget(
         budget.min_serving_hosts,
         budget.min_serving_slots,
         dict(budget.per_hall_hosts),
         dict(budget.per_rack_hosts),
     )
     floors = (
-        made.min_serving_hosts,
-        made.min_serving_slots,
-        *made.per_hall_hosts.values(),
-        *made.per_rack_hosts.values(),
+        parsed.min_serving_hosts,
+        parsed.min_serving_slots,
+        *parsed.per_hall_hosts.values(),
+        *parsed.per_rack_hosts.values(),
     )
     if min(floors) < 0:
         raise _make_argument_error("a floor of the budget is negative")
-    return made
+    return parsed
 
 
 def _select_hosts(state: FleetState, request: Any) -> list[Host]:
@@ -290,5 +290,5 @@
         )
 
 
-def _make_argument_error(what: str) -> FaultError:
-    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, what))
+def _make_argument_error(error_text: str) -> FaultError:
+    return FaultError(make_fault(ResultCode.BAD_ARGUMENT, error_text))
