--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Question:
+class Check:
     """An invariant to prove, or a guard whose removal must break one."""
 
     protocol: str
@@ -41,11 +41,11 @@
 
 
 @dataclass(frozen=True)
-class Finding:
+class CheckResult:
     """The answer to a question, and the trace where a guard is taken out."""
 
-    question: Question
-    is_as_wanted: bool
+    check: Check
+    is_expected: bool
     text: str
     trace: tuple[TraceStep, ...] = ()
 
@@ -53,34 +53,34 @@
 def main() -> int:
     """Check all; return 0 where all is proved and every guard is needed."""
     protocols = {name: make() for name, make in PROTOCOLS.items()}
-    questions = [
-        question
+    checks = [
+        check
         for name, protocol in protocols.items()
-        for question in (
-            *(Question(name, invariant=invariant) for invariant in protocol.invariants),
-            *(Question(name, guard=guard) for guard in protocol.removable),
+        for check in (
+            *(Check(name, invariant=invariant) for invariant in protocol.invariants),
+            *(Check(name, guard=guard) for guard in protocol.removable),
         )
     ]
     with ProcessPoolExecutor() as executor:
-        findings = list(executor.map(answer, questions))
-    for finding in findings:
-        print(finding.text)
-        for number, step in enumerate(finding.trace, 1):
+        results = list(executor.map(run_check, checks))
+    for result in results:
+        print(result.text)
+        for number, step in enumerate(result.trace, 1):
             print(f"    {number}. {step}")
-    return int(not all(finding.is_as_wanted for finding in findings))
+    return int(not all(result.is_expected for result in results))
 
 
-def answer(question: Question) -> Finding:
+def run_check(check: Check) -> CheckResult:
     """Answer one question, in a process of its own."""
-    protocol = PROTOCOLS[question.protocol]()
-    if question.invariant:
-        check = explore if protocol.is_finite else prove
-        is_proved = check(protocol, question.invariant)
+    protocol = PROTOCOLS[check.protocol]()
+    if check.invariant:
+        verify = explore if protocol.is_finite else prove
+        is_proved = verify(protocol, check.invariant)
         verdict = "proved" if is_proved else "NOT PROVED"
-        return Finding(question, is_proved, f"{protocol.name}: {question.invariant}: {verdict}")
-    broken, trace = find_counterexample(protocol, without=question.guard)
-    text = f"{protocol.name} without '{question.guard}': breaks '{broken or 'NOTHING'}'"
-    return Finding(question, bool(broken), text, tuple(trace))
+        return CheckResult(check, is_proved, f"{protocol.name}: {check.invariant}: {verdict}")
+    broken, trace = find_counterexample(protocol, without=check.guard)
+    text = f"{protocol.name} without '{check.guard}': breaks '{broken or 'NOTHING'}'"
+    return CheckResult(check, bool(broken), text, tuple(trace))
 
 
 if __name__ == "__main__":
--- a/spec/budget.py
+++ b/spec/budget.py
@@ -1,8 +1,8 @@
 """Budgets: three hosts, a floor of two, racing stewards, failures, paused stewards.
 
 A host's phase is 0 serving, 1 permitted, 2 draining, 3 failed.  Stewards act
-on what they saw: ``seen_*`` is the token under which a steward believes that
-the host holds a permit.  ``broken`` turns true when an act of the system's own
+on what they saw: ``permit_token_*`` is the token under which a steward believes that
+the host holds a permit.  ``is_floor_broken`` turns true when an act of the system's own
 takes a pool below its floor that held it.
 """
 
@@ -19,37 +19,42 @@
     """Make the protocol."""
     phase = {host: z3.Int(f"phase_{host}") for host in HOSTS}
     token = {host: z3.Int(f"token_{host}") for host in HOSTS}
-    seen = {host: z3.Int(f"seen_{host}") for host in HOSTS}
-    offset, broken = z3.Int("offset"), z3.Bool("broken")
-    serving = sum(z3.If(phase[host] == SERVING, 1, 0) for host in HOSTS)
+    permit_token = {host: z3.Int(f"permit_token_{host}") for host in HOSTS}
+    offset, is_floor_broken = z3.Int("offset"), z3.Bool("is_floor_broken")
+    serving_count = sum(z3.If(phase[host] == SERVING, 1, 0) for host in HOSTS)
     steps = []
     for host in HOSTS:
-        rest = serving - z3.If(phase[host] == SERVING, 1, 0)
-        breaks = z3.And(serving >= FLOOR, rest < FLOOR)
+        serving_without = serving_count - z3.If(phase[host] == SERVING, 1, 0)
+        breaks = z3.And(serving_count >= FLOOR, serving_without < FLOOR)
         steps += [
             Step(
                 f"permit for host {host}",
-                {"serving": phase[host] == SERVING, "budget holds without it": rest >= FLOOR},
+                {
+                    "serving": phase[host] == SERVING,
+                    "budget holds without it": serving_without >= FLOOR,
+                },
                 {
                     f"phase_{host}": z3.IntVal(PERMITTED),
                     f"token_{host}": offset,
-                    f"seen_{host}": offset,
+                    f"permit_token_{host}": offset,
                     "offset": offset + 1,
-                    "broken": z3.Or(broken, breaks),
+                    "is_floor_broken": z3.Or(is_floor_broken, breaks),
                 },
             ),
             Step(
                 f"steward starts the drain of host {host}",
                 {
-                    "had a permit": seen[host] > 0,
+                    "had a permit": permit_token[host] > 0,
                     "phase is permitted": z3.Or(phase[host] == PERMITTED, phase[host] == SERVING),
-                    "current token": z3.And(token[host] == seen[host], phase[host] == PERMITTED),
+                    "current token": z3.And(
+                        token[host] == permit_token[host], phase[host] == PERMITTED
+                    ),
                 },
                 {
                     f"phase_{host}": z3.IntVal(DRAINING),
-                    f"seen_{host}": z3.IntVal(0),
+                    f"permit_token_{host}": z3.IntVal(0),
                     "offset": offset + 1,
-                    "broken": z3.Or(broken, breaks),
+                    "is_floor_broken": z3.Or(is_floor_broken, breaks),
                 },
             ),
             Step(
@@ -84,17 +89,17 @@
     variables = {
         **{f"phase_{host}": phase[host] for host in HOSTS},
         **{f"token_{host}": token[host] for host in HOSTS},
-        **{f"seen_{host}": seen[host] for host in HOSTS},
+        **{f"permit_token_{host}": permit_token[host] for host in HOSTS},
         "offset": offset,
-        "broken": broken,
+        "is_floor_broken": is_floor_broken,
     }
     initial = {name: z3.IntVal(0) for name in variables}
-    initial |= {"offset": z3.IntVal(1), "broken": z3.BoolVal(False)}
+    initial |= {"offset": z3.IntVal(1), "is_floor_broken": z3.BoolVal(False)}
     return Protocol(
         "budget",
         variables,
         initial,
         tuple(steps),
-        {"no act of our own breaks a budget": z3.Not(broken)},
+        {"no act of our own breaks a budget": z3.Not(is_floor_broken)},
         ("budget holds without it", "current token"),
     )
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -52,12 +52,12 @@
             ),
         ]
         for daemon in DAEMONS:
-            asks = z3.And(believes[owner], z3.Not(granted[daemon]), z3.Not(denied[daemon]))
+            is_requesting = z3.And(believes[owner], z3.Not(granted[daemon]), z3.Not(denied[daemon]))
             steps += [
                 Step(
                     f"owner {owner} claims for daemon {daemon}",
                     {
-                        "asks": asks,
+                        "asks": is_requesting,
                         "not claimed yet": table[owner] == 0,
                         "before the deadline": z3.Not(is_late),
                         "batch of the current epoch": epoch == owner,
@@ -71,7 +71,7 @@
                 Step(
                     f"owner {owner} claims for daemon {daemon}, reply lost",
                     {
-                        "asks": asks,
+                        "asks": is_requesting,
                         "not claimed yet": table[owner] == 0,
                         "before the deadline": z3.Not(is_late),
                         "batch of the current epoch": epoch == owner,
@@ -80,7 +80,11 @@
                 ),
                 Step(
                     f"owner {owner} appends daemon {daemon}'s claim again",
-                    {"asks": asks, "same ask": table[owner] == daemon, "epoch": epoch == owner},
+                    {
+                        "asks": is_requesting,
+                        "same ask": table[owner] == daemon,
+                        "epoch": epoch == owner,
+                    },
                     {f"granted_{daemon}": z3.BoolVal(True)},
                 ),
                 Step(
@@ -124,7 +128,7 @@
         name: z3.BoolVal(False) if z3.is_bool(variable) else z3.IntVal(0)
         for name, variable in variables.items()
     }
-    truth = z3.And(*(z3.Not(z3.And(ran[d], denied[d])) for d in DAEMONS))
+    no_denied_run = z3.And(*(z3.Not(z3.And(ran[d], denied[d])) for d in DAEMONS))
     return Protocol(
         "claims",
         variables,
@@ -132,7 +136,7 @@
         tuple(steps),
         {
             "runs at most once": z3.Not(z3.And(*ran.values())),
-            "what says it did not run did not run": truth,
+            "what says it did not run did not run": no_denied_run,
         },
         (
             "batch of the current epoch",
--- a/spec/explore.py
+++ b/spec/explore.py
@@ -39,16 +39,16 @@
         for step in protocol.steps
     ]
     holds = _compile(protocol.invariants[invariant], names)
-    first: State = _compile_all([protocol.initial[name] for name in names], names)(())
-    seen, left = {first}, deque([first])
-    while left:
-        state = left.popleft()
+    initial: State = _compile_all([protocol.initial[name] for name in names], names)(())
+    seen, pending = {initial}, deque([initial])
+    while pending:
+        state = pending.popleft()
         if not holds(state):
             return False
-        for may_go, go in steps:
-            if may_go(state) and (after := go(state)) not in seen:
+        for is_enabled, apply in steps:
+            if is_enabled(state) and (after := apply(state)) not in seen:
                 seen.add(after)
-                left.append(after)
+                pending.append(after)
         if len(seen) > STATES_MAX:
             raise ValueError(f"{protocol.name} has over {STATES_MAX} states")
     return True
@@ -56,17 +56,17 @@
 
 def _compile(expression: z3.ExprRef, names: tuple[str, ...]) -> Callable[[State], Any]:
     """Make a function of a state from an expression over the variables."""
-    function: Callable[[State], Any] = eval(f"lambda s: {_write(expression, names)}")
+    function: Callable[[State], Any] = eval(f"lambda s: {_to_python(expression, names)}")
     return function
 
 
 def _compile_all(expressions: list[z3.ExprRef], names: tuple[str, ...]) -> Callable[[State], State]:
-    texts = "".join(f"int({_write(each, names)})," for each in expressions)
+    texts = "".join(f"int({_to_python(each, names)})," for each in expressions)
     function: Callable[[State], State] = eval(f"lambda s: ({texts})")
     return function
 
 
-def _write(expression: z3.ExprRef, names: tuple[str, ...]) -> str:
+def _to_python(expression: z3.ExprRef, names: tuple[str, ...]) -> str:
     """Write an expression as Python."""
     if z3.is_int_value(expression):
         return str(expression.as_long())  # type: ignore[attr-defined]
@@ -75,7 +75,7 @@
         return _CONSTANTS[kind]
     if kind == z3.Z3_OP_UNINTERPRETED:
         return f"s[{names.index(str(expression))}]"
-    parts = [_write(part, names) for part in expression.children()]
+    parts = [_to_python(part, names) for part in expression.children()]
     if kind == z3.Z3_OP_NOT:
         return f"(not {parts[0]})"
     if kind == z3.Z3_OP_ITE:
--- a/spec/membership.py
+++ b/spec/membership.py
@@ -9,35 +9,35 @@
 
 def make_membership() -> Protocol:
     """Make the protocol: operators race for a host on two daemons' stale views."""
-    inside = {pool: z3.Bool(f"in_{pool}") for pool in POOLS}
+    is_member = {pool: z3.Bool(f"in_{pool}") for pool in POOLS}
     seen_free = {pool: z3.Bool(f"seen_free_{pool}") for pool in POOLS}
     steps = []
     for pool in POOLS:
-        nowhere = z3.Not(z3.Or(*inside.values()))
+        is_unassigned = z3.Not(z3.Or(*is_member.values()))
         steps += [
             Step(
                 f"a daemon sees the host free for pool {pool}",
-                {"free": nowhere},
+                {"free": is_unassigned},
                 {f"seen_free_{pool}": z3.BoolVal(True)},
             ),
             Step(
                 f"the assignment to pool {pool} is folded",
-                {"asked": seen_free[pool], "free in order": nowhere},
+                {"asked": seen_free[pool], "free in order": is_unassigned},
                 {f"in_{pool}": z3.BoolVal(True), f"seen_free_{pool}": z3.BoolVal(False)},
             ),
             Step(
                 f"the assignment to pool {pool} is folded again",
-                {"asked": seen_free[pool], "there": inside[pool]},
+                {"asked": seen_free[pool], "there": is_member[pool]},
                 {},
             ),
             Step(
                 f"the host is released from pool {pool}",
-                {"there": inside[pool]},
+                {"there": is_member[pool]},
                 {f"in_{pool}": z3.BoolVal(False)},
             ),
         ]
     variables = {
-        **{f"in_{pool}": inside[pool] for pool in POOLS},
+        **{f"in_{pool}": is_member[pool] for pool in POOLS},
         **{f"seen_free_{pool}": seen_free[pool] for pool in POOLS},
     }
     return Protocol(
@@ -45,7 +45,7 @@
         variables,
         {name: z3.BoolVal(False) for name in variables},
         tuple(steps),
-        {"a host belongs to one pool": z3.Not(z3.And(*inside.values()))},
+        {"a host belongs to one pool": z3.Not(z3.And(*is_member.values()))},
         ("free in order",),
     )
 
@@ -53,25 +53,36 @@
 def make_halls() -> Protocol:
     """Make the protocol of two halls that lose each other and both reach the log."""
     cut = {hall: z3.Bool(f"cut_{hall}") for hall in POOLS}
-    silent = z3.Bool("silent")
+    is_disconnected = z3.Bool("is_disconnected")
     steps = [
-        Step("the halls lose each other", {"once": z3.Not(silent)}, {"silent": z3.BoolVal(True)}),
-        Step("they hear each other again", {"silent": silent}, {"silent": z3.BoolVal(False)}),
+        Step(
+            "the halls lose each other",
+            {"once": z3.Not(is_disconnected)},
+            {"is_disconnected": z3.BoolVal(True)},
+        ),
+        Step(
+            "they hear each other again",
+            {"disconnected": is_disconnected},
+            {"is_disconnected": z3.BoolVal(False)},
+        ),
     ]
     for hall, other in ((1, 2), (2, 1)):
         steps += [
             Step(
                 f"hall {hall} records that hall {other} is cut off",
-                {"silent": silent, "its own hall is not cut off": z3.Not(cut[hall])},
+                {
+                    "disconnected": is_disconnected,
+                    "its own hall is not cut off": z3.Not(cut[hall]),
+                },
                 {f"cut_{other}": z3.BoolVal(True)},
             ),
             Step(
                 f"hall {hall} records that hall {other} is healed",
-                {"heard": z3.Not(silent), "cut": cut[other]},
+                {"heard": z3.Not(is_disconnected), "cut": cut[other]},
                 {f"cut_{other}": z3.BoolVal(False)},
             ),
         ]
-    variables = {**{f"cut_{hall}": cut[hall] for hall in POOLS}, "silent": silent}
+    variables = {**{f"cut_{hall}": cut[hall] for hall in POOLS}, "is_disconnected": is_disconnected}
     return Protocol(
         "halls",
         variables,
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -18,14 +18,16 @@
     is_recorded, is_sent, runs_on_1, runs_on_2, is_lapsed = z3.Bools(
         "is_recorded is_sent runs_on_1 runs_on_2 is_lapsed"
     )
-    end_listed, end_recorded, was_lost, was_repeated = z3.Bools(
-        "end_listed end_recorded was_lost was_repeated"
+    end_listed, end_recorded, was_end_lost, was_run_repeated = z3.Bools(
+        "end_listed end_recorded was_end_lost was_run_repeated"
     )
-    is_open, knows_run, knows_end, is_heard, sees_run = z3.Bools(
-        "is_open knows_run knows_end is_heard sees_run"
+    is_open, knows_run, knows_end, has_report, report_lists_run = z3.Bools(
+        "is_open knows_run knows_end has_report report_lists_run"
     )
     true, false = z3.BoolVal(True), z3.BoolVal(False)
-    is_settled = z3.Or(z3.Not(knows_run), z3.And(is_heard, z3.Not(sees_run)), is_lapsed)
+    is_restart_safe = z3.Or(
+        z3.Not(knows_run), z3.And(has_report, z3.Not(report_lists_run)), is_lapsed
+    )
     steps = (
         Step(
             "owner 1 records a run on host 1",
@@ -48,7 +50,7 @@
                 "its lease has not lapsed": z3.Not(is_lapsed),
                 "not ended there": z3.Not(z3.Or(end_listed, end_recorded)),
             },
-            {"runs_on_1": true, "was_repeated": z3.Or(was_repeated, runs_on_2, knows_end)},
+            {"runs_on_1": true, "was_run_repeated": z3.Or(was_run_repeated, runs_on_2, knows_end)},
         ),
         Step(
             "the run ends on host 1", {"runs": runs_on_1}, {"runs_on_1": false, "end_listed": true}
@@ -66,7 +68,7 @@
         Step(
             "owner 1 acknowledges the end, and the host forgets it",
             {"listed": end_listed, "the end is recorded first": end_recorded},
-            {"end_listed": false, "was_lost": z3.Or(was_lost, z3.Not(end_recorded))},
+            {"end_listed": false, "was_end_lost": z3.Or(was_end_lost, z3.Not(end_recorded))},
         ),
         Step("owner 2 sets its epoch", {"once": epoch == OLD}, {"epoch": z3.IntVal(NEW)}),
         Step(
@@ -79,8 +81,8 @@
             {"open": is_open},
             {
                 "fence": z3.IntVal(NEW),
-                "is_heard": true,
-                "sees_run": runs_on_1,
+                "has_report": true,
+                "report_lists_run": runs_on_1,
                 "knows_end": z3.Or(knows_end, end_listed),
             },
         ),
@@ -90,11 +92,11 @@
                 "open": is_open,
                 "not done": z3.Not(knows_end),
                 "once": z3.Not(runs_on_2),
-                "the host of a recorded run is heard, or its lease has lapsed": is_settled,
+                "the host of a recorded run is heard, or its lease has lapsed": is_restart_safe,
             },
             {
                 "runs_on_2": true,
-                "was_repeated": z3.Or(was_repeated, runs_on_1, end_recorded, was_lost),
+                "was_run_repeated": z3.Or(was_run_repeated, runs_on_1, end_recorded, was_end_lost),
             },
         ),
     )
@@ -110,13 +112,13 @@
             is_lapsed,
             end_listed,
             end_recorded,
-            was_lost,
-            was_repeated,
+            was_end_lost,
+            was_run_repeated,
             is_open,
             knows_run,
             knows_end,
-            is_heard,
-            sees_run,
+            has_report,
+            report_lists_run,
         )
     }
     initial = {
@@ -129,8 +131,8 @@
         initial,
         steps,
         {
-            "no two runs at once, and none after a noted end": z3.Not(was_repeated),
-            "an acknowledged end is recorded": z3.Not(was_lost),
+            "no two runs at once, and none after a noted end": z3.Not(was_run_repeated),
+            "an acknowledged end is recorded": z3.Not(was_end_lost),
         },
         (
             "the store has seen no newer owner",
--- a/spec/sharing.py
+++ b/spec/sharing.py
@@ -2,8 +2,8 @@
 
 ``share_*`` is what the owner of a pool lets the workspace take, 0 for a new one until it was
 told; ``used_*`` what was recorded as running there, which a new owner reads.  ``bound_*`` is the
-most that the pool may hold as its keeper knows it.  ``told_*`` is on its way to the pool, and may
-be lost.  ``broken`` turns true when a start brings the workspace over its limit.
+most that the pool may hold as its keeper knows it.  ``pending_share_*`` is on its way to
+the pool, and may be lost.  ``broken`` turns true when a start brings the workspace over its limit.
 """
 
 from collections.abc import Mapping
@@ -12,21 +12,21 @@
 
 from spec.protocol import Protocol, Step
 
-LIMIT, KEPT, FALLEN = 3, 1, 1
+LIMIT, RESERVED, FALLEN = 3, 1, 1
 POOLS = (1, 2)
-NOTHING = -1
+NO_MESSAGE = -1
 INVARIANT = "no start brings a workspace over its limit"
-RISES = "rises only by what no pool holds"
-WAITS = "waits until it was told"
+RISE_GUARD = "rises only by what no pool holds"
+WAIT_GUARD = "waits until it was told"
 
 
 def make_sharing() -> Protocol:
     """Make the protocol of two keepers, of which the first may not know that it was replaced.
 
     ``from_*`` is true where the second sent what is on its way; ``fence_*`` where the pool
-    heeds it alone; ``KEPT`` of the limit is each pool's and never lent.
+    heeds it alone; ``RESERVED`` of the limit is each pool's and never lent.
     """
-    share, used, bound, told = _make_ints("share", "used", "bound", "told")
+    share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     sender, fence = _make_bools("from", "fence")
     is_replaced, broken = z3.Bools("is_replaced broken")
     steps = [
@@ -39,13 +39,13 @@
                 Step(
                     f"the first keeper tells pool {pool} a share of {to}",
                     {
-                        "nothing on its way": told[pool] == NOTHING,
+                        "nothing on its way": pending_share[pool] == NO_MESSAGE,
                         "knows of no other keeper": z3.Not(fence[pool]),
-                        RISES: to + _get_held(used, bound, other) <= LIMIT,
-                        "keeps what is never lent": to <= LIMIT - KEPT,
+                        RISE_GUARD: to + _get_held_max(used, bound, other) <= LIMIT,
+                        "keeps what is never lent": to <= LIMIT - RESERVED,
                     },
                     {
-                        f"told_{pool}": z3.IntVal(to),
+                        f"pending_share_{pool}": z3.IntVal(to),
                         f"from_{pool}": _FALSE,
                         f"bound_{pool}": _get_max(bound[pool], to),
                     },
@@ -54,17 +54,17 @@
                     f"the second keeper tells pool {pool} a share of {to}",
                     {
                         "heard this pool": fence[pool],
-                        "nothing on its way": told[pool] == NOTHING,
+                        "nothing on its way": pending_share[pool] == NO_MESSAGE,
                         "all pools heard before more than the kept part is given": z3.Or(
-                            fence[other], to <= KEPT
+                            fence[other], to <= RESERVED
                         ),
-                        RISES: z3.Or(
-                            z3.Not(fence[other]), to + _get_held(used, bound, other) <= LIMIT
+                        RISE_GUARD: z3.Or(
+                            z3.Not(fence[other]), to + _get_held_max(used, bound, other) <= LIMIT
                         ),
-                        "keeps what is never lent": to <= LIMIT - KEPT,
+                        "keeps what is never lent": to <= LIMIT - RESERVED,
                     },
                     {
-                        f"told_{pool}": z3.IntVal(to),
+                        f"pending_share_{pool}": z3.IntVal(to),
                         f"from_{pool}": _TRUE,
                         f"bound_{pool}": _get_max(bound[pool], to),
                     },
@@ -79,27 +79,29 @@
             Step(
                 f"pool {pool} takes what it was told",
                 {
-                    "on its way": told[pool] != NOTHING,
+                    "on its way": pending_share[pool] != NO_MESSAGE,
                     "heeds no earlier keeper": z3.Or(sender[pool], z3.Not(fence[pool])),
                 },
                 {
-                    f"share_{pool}": told[pool],
-                    f"told_{pool}": z3.IntVal(NOTHING),
-                    f"bound_{pool}": z3.If(sender[pool] == fence[pool], told[pool], bound[pool]),
+                    f"share_{pool}": pending_share[pool],
+                    f"pending_share_{pool}": z3.IntVal(NO_MESSAGE),
+                    f"bound_{pool}": z3.If(
+                        sender[pool] == fence[pool], pending_share[pool], bound[pool]
+                    ),
                 },
             ),
-            *_make_pool_steps(pool, share, used, told, z3.IntVal(LIMIT), {}),
+            *_make_pool_steps(pool, share, used, pending_share, z3.IntVal(LIMIT), {}),
         ]
     return _make_protocol(
         "sharing",
-        (share, used, bound, told, sender, fence),
+        (share, used, bound, pending_share, sender, fence),
         {"is_replaced": is_replaced, "broken": broken},
         steps,
         (
-            RISES,
+            RISE_GUARD,
             "all pools heard before more than the kept part is given",
             "heeds no earlier keeper",
-            WAITS,
+            WAIT_GUARD,
         ),
     )
 
@@ -110,10 +112,10 @@
     ``new_*`` tells that what is on its way was decided since, ``settled_*`` that a pool goes
     by that, and has told what it holds.
     """
-    share, used, bound, told = _make_ints("share", "used", "bound", "told")
+    share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     settled, is_new = _make_bools("settled", "new")
     is_fallen, broken = z3.Bools("is_fallen broken")
-    room = z3.If(is_fallen, FALLEN, LIMIT)
+    current_limit = z3.If(is_fallen, FALLEN, LIMIT)
     steps = [Step("the limit falls", {"once": z3.Not(is_fallen)}, {"is_fallen": _TRUE})]
     for pool in POOLS:
         other = sum(POOLS) - pool
@@ -121,24 +123,24 @@
             Step(
                 f"the keeper tells pool {pool} a share of {to}",
                 {
-                    "nothing on its way": told[pool] == NOTHING,
-                    RISES: z3.Or(
+                    "nothing on its way": pending_share[pool] == NO_MESSAGE,
+                    RISE_GUARD: z3.Or(
                         to == 0,
                         # After a fall it is not known what the other pool holds until it settled.
                         to
                         + z3.If(
                             z3.And(is_fallen, z3.Not(settled[other])),
                             bound[other],
-                            _get_held(used, bound, other),
+                            _get_held_max(used, bound, other),
                         )
-                        <= room,
+                        <= current_limit,
                     ),
                     "after a fall only once all have settled": z3.Or(
                         z3.Not(is_fallen), to == 0, z3.And(settled[1], settled[2])
                     ),
                 },
                 {
-                    f"told_{pool}": z3.IntVal(to),
+                    f"pending_share_{pool}": z3.IntVal(to),
                     f"new_{pool}": is_fallen,
                     f"bound_{pool}": _get_max(bound[pool], to),
                 },
@@ -148,11 +150,11 @@
         steps += [
             Step(
                 f"pool {pool} takes what it was told",
-                {"on its way": told[pool] != NOTHING},
+                {"on its way": pending_share[pool] != NO_MESSAGE},
                 {
-                    f"share_{pool}": told[pool],
-                    f"told_{pool}": z3.IntVal(NOTHING),
-                    f"bound_{pool}": told[pool],
+                    f"share_{pool}": pending_share[pool],
+                    f"pending_share_{pool}": z3.IntVal(NO_MESSAGE),
+                    f"bound_{pool}": pending_share[pool],
                     f"settled_{pool}": is_new[pool],
                 },
             ),
@@ -160,17 +162,17 @@
                 pool,
                 share,
                 used,
-                told,
-                room,
+                pending_share,
+                current_limit,
                 {"by a share from after the fall": z3.Or(z3.Not(is_fallen), settled[pool])},
             ),
         ]
     return _make_protocol(
         "falling limit",
-        (share, used, bound, told, settled, is_new),
+        (share, used, bound, pending_share, settled, is_new),
         {"is_fallen": is_fallen, "broken": broken},
         steps,
-        (RISES, "after a fall only once all have settled", "by a share from after the fall"),
+        (RISE_GUARD, "after a fall only once all have settled", "by a share from after the fall"),
     )
 
 
@@ -190,7 +192,7 @@
     return z3.If(one > other, one, other)
 
 
-def _get_held(used: Variables, bound: Variables, pool: int) -> z3.ArithRef:
+def _get_held_max(used: Variables, bound: Variables, pool: int) -> z3.ArithRef:
     """Return what a pool may hold: what runs there, or what it may let begin."""
     return _get_max(used[pool], bound[pool])
 
@@ -199,8 +201,8 @@
     pool: int,
     share: Variables,
     used: Variables,
-    told: Variables,
-    room: z3.ArithRef,
+    pending_share: Variables,
+    current_limit: z3.ArithRef,
     guards: Mapping[str, z3.BoolRef],
 ) -> tuple[Step, ...]:
     """Make the steps of a pool's owners."""
@@ -208,15 +210,15 @@
     return (
         Step(
             f"what pool {pool} was told is lost",
-            {"on its way": told[pool] != NOTHING},
-            {f"told_{pool}": z3.IntVal(NOTHING)},
+            {"on its way": pending_share[pool] != NO_MESSAGE},
+            {f"pending_share_{pool}": z3.IntVal(NO_MESSAGE)},
         ),
         Step(
             f"pool {pool} begins a task of the workspace",
             {"within its share": used[pool] + 1 <= share[pool], **guards},
             {
                 f"used_{pool}": used[pool] + 1,
-                "broken": z3.Or(broken, used[1] + used[2] + 1 > room),
+                "broken": z3.Or(broken, used[1] + used[2] + 1 > current_limit),
             },
         ),
         Step(
@@ -231,7 +233,7 @@
         ),
         Step(
             f"pool {pool} gets a new owner, which takes the whole limit for its own",
-            {WAITS: _FALSE},
+            {WAIT_GUARD: _FALSE},
             {f"share_{pool}": z3.IntVal(LIMIT)},
         ),
     )
@@ -244,14 +246,16 @@
     steps: list[Step],
     removable: tuple[str, ...],
 ) -> Protocol:
-    variables = {str(found[pool]): found[pool] for found in by_pool for pool in POOLS} | dict(
-        others
-    )
+    variables = {
+        str(variable_by_pool[pool]): variable_by_pool[pool]
+        for variable_by_pool in by_pool
+        for pool in POOLS
+    } | dict(others)
     initial: dict[str, z3.ExprRef] = {
         name: _FALSE if z3.is_bool(variable) else z3.IntVal(0)
         for name, variable in variables.items()
     }
-    initial |= {f"told_{pool}": z3.IntVal(NOTHING) for pool in POOLS}
+    initial |= {f"pending_share_{pool}": z3.IntVal(NO_MESSAGE) for pool in POOLS}
     return Protocol(
         name,
         variables,
--- a/src/robinthread/__main__.py
+++ b/src/robinthread/__main__.py
@@ -6,7 +6,7 @@
 
 from robinthread._internal.cli.main import run_command_line
 
-UNPACKER = "_bootstrap"
+BOOTSTRAP_MODULE = "_bootstrap"
 
 
 def main() -> int:
@@ -20,7 +20,7 @@
     A daemon lets go of what unpacked the binary: the same process begins anew with
     the unpacked files, which saves 3 MB for its life.  No process is started.
     """
-    if UNPACKER in sys.modules and sys.argv[1:2] == ["daemon"]:
+    if BOOTSTRAP_MODULE in sys.modules and sys.argv[1:2] == ["daemon"]:
         packages = Path(__file__).resolve().parent.parent
         environment = os.environ | {"PYTHONPATH": str(packages)}
         arguments = [sys.executable, "-OO", "-m", "robinthread", *sys.argv[1:]]
--- a/tests/unit/test_imports.py
+++ b/tests/unit/test_imports.py
@@ -12,14 +12,23 @@
 import robinthread._internal.commands.daemon
 print(json.dumps(sorted({name.split(".")[0] for name in sys.modules})))
 """
-KEPT_OUT = {"fire", "google", "z3", "requests", "hypothesis", "looptime", "tqdm", "testtools"}
+FORBIDDEN_PACKAGES = {
+    "fire",
+    "google",
+    "z3",
+    "requests",
+    "hypothesis",
+    "looptime",
+    "tqdm",
+    "testtools",
+}
 MODULES_MAX = 600
 
 
 class ImportsTest(TestCase):
     def test_daemon_imports_nothing_that_it_does_not_need(self) -> None:
         found = subprocess.run([sys.executable, "-c", CODE], capture_output=True, check=True)
-        self.assertEqual(set(), KEPT_OUT & set(json.loads(found.stdout)))
+        self.assertEqual(set(), FORBIDDEN_PACKAGES & set(json.loads(found.stdout)))
 
     def test_daemon_imports_no_stand_in(self) -> None:
         code = CODE.replace('{name.split(".")[0]', "{name")
--- a/tests/unit/test_spec_explore.py
+++ b/tests/unit/test_spec_explore.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 
-def take_out(protocol: Protocol, guard: str) -> Protocol:
+def remove_guard(protocol: Protocol, guard: str) -> Protocol:
     """Return the protocol without a guard."""
     steps = (
         replace(step, guards={name: each for name, each in step.guards.items() if name != guard})
@@ -22,4 +22,4 @@
         for protocol in (make_sharing(), make_falling_limit()):
             self.assertTrue(explore(protocol, INVARIANT))
             for guard in protocol.removable:
-                self.assertFalse(explore(take_out(protocol, guard), INVARIANT), guard)
+                self.assertFalse(explore(remove_guard(protocol, guard), INVARIANT), guard)
--- a/tools/plot_tradeoff.py
+++ b/tools/plot_tradeoff.py
@@ -12,8 +12,8 @@
 matplotlib.use("svg")
 from matplotlib import pyplot
 
-TARGET = Path(__file__).parent.parent / "docs" / "design" / "waves-tradeoff.svg"
-GROUPS = {
+OUTPUT_PATH = Path(__file__).parent.parent / "docs" / "design" / "waves-tradeoff.svg"
+LABEL_OF_PREFIX = {
     "sweep_": "Nogoon, allowed wait of 5 to 300 s",
     "weight_": "Wijesekera, buffer weight of 0 to 16",
 }
@@ -27,7 +27,7 @@
         name: float(value) for name, value in re.findall(r"^(\w[\w.]*)\s+([\d.]+)", text, re.M)
     }
     figure, axes = pyplot.subplots(figsize=(7, 4.5))
-    for prefix, label in GROUPS.items():
+    for prefix, label in LABEL_OF_PREFIX.items():
         keys = [
             name.removesuffix("_rollout_ratio")
             for name in counts
@@ -37,13 +37,13 @@
         buffers = [counts[f"{key}_buffer_ratio"] for key in keys]
         axes.plot(rollouts, buffers, "o-", label=label)
         for key, x, y in zip(keys, rollouts, buffers, strict=True):
-            note = f"{key.removeprefix(prefix)} ({counts[f'{key}_moves']:.0f} moves)"
-            axes.annotate(note, (x, y), textcoords="offset points", xytext=(6, 4), fontsize=8)
+            label_text = f"{key.removeprefix(prefix)} ({counts[f'{key}_moves']:.0f} moves)"
+            axes.annotate(label_text, (x, y), textcoords="offset points", xytext=(6, 4), fontsize=8)
     axes.set_xlabel("roll-out time / its lower bound")
     axes.set_ylabel("buffer cost / its lower bound")
     axes.legend()
     figure.tight_layout()
-    figure.savefig(TARGET, metadata={"Date": None})
+    figure.savefig(OUTPUT_PATH, metadata={"Date": None})
 
 
 if __name__ == "__main__":
