--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""The core protocol as small transition relations, checked by model checking."""
+"""Models of the core protocols as transition relations, verified by model checking."""
--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Check every protocol; print each invariant and each guard's counterexample."""
+"""Verify every protocol model: prove its invariants and show that each guard is necessary."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Check:
-    """An invariant to prove, or a guard whose removal must break one."""
+    """An invariant to prove, or a guard whose removal must violate an invariant."""
 
     protocol: str
     invariant: str = ""
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class CheckResult:
-    """The answer to a question, and the trace where a guard is taken out."""
+    """The outcome of a check, with the counterexample if a guard was removed."""
 
     check: Check
     is_expected: bool
@@ -51,7 +51,7 @@
 
 
 def main() -> int:
-    """Check all; return 0 where all is proved and every guard is needed."""
+    """Run all checks; return 0 if every invariant is proved and every guard is necessary."""
     protocols = {name: make() for name, make in PROTOCOLS.items()}
     checks = [
         check
@@ -71,7 +71,7 @@
 
 
 def run_check(check: Check) -> CheckResult:
-    """Answer one question, in a process of its own."""
+    """Run one check; called in a worker process."""
     protocol = PROTOCOLS[check.protocol]()
     if check.invariant:
         verify = explore if protocol.is_finite else prove
--- a/spec/acceptance.py
+++ b/spec/acceptance.py
@@ -1,7 +1,7 @@
-"""A job's record on its way to the store, and what its caller is told.
+"""Model of job acceptance: the append of a job's record and the outcome reported to its caller.
 
-An append without answer may be carried out at any time while its writer's epoch
-stands.  It is made again under the same stamp, and may then be refused.
+An append that timed out may still take effect while its writer's epoch is current.  It is
+retried under the same stamp, and the store may refuse the retry.
 """
 
 import z3
@@ -12,7 +12,7 @@
 
 
 def make_acceptance() -> Protocol:
-    """Make the protocol."""
+    """Return the model of job acceptance."""
     reported_outcome = z3.Int("reported_outcome")
     is_in_flight, is_stored, has_timed_out, has_response = z3.Bools(
         "is_in_flight is_stored has_timed_out has_response"
@@ -21,40 +21,40 @@
     steps = (
         Step(
             "the node sends the append",
-            {"told nothing": reported_outcome == NOT_REPORTED},
+            {"no outcome reported": reported_outcome == NOT_REPORTED},
             {"is_in_flight": true},
         ),
-        Step("the store keeps the record", {"under way": is_in_flight}, {"is_stored": true}),
+        Step("the store writes the record", {"in flight": is_in_flight}, {"is_stored": true}),
         Step(
-            "the store's answer arrives",
-            {"kept": is_stored, "told nothing": reported_outcome == NOT_REPORTED},
+            "the store's response arrives",
+            {"stored": is_stored, "no outcome reported": reported_outcome == NOT_REPORTED},
             {"has_response": true, "is_in_flight": false},
         ),
         Step(
-            "no answer comes in time",
-            {"under way": is_in_flight, "told nothing": reported_outcome == NOT_REPORTED},
+            "the append times out",
+            {"in flight": is_in_flight, "no outcome reported": reported_outcome == NOT_REPORTED},
             {"has_timed_out": true},
         ),
         Step(
-            "the store refuses a try, and the caller is told so",
+            "the store refuses an attempt, and the caller receives the refusal",
             {
-                "told nothing": reported_outcome == NOT_REPORTED,
-                "not kept by this try": z3.Not(is_stored),
-                "no earlier try is unanswered": z3.Not(has_timed_out),
+                "no outcome reported": reported_outcome == NOT_REPORTED,
+                "not stored by this attempt": z3.Not(is_stored),
+                "no earlier attempt has timed out": z3.Not(has_timed_out),
             },
             {"reported_outcome": z3.IntVal(REFUSED), "is_in_flight": has_timed_out},
         ),
         Step(
-            "the caller is told that the job is accepted",
+            "the caller receives the acceptance",
             {
-                "told nothing": reported_outcome == NOT_REPORTED,
-                "the store has answered": has_response,
+                "no outcome reported": reported_outcome == NOT_REPORTED,
+                "the store has responded": has_response,
             },
             {"reported_outcome": z3.IntVal(ACCEPTED)},
         ),
         Step(
-            "the caller is told that the outcome is unknown",
-            {"told nothing": reported_outcome == NOT_REPORTED, "unanswered": has_timed_out},
+            "the caller receives an unknown outcome",
+            {"no outcome reported": reported_outcome == NOT_REPORTED, "timed out": has_timed_out},
             {"reported_outcome": z3.IntVal(UNKNOWN)},
         ),
     )
@@ -75,10 +75,10 @@
         initial,
         steps,
         {
-            "a job that was refused is never kept": z3.Implies(
+            "a refused job is never stored": z3.Implies(
                 reported_outcome == REFUSED, z3.Not(is_stored)
             ),
-            "a job that was accepted is kept": z3.Implies(reported_outcome == ACCEPTED, is_stored),
+            "an accepted job is stored": z3.Implies(reported_outcome == ACCEPTED, is_stored),
         },
-        ("no earlier try is unanswered", "the store has answered"),
+        ("no earlier attempt has timed out", "the store has responded"),
     )
--- a/spec/budget.py
+++ b/spec/budget.py
@@ -1,9 +1,9 @@
-"""Budgets: three hosts, a floor of two, racing stewards, failures, paused stewards.
+"""Model of pool budgets: three hosts, at least two serving, concurrent stewards that may be paused.
 
-A host's phase is 0 serving, 1 permitted, 2 draining, 3 failed.  Stewards act
-on what they saw: ``permit_token_*`` is the token under which a steward believes that
-the host holds a permit.  ``is_floor_broken`` turns true when an act of the system's own
-takes a pool below its floor that held it.
+A host's phase is 0 serving, 1 permitted, 2 draining, 3 failed.  Stewards act on a possibly
+stale view: ``permit_token_*`` is the token under which a steward believes that the host holds
+a drain permit, 0 for none.  ``is_floor_broken`` becomes true when an action of the system takes
+a pool that met its floor below it; a host failure does not count.
 """
 
 import z3
@@ -16,7 +16,7 @@
 
 
 def make_budget() -> Protocol:
-    """Make the protocol."""
+    """Return the model of a pool's budget."""
     phase = {host: z3.Int(f"phase_{host}") for host in HOSTS}
     token = {host: z3.Int(f"token_{host}") for host in HOSTS}
     permit_token = {host: z3.Int(f"permit_token_{host}") for host in HOSTS}
@@ -59,7 +59,7 @@
             ),
             Step(
                 f"host {host} returns",
-                {"away": z3.Or(phase[host] == DRAINING, phase[host] == FAILED)},
+                {"not serving": z3.Or(phase[host] == DRAINING, phase[host] == FAILED)},
                 {
                     f"phase_{host}": z3.IntVal(SERVING),
                     f"token_{host}": offset,
@@ -67,7 +67,7 @@
                 },
             ),
             Step(
-                f"host {host} fails; unstarted drains are taken back",
+                f"host {host} fails; unstarted drains are revoked",
                 {"not failed": phase[host] != FAILED},
                 {
                     "offset": offset + 1,
@@ -100,6 +100,6 @@
         variables,
         initial,
         tuple(steps),
-        {"no act of our own breaks a budget": z3.Not(is_floor_broken)},
+        {"no action of the system breaks a budget": z3.Not(is_floor_broken)},
         ("budget holds without it", "current token"),
     )
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,4 +1,4 @@
-"""Proof of an invariant for all reachable states, and readable counterexamples."""
+"""Proof of invariants over all reachable states with Z3, and search for counterexamples."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class TraceStep:
-    """A step of a counterexample, and the variables that it changed."""
+    """One step of a counterexample with the new values of the variables that it changed."""
 
     name: str
     changes: dict[str, str]
@@ -24,7 +24,7 @@
 
 
 def prove(protocol: Protocol, invariant: str) -> bool:
-    """Tell whether the invariant holds in every reachable state, at any depth."""
+    """Return whether the invariant holds in every reachable state, at any depth."""
     engine = z3.Fixedpoint()
     engine.set(engine="spacer")
     names = tuple(protocol.variables)
@@ -43,7 +43,10 @@
 
 
 def find_counterexample(protocol: Protocol, without: str = "") -> tuple[str, list[TraceStep]]:
-    """Return a broken invariant and a shortest trace to it, or "" and no trace."""
+    """Return a violated invariant and a shortest trace to it, without the guard ``without``.
+
+    Returns "" and an empty trace if no trace of fewer than ``DEPTH_MAX`` steps violates one.
+    """
     solver = z3.Solver()
     states = [_make_state(protocol, 0)]
     choices: list[z3.ArithRef] = []
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,10 +1,10 @@
-"""At most once: two owners of a partition, two daemons that carry tries of one request.
+"""Model of at-most-once execution: two partition owners, two daemons with attempts of one request.
 
-The log is its order: ``epoch`` is the owner that took the partition last,
-``claimed`` the daemon whose claim is valid in order (0 for none).  An owner
-may be paused at any point and not know that it was replaced.  Replies may be
-lost after the effect: the grant then reaches the daemon through a repeated
-append, or never.  The request's deadline passes once; claims go after it.
+The log's order decides: ``epoch`` is the owner that last acquired the partition, ``claimed``
+the daemon whose claim is valid in the log (0 for none).  An owner may be paused at any point
+and not know that it was replaced.  A reply may be lost after the append took effect; the grant
+then reaches the daemon through a repeated append, or never.  The request's deadline passes
+once, after which its claim may be dropped.
 """
 
 import z3
@@ -16,7 +16,7 @@
 
 
 def make_claims() -> Protocol:
-    """Make the protocol."""
+    """Return the model of request claims."""
     epoch, claimed = z3.Ints("epoch claimed")
     is_late = z3.Bool("is_late")
     table = {owner: z3.Int(f"table_{owner}") for owner in OWNERS}
@@ -57,7 +57,7 @@
                 Step(
                     f"owner {owner} claims for daemon {daemon}",
                     {
-                        "asks": is_requesting,
+                        "requesting": is_requesting,
                         "not claimed yet": table[owner] == 0,
                         "before the deadline": z3.Not(is_late),
                         "batch of the current epoch": epoch == owner,
@@ -71,7 +71,7 @@
                 Step(
                     f"owner {owner} claims for daemon {daemon}, reply lost",
                     {
-                        "asks": is_requesting,
+                        "requesting": is_requesting,
                         "not claimed yet": table[owner] == 0,
                         "before the deadline": z3.Not(is_late),
                         "batch of the current epoch": epoch == owner,
@@ -81,8 +81,8 @@
                 Step(
                     f"owner {owner} appends daemon {daemon}'s claim again",
                     {
-                        "asks": is_requesting,
-                        "same ask": table[owner] == daemon,
+                        "requesting": is_requesting,
+                        "same request": table[owner] == daemon,
                         "epoch": epoch == owner,
                     },
                     {f"granted_{daemon}": z3.BoolVal(True)},
@@ -104,12 +104,12 @@
                 {
                     "granted": granted[daemon],
                     "not given up": z3.Not(denied[daemon]),
-                    "one try": z3.Not(ran[daemon]),
+                    "first run": z3.Not(ran[daemon]),
                 },
                 {f"ran_{daemon}": z3.BoolVal(True)},
             ),
             Step(
-                f"daemon {daemon} gives up and says that it did not run",
+                f"daemon {daemon} gives up and reports that it did not run",
                 {"only what was never sent": z3.Not(ran[daemon]), "once": z3.Not(denied[daemon])},
                 {f"denied_{daemon}": z3.BoolVal(True)},
             ),
@@ -136,7 +136,7 @@
         tuple(steps),
         {
             "runs at most once": z3.Not(z3.And(*ran.values())),
-            "what says it did not run did not run": no_denied_run,
+            "a daemon that reports that it did not run never runs": no_denied_run,
         },
         (
             "batch of the current epoch",
--- a/spec/crashing.py
+++ b/spec/crashing.py
@@ -1,11 +1,12 @@
-"""Crashes under one task that crashes its hosts: an owner that may be lost at any time.
+"""Model of a task that crashes its hosts, under owners that may be lost at any time.
 
-``phase``: 0 waiting, 1 recorded, 2 running, 3 crashed with its host, which nobody knows yet.
-``caused_crashes`` counts the hosts that the task took down, ``starts_after`` its starts
-after the third.  ``count`` and ``confirmed`` are the owner's, ``recorded_count`` and
-``recorded_confirmed`` the record's; a run is ``alone`` or not, and the record may tell that
-(``recorded_alone``) to the next owner.  While it is ``recorded_open`` the record names
-the run, so that the next owner learns of its end anew.  Hosts may crash by themselves under it.
+``phase``: 0 waiting, 1 recorded, 2 running, 3 crashed with its host and not yet detected.
+``caused_crashes`` counts the hosts that the task crashed, ``starts_after`` its starts after
+the third of them.  ``count`` and ``confirmed`` are the owner's counts of crashes and of crashes
+while the task ran alone on its host; ``recorded_count`` and ``recorded_confirmed`` are the
+stored ones.  ``alone`` marks a run without other tasks on the host, ``recorded_alone`` passes
+that on to the next owner.  While ``recorded_open`` is 1, the record names the run, so that the
+next owner detects its end again.  Hosts may also crash for other reasons during a run.
 """
 
 import z3
@@ -17,7 +18,7 @@
 
 
 def make_crashing() -> Protocol:
-    """Make the protocol."""
+    """Return the model of crash attribution to a task."""
     names = (
         "phase",
         "caused_crashes",
@@ -47,20 +48,20 @@
     steps = (
         Step(
             "the owner places a run among others and records it",
-            {"waits": phase == WAITING, "alone from the third run on": count < ALONE_AFTER_RUNS},
+            {"waiting": phase == WAITING, "alone after three crashes": count < ALONE_AFTER_RUNS},
             _record(count, confirmed, is_alone=0),
         ),
         Step(
             "the owner places a run alone and records it",
             {
-                "waits": phase == WAITING,
+                "waiting": phase == WAITING,
                 "suspect": count >= ALONE_AFTER_RUNS,
-                "given up once it is sure": confirmed < CONFIRMED_RUNS_MIN,
+                "failed permanently once confirmed": confirmed < CONFIRMED_RUNS_MIN,
             },
             _record(count, confirmed, is_alone=1),
         ),
         Step(
-            "the host begins the run",
+            "the host starts the run",
             {"recorded": phase == RECORDED},
             {
                 "phase": z3.IntVal(RUNNING),
@@ -69,23 +70,23 @@
             },
         ),
         Step(
-            "the task takes its host down",
-            {"runs": phase == RUNNING},
+            "the task crashes its host",
+            {"running": phase == RUNNING},
             {"phase": z3.IntVal(CRASHED), "caused_crashes": caused_crashes + 1},
         ),
         Step(
-            "the host crashes by itself",
-            {"runs": phase == RUNNING},
+            "the host crashes for another reason",
+            {"running": phase == RUNNING},
             {"phase": z3.IntVal(CRASHED)},
         ),
         Step(
-            "the owner learns of the crash",
+            "the owner detects the crash",
             {"crashed": phase == CRASHED},
             {"phase": z3.IntVal(WAITING), "count": count + 1, "confirmed": confirmed + alone},
         ),
         Step(
-            "the owner records what it learnt",
-            {"waits": phase == WAITING},
+            "the owner records its crash counts",
+            {"waiting": phase == WAITING},
             {
                 "recorded_count": count,
                 "recorded_confirmed": confirmed,
@@ -93,7 +94,7 @@
             },
         ),
         Step(
-            "another owner goes on by the record",
+            "a new owner resumes from the record",
             {"at any time": z3.BoolVal(True)},
             {
                 "phase": inherited_phase,
@@ -103,8 +104,8 @@
             },
         ),
         Step(
-            "another owner goes on, and does not know that the run was alone",
-            {"the record tells of runs alone": z3.BoolVal(False)},
+            "a new owner resumes and does not know that the run was alone",
+            {"the record marks runs that are alone": z3.BoolVal(False)},
             {
                 "phase": inherited_phase,
                 "count": recorded_count,
@@ -113,12 +114,12 @@
             },
         ),
         Step(
-            "another owner goes on without what was counted",
-            {"the record tells the counts": z3.BoolVal(False)},
+            "a new owner resumes without the crash counts",
+            {"the record contains the counts": z3.BoolVal(False)},
             {"phase": inherited_phase, "count": z3.IntVal(0), "confirmed": z3.IntVal(0)},
         ),
         Step(
-            "the record forgets the run before its end is counted",
+            "the record drops the run before its end is counted",
             {"the record names the run": z3.And(phase == CRASHED, z3.BoolVal(False))},
             {"phase": z3.IntVal(WAITING), "recorded_open": z3.IntVal(0)},
         ),
@@ -128,12 +129,12 @@
         variables,
         {name: z3.IntVal(0) for name in names},
         steps,
-        {"started twice more at most after the third crash": starts_after <= STARTS_AFTER_MAX},
+        {"at most two more starts after the third crash": starts_after <= STARTS_AFTER_MAX},
         (
-            "alone from the third run on",
-            "given up once it is sure",
-            "the record tells of runs alone",
-            "the record tells the counts",
+            "alone after three crashes",
+            "failed permanently once confirmed",
+            "the record marks runs that are alone",
+            "the record contains the counts",
             "the record names the run",
         ),
     )
--- a/spec/explore.py
+++ b/spec/explore.py
@@ -1,4 +1,4 @@
-"""Proof of an invariant of a protocol with few states, by visiting every one of them."""
+"""Proof of an invariant of a finite protocol by breadth-first search of its states."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -8,7 +8,8 @@
 
 from spec.protocol import Protocol
 
-# Far more than such a protocol has: one that has them is not finite.
+# Well above the state count of any finite protocol here; a search that exceeds it is taken
+# to be infinite.
 STATES_MAX = 3_000_000
 
 State = tuple[int, ...]
@@ -27,7 +28,10 @@
 
 
 def explore(protocol: Protocol, invariant: str) -> bool:
-    """Tell whether the invariant holds in every reachable state; raise ``ValueError`` if many."""
+    """Return whether the invariant holds in every reachable state.
+
+    Raises ``ValueError`` if there are more than ``STATES_MAX`` reachable states.
+    """
     names = tuple(protocol.variables)
     steps = [
         (
@@ -50,12 +54,12 @@
                 seen.add(after)
                 pending.append(after)
         if len(seen) > STATES_MAX:
-            raise ValueError(f"{protocol.name} has over {STATES_MAX} states")
+            raise ValueError(f"{protocol.name} has more than {STATES_MAX} reachable states")
     return True
 
 
 def _compile(expression: z3.ExprRef, names: tuple[str, ...]) -> Callable[[State], Any]:
-    """Make a function of a state from an expression over the variables."""
+    """Compile an expression over the variables to a function of a state."""
     function: Callable[[State], Any] = eval(f"lambda s: {_to_python(expression, names)}")
     return function
 
@@ -67,7 +71,7 @@
 
 
 def _to_python(expression: z3.ExprRef, names: tuple[str, ...]) -> str:
-    """Write an expression as Python."""
+    """Return the Python source of an expression; variables are items of ``s``."""
     if z3.is_int_value(expression):
         return str(expression.as_long())  # type: ignore[attr-defined]
     kind = expression.decl().kind()
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -1,8 +1,8 @@
-"""Fencing at a worker: a paused dispatcher, a drain, a reboot.
+"""Model of fencing at a worker: a paused dispatcher, a drain and a reboot.
 
-Dispatcher 1 leases a slot under its token and may be paused before the task
-is sent.  Dispatcher 2 takes over, drains the host and reboots it.  ``fence``
-is the newest token that the worker has seen.
+Dispatcher 1 leases a slot under its fencing token and may be paused before it sends the task.
+Dispatcher 2 takes over, drains the host and reboots it.  ``fence`` is the newest token that
+the worker has seen.
 """
 
 import z3
@@ -13,7 +13,7 @@
 
 
 def make_fencing() -> Protocol:
-    """Make the protocol."""
+    """Return the model of fencing at a worker."""
     fence, running = z3.Ints("fence running")
     has_lease, is_draining, is_fenced, is_drained, is_cut = z3.Bools(
         "has_lease is_draining is_fenced is_drained is_cut"
@@ -22,7 +22,7 @@
     steps = (
         Step(
             "dispatcher 1 leases a slot",
-            {"serving": z3.Not(is_draining), "one": z3.Not(has_lease)},
+            {"serving": z3.Not(is_draining), "one lease": z3.Not(has_lease)},
             {"has_lease": true},
         ),
         Step(
@@ -71,7 +71,7 @@
         initial,
         steps,
         {
-            "a planned reboot cuts no request short": z3.Not(is_cut),
+            "a planned reboot interrupts no request": z3.Not(is_cut),
             "a drained host runs nothing": z3.Implies(is_drained, running == 0),
         },
         (
--- a/spec/membership.py
+++ b/spec/membership.py
@@ -1,4 +1,4 @@
-"""One pool a host, and halls that lose each other."""
+"""Models of pool membership (one pool per host) and of data halls that lose contact."""
 
 import z3
 
@@ -8,7 +8,7 @@
 
 
 def make_membership() -> Protocol:
-    """Make the protocol: operators race for a host on two daemons' stale views."""
+    """Return the model of concurrent assignments of one host by daemons with stale views."""
     is_member = {pool: z3.Bool(f"in_{pool}") for pool in POOLS}
     seen_free = {pool: z3.Bool(f"seen_free_{pool}") for pool in POOLS}
     steps = []
@@ -21,18 +21,18 @@
                 {f"seen_free_{pool}": z3.BoolVal(True)},
             ),
             Step(
-                f"the assignment to pool {pool} is folded",
-                {"asked": seen_free[pool], "free in order": is_unassigned},
+                f"the assignment to pool {pool} is applied",
+                {"requested": seen_free[pool], "free in order": is_unassigned},
                 {f"in_{pool}": z3.BoolVal(True), f"seen_free_{pool}": z3.BoolVal(False)},
             ),
             Step(
-                f"the assignment to pool {pool} is folded again",
-                {"asked": seen_free[pool], "there": is_member[pool]},
+                f"the assignment to pool {pool} is applied again",
+                {"requested": seen_free[pool], "member": is_member[pool]},
                 {},
             ),
             Step(
                 f"the host is released from pool {pool}",
-                {"there": is_member[pool]},
+                {"member": is_member[pool]},
                 {f"in_{pool}": z3.BoolVal(False)},
             ),
         ]
@@ -51,17 +51,17 @@
 
 
 def make_halls() -> Protocol:
-    """Make the protocol of two halls that lose each other and both reach the log."""
+    """Return the model of two halls that lose contact while both still reach the log."""
     cut = {hall: z3.Bool(f"cut_{hall}") for hall in POOLS}
     is_disconnected = z3.Bool("is_disconnected")
     steps = [
         Step(
-            "the halls lose each other",
+            "the halls lose contact",
             {"once": z3.Not(is_disconnected)},
             {"is_disconnected": z3.BoolVal(True)},
         ),
         Step(
-            "they hear each other again",
+            "the halls regain contact",
             {"disconnected": is_disconnected},
             {"is_disconnected": z3.BoolVal(False)},
         ),
@@ -78,7 +78,7 @@
             ),
             Step(
                 f"hall {hall} records that hall {other} is healed",
-                {"heard": z3.Not(is_disconnected), "cut": cut[other]},
+                {"connected": z3.Not(is_disconnected), "cut": cut[other]},
                 {f"cut_{other}": z3.BoolVal(False)},
             ),
         ]
@@ -88,6 +88,6 @@
         variables,
         {name: z3.BoolVal(False) for name in variables},
         tuple(steps),
-        {"one hall at least goes on claiming": z3.Not(z3.And(*cut.values()))},
+        {"at least one hall continues to claim": z3.Not(z3.And(*cut.values()))},
         ("its own hall is not cut off",),
     )
--- a/spec/ownership.py
+++ b/spec/ownership.py
@@ -1,8 +1,8 @@
-"""One task under two owners of its pool, on a host that may be out of sight.
+"""Model of one task under two successive owners of its pool, with a host that may be unreachable.
 
-Owner 1 records and sends a start to host 1 and may be paused anywhere.  Owner 2
-takes the pool, and may start the task on host 2.  A lease is a bound on time:
-once it has lapsed nothing runs on host 1 and no older order begins there.
+Owner 1 records a start, sends it to host 1 and may be paused at any point.  Owner 2 acquires
+the pool and may start the task on host 2.  Once the lease of host 1 has lapsed, host 1 runs
+no task and rejects starts that were sent earlier.
 """
 
 import z3
@@ -13,7 +13,7 @@
 
 
 def make_ownership() -> Protocol:
-    """Make the protocol."""
+    """Return the model of pool ownership."""
     epoch, fence = z3.Ints("epoch fence")
     is_recorded, is_sent, runs_on_1, runs_on_2, is_lapsed = z3.Bools(
         "is_recorded is_sent runs_on_1 runs_on_2 is_lapsed"
@@ -33,7 +33,7 @@
             "owner 1 records a run on host 1",
             {
                 "the store has seen no newer owner": epoch == OLD,
-                "not begun": z3.And(z3.Not(is_recorded), z3.Not(end_recorded)),
+                "not started": z3.And(z3.Not(is_recorded), z3.Not(end_recorded)),
             },
             {"is_recorded": true},
         ),
@@ -46,14 +46,16 @@
             "the start arrives at host 1, perhaps late",
             {
                 "sent": is_sent,
-                "its token is not older than the host has seen": fence <= OLD,
+                "its token is not older than the newest seen by the host": fence <= OLD,
                 "its lease has not lapsed": z3.Not(is_lapsed),
                 "not ended there": z3.Not(z3.Or(end_listed, end_recorded)),
             },
             {"runs_on_1": true, "was_run_repeated": z3.Or(was_run_repeated, runs_on_2, knows_end)},
         ),
         Step(
-            "the run ends on host 1", {"runs": runs_on_1}, {"runs_on_1": false, "end_listed": true}
+            "the run ends on host 1",
+            {"running": runs_on_1},
+            {"runs_on_1": false, "end_listed": true},
         ),
         Step(
             "the lease of host 1 lapses",
@@ -66,7 +68,7 @@
             {"end_recorded": true},
         ),
         Step(
-            "owner 1 acknowledges the end, and the host forgets it",
+            "owner 1 acknowledges the end, and the host drops it",
             {"listed": end_listed, "the end is recorded first": end_recorded},
             {"end_listed": false, "was_end_lost": z3.Or(was_end_lost, z3.Not(end_recorded))},
         ),
@@ -77,7 +79,7 @@
             {"is_open": true, "knows_run": is_recorded, "knows_end": end_recorded},
         ),
         Step(
-            "owner 2 hears host 1 under its token",
+            "owner 2 receives the report of host 1 under its token",
             {"open": is_open},
             {
                 "fence": z3.IntVal(NEW),
@@ -92,7 +94,7 @@
                 "open": is_open,
                 "not done": z3.Not(knows_end),
                 "once": z3.Not(runs_on_2),
-                "the host of a recorded run is heard, or its lease has lapsed": is_restart_safe,
+                "the host of a recorded run has reported, or its lease has lapsed": is_restart_safe,
             },
             {
                 "runs_on_2": true,
@@ -131,16 +133,16 @@
         initial,
         steps,
         {
-            "no two runs at once, and none after a noted end": z3.Not(was_run_repeated),
+            "no two concurrent runs, and no run after a recorded end": z3.Not(was_run_repeated),
             "an acknowledged end is recorded": z3.Not(was_end_lost),
         },
         (
             "the store has seen no newer owner",
             "recorded first",
-            "its token is not older than the host has seen",
+            "its token is not older than the newest seen by the host",
             "its lease has not lapsed",
             "the end is recorded first",
             "its epoch is set first",
-            "the host of a recorded run is heard, or its lease has lapsed",
+            "the host of a recorded run has reported, or its lease has lapsed",
         ),
     )
--- a/spec/protocol.py
+++ b/spec/protocol.py
@@ -1,4 +1,4 @@
-"""Transition relations: variables, steps with named guards, invariants."""
+"""Transition systems: variables, steps with named guards, and invariants."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A step: it may be taken where all ``guards`` hold, and assigns ``updates``.
+    """A transition that is enabled when all ``guards`` hold and assigns ``updates``.
 
-    Variables that ``updates`` does not name keep their value.  ``guards`` are
-    by name, so that one can be taken out.
+    Variables that are not in ``updates`` keep their value.  ``guards`` are keyed by name so
+    that a check can remove one.
     """
 
     name: str
@@ -23,8 +23,8 @@
 class Protocol:
     """A protocol over integer and boolean variables.
 
-    ``removable`` names the guards that the protocol's safety rests on.  One that ``is_finite``
-    has few reachable states, all of which are visited.
+    ``removable`` names the guards that the invariants depend on: removing any of them must
+    violate an invariant.  If ``is_finite``, the reachable states are few enough to visit all.
     """
 
     name: str
@@ -36,5 +36,5 @@
     is_finite: bool = False
 
     def get_condition(self, step: Step, without: str = "") -> z3.BoolRef:
-        """Return when ``step`` may be taken, with the guard ``without`` taken out."""
+        """Return the conjunction of the guards of ``step``, except the one named ``without``."""
         return z3.And(*(guard for name, guard in step.guards.items() if name != without))
--- a/spec/restart.py
+++ b/spec/restart.py
@@ -1,9 +1,9 @@
-"""Snapshots and restart: never backwards, never past a gap.
+"""Model of snapshots and restart: a daemon's offset never decreases and skips no record.
 
-``head`` is the log's end, ``first`` its oldest record, ``snapshot`` the offset
-of the newest snapshot, ``peer`` and ``applied`` what two daemons have folded.
-``went_back`` turns true where a living daemon's offset falls, ``has_gap``
-where it folds a record whose predecessor it lacks.
+``head`` is the end of the log, ``first`` its oldest record, ``snapshot`` the offset of the
+newest snapshot; ``peer`` and ``applied`` are the offsets up to which two daemons have applied
+records.  ``went_back`` becomes true when the offset of a running daemon decreases, ``has_gap``
+when it applies a record without the preceding one.
 """
 
 import z3
@@ -12,25 +12,25 @@
 
 
 def make_restart() -> Protocol:
-    """Make the protocol."""
+    """Return the model of snapshots and restart."""
     head, first, snapshot, applied, peer = z3.Ints("head first snapshot applied peer")
     is_new, went_back, has_gap = z3.Bools("is_new went_back has_gap")
     false = z3.BoolVal(False)
     steps = (
         Step("a record is appended", {}, {"head": head + 1}),
-        Step("the peer folds to the end", {}, {"peer": head}),
+        Step("the peer applies all records", {}, {"peer": head}),
         Step("the peer writes a snapshot", {"ahead": peer > snapshot}, {"snapshot": peer}),
         Step(
-            "the log lets its oldest record go",
+            "the log drops its oldest record",
             {
                 "a snapshot covers it": first < snapshot,
-                "there is one": first < head,
+                "there is a record": first < head,
             },
             {"first": first + 1},
         ),
         Step(
-            "the daemon folds the next record",
-            {"there is one": applied < head, "the log still holds it": applied >= first},
+            "the daemon applies the next record",
+            {"there is a record": applied < head, "the log still contains it": applied >= first},
             {
                 "applied": applied + 1,
                 "is_new": false,
@@ -38,12 +38,12 @@
             },
         ),
         Step(
-            "the daemon is replaced and starts with nothing",
+            "the daemon is replaced and starts with an empty state",
             {},
             {"applied": z3.IntVal(0), "is_new": z3.BoolVal(True)},
         ),
         Step(
-            "the daemon takes the newest snapshot",
+            "the daemon loads the newest snapshot",
             {"only if ahead": snapshot >= applied},
             {
                 "applied": snapshot,
@@ -51,7 +51,7 @@
             },
         ),
         Step(
-            "the daemon takes the peer's state",
+            "the daemon loads the peer's state",
             {"only if ahead": peer >= applied},
             {
                 "applied": peer,
@@ -79,9 +79,9 @@
         initial,
         steps,
         {
-            "a living daemon's state never goes back": z3.Not(went_back),
+            "the state of a running daemon never goes back": z3.Not(went_back),
             "no record is skipped": z3.Not(has_gap),
-            "a snapshot covers what the log let go": first <= snapshot,
+            "a snapshot covers the records that the log dropped": first <= snapshot,
         },
-        ("only if ahead", "the log still holds it", "a snapshot covers it"),
+        ("only if ahead", "the log still contains it", "a snapshot covers it"),
     )
--- a/spec/sharing.py
+++ b/spec/sharing.py
@@ -1,9 +1,11 @@
-"""A workspace's limit over two pools: keepers, owners, losses, late answers and a limit that falls.
+"""Models of a workspace's limit that is allocated to two pools as shares.
 
-``share_*`` is what the owner of a pool lets the workspace take, 0 for a new one until it was
-told; ``used_*`` what was recorded as running there, which a new owner reads.  ``bound_*`` is the
-most that the pool may hold as its keeper knows it.  ``pending_share_*`` is on its way to
-the pool, and may be lost.  ``broken`` turns true when a start brings the workspace over its limit.
+They cover a replaced allocator, new owners, lost and late messages, and a limit that falls.
+``share_*`` is the share of a pool that its owner applies, 0 for a new owner until it receives
+one.  ``used_*`` is the recorded usage in the pool, which a new owner reads.  ``bound_*`` is the
+largest share that the pool may have, as far as its allocator knows.  ``pending_share_*`` is a
+share in transit to the pool, which may be lost.  ``broken`` becomes true when a start brings the
+workspace over its limit.
 """
 
 from collections.abc import Mapping
@@ -16,33 +18,34 @@
 POOLS = (1, 2)
 NO_MESSAGE = -1
 INVARIANT = "no start brings a workspace over its limit"
-RISE_GUARD = "rises only by what no pool holds"
-WAIT_GUARD = "waits until it was told"
+RISE_GUARD = "rises only by capacity that no pool holds"
+WAIT_GUARD = "waits until it has received a share"
 
 
 def make_sharing() -> Protocol:
-    """Make the protocol of two keepers, of which the first may not know that it was replaced.
+    """Return the model of two allocators, the first of which may not know that it was replaced.
 
-    ``from_*`` is true where the second sent what is on its way; ``fence_*`` where the pool
-    heeds it alone; ``RESERVED`` of the limit is each pool's and never lent.
+    ``from_*`` is true if the second allocator sent the share in transit, ``fence_*`` if the
+    pool accepts shares only from the second.  ``RESERVED`` units of the limit belong to each
+    pool and are never allocated to the other.
     """
     share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     sender, fence = _make_bools("from", "fence")
     is_replaced, broken = z3.Bools("is_replaced broken")
     steps = [
-        Step("another keeper takes over", {"once": z3.Not(is_replaced)}, {"is_replaced": _TRUE})
+        Step("a second allocator takes over", {"once": z3.Not(is_replaced)}, {"is_replaced": _TRUE})
     ]
     for pool in POOLS:
         other = sum(POOLS) - pool
         for to in range(LIMIT):
             steps += [
                 Step(
-                    f"the first keeper tells pool {pool} a share of {to}",
+                    f"the first allocator sends pool {pool} a share of {to}",
                     {
-                        "nothing on its way": pending_share[pool] == NO_MESSAGE,
-                        "knows of no other keeper": z3.Not(fence[pool]),
+                        "no share in transit": pending_share[pool] == NO_MESSAGE,
+                        "knows of no other allocator": z3.Not(fence[pool]),
                         RISE_GUARD: to + _get_held_max(used, bound, other) <= LIMIT,
-                        "keeps what is never lent": to <= LIMIT - RESERVED,
+                        "leaves the reserved part of the other pool": to <= LIMIT - RESERVED,
                     },
                     {
                         f"pending_share_{pool}": z3.IntVal(to),
@@ -51,17 +54,17 @@
                     },
                 ),
                 Step(
-                    f"the second keeper tells pool {pool} a share of {to}",
+                    f"the second allocator sends pool {pool} a share of {to}",
                     {
-                        "heard this pool": fence[pool],
-                        "nothing on its way": pending_share[pool] == NO_MESSAGE,
-                        "all pools heard before more than the kept part is given": z3.Or(
+                        "this pool has reported": fence[pool],
+                        "no share in transit": pending_share[pool] == NO_MESSAGE,
+                        "all pools have reported before a share above the reserved part": z3.Or(
                             fence[other], to <= RESERVED
                         ),
                         RISE_GUARD: z3.Or(
                             z3.Not(fence[other]), to + _get_held_max(used, bound, other) <= LIMIT
                         ),
-                        "keeps what is never lent": to <= LIMIT - RESERVED,
+                        "leaves the reserved part of the other pool": to <= LIMIT - RESERVED,
                     },
                     {
                         f"pending_share_{pool}": z3.IntVal(to),
@@ -72,15 +75,15 @@
             ]
         steps += [
             Step(
-                f"the second keeper hears pool {pool}, which heeds no earlier one any more",
-                {"is there": is_replaced, "not heard": z3.Not(fence[pool])},
+                f"pool {pool} reports to the second allocator and stops accepting the first",
+                {"has taken over": is_replaced, "not reported": z3.Not(fence[pool])},
                 {f"fence_{pool}": _TRUE, f"bound_{pool}": share[pool]},
             ),
             Step(
-                f"pool {pool} takes what it was told",
+                f"pool {pool} applies the share in transit",
                 {
-                    "on its way": pending_share[pool] != NO_MESSAGE,
-                    "heeds no earlier keeper": z3.Or(sender[pool], z3.Not(fence[pool])),
+                    "share in transit": pending_share[pool] != NO_MESSAGE,
+                    "accepts no earlier allocator": z3.Or(sender[pool], z3.Not(fence[pool])),
                 },
                 {
                     f"share_{pool}": pending_share[pool],
@@ -99,18 +102,18 @@
         steps,
         (
             RISE_GUARD,
-            "all pools heard before more than the kept part is given",
-            "heeds no earlier keeper",
+            "all pools have reported before a share above the reserved part",
+            "accepts no earlier allocator",
             WAIT_GUARD,
         ),
     )
 
 
 def make_falling_limit() -> Protocol:
-    """Make the protocol of one keeper and a limit that falls.
+    """Return the model of one allocator and a limit that falls once.
 
-    ``new_*`` tells that what is on its way was decided since, ``settled_*`` that a pool goes
-    by that, and has told what it holds.
+    ``new_*`` is true if the share in transit was allocated after the fall, ``settled_*`` if
+    the pool applies such a share and has reported its usage.
     """
     share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     settled, is_new = _make_bools("settled", "new")
@@ -121,12 +124,12 @@
         other = sum(POOLS) - pool
         steps += [
             Step(
-                f"the keeper tells pool {pool} a share of {to}",
+                f"the allocator sends pool {pool} a share of {to}",
                 {
-                    "nothing on its way": pending_share[pool] == NO_MESSAGE,
+                    "no share in transit": pending_share[pool] == NO_MESSAGE,
                     RISE_GUARD: z3.Or(
                         to == 0,
-                        # After a fall it is not known what the other pool holds until it settled.
+                        # After a fall, the other pool's usage is unknown until it settles.
                         to
                         + z3.If(
                             z3.And(is_fallen, z3.Not(settled[other])),
@@ -135,7 +138,7 @@
                         )
                         <= current_limit,
                     ),
-                    "after a fall only once all have settled": z3.Or(
+                    "after a fall, only when all pools have settled": z3.Or(
                         z3.Not(is_fallen), to == 0, z3.And(settled[1], settled[2])
                     ),
                 },
@@ -149,8 +152,8 @@
         ]
         steps += [
             Step(
-                f"pool {pool} takes what it was told",
-                {"on its way": pending_share[pool] != NO_MESSAGE},
+                f"pool {pool} applies the share in transit",
+                {"share in transit": pending_share[pool] != NO_MESSAGE},
                 {
                     f"share_{pool}": pending_share[pool],
                     f"pending_share_{pool}": z3.IntVal(NO_MESSAGE),
@@ -164,7 +167,7 @@
                 used,
                 pending_share,
                 current_limit,
-                {"by a share from after the fall": z3.Or(z3.Not(is_fallen), settled[pool])},
+                {"the share was allocated after the fall": z3.Or(z3.Not(is_fallen), settled[pool])},
             ),
         ]
     return _make_protocol(
@@ -172,7 +175,11 @@
         (share, used, bound, pending_share, settled, is_new),
         {"is_fallen": is_fallen, "broken": broken},
         steps,
-        (RISE_GUARD, "after a fall only once all have settled", "by a share from after the fall"),
+        (
+            RISE_GUARD,
+            "after a fall, only when all pools have settled",
+            "the share was allocated after the fall",
+        ),
     )
 
 
@@ -193,7 +200,7 @@
 
 
 def _get_held_max(used: Variables, bound: Variables, pool: int) -> z3.ArithRef:
-    """Return what a pool may hold: what runs there, or what it may let begin."""
+    """Return the most that a pool may hold: the larger of its usage and its bound."""
     return _get_max(used[pool], bound[pool])
 
 
@@ -205,16 +212,16 @@
     current_limit: z3.ArithRef,
     guards: Mapping[str, z3.BoolRef],
 ) -> tuple[Step, ...]:
-    """Make the steps of a pool's owners."""
+    """Return the steps of a pool's successive owners."""
     broken = z3.Bool("broken")
     return (
         Step(
-            f"what pool {pool} was told is lost",
-            {"on its way": pending_share[pool] != NO_MESSAGE},
+            f"the share in transit to pool {pool} is lost",
+            {"share in transit": pending_share[pool] != NO_MESSAGE},
             {f"pending_share_{pool}": z3.IntVal(NO_MESSAGE)},
         ),
         Step(
-            f"pool {pool} begins a task of the workspace",
+            f"pool {pool} starts a task of the workspace",
             {"within its share": used[pool] + 1 <= share[pool], **guards},
             {
                 f"used_{pool}": used[pool] + 1,
@@ -223,16 +230,16 @@
         ),
         Step(
             f"a task ends in pool {pool}",
-            {"runs": used[pool] > 0},
+            {"running": used[pool] > 0},
             {f"used_{pool}": used[pool] - 1},
         ),
         Step(
-            f"pool {pool} gets a new owner, which reads what runs and waits to be told",
+            f"pool {pool} gets a new owner, which reads the usage and waits for a share",
             {},
             {f"share_{pool}": z3.IntVal(0)},
         ),
         Step(
-            f"pool {pool} gets a new owner, which takes the whole limit for its own",
+            f"pool {pool} gets a new owner, which applies the whole limit as its share",
             {WAIT_GUARD: _FALSE},
             {f"share_{pool}": z3.IntVal(LIMIT)},
         ),
--- a/src/robinthread/__main__.py
+++ b/src/robinthread/__main__.py
@@ -1,4 +1,4 @@
-"""Run robinthread from the command line."""
+"""Command-line entry point of robinthread."""
 
 import os
 import sys
@@ -15,10 +15,11 @@
 
 
 def main_and_exit() -> None:
-    """Run the command line and exit with its code, as the one-file binary does.
+    """Run the command line and exit with its exit code; entry point of the one-file binary.
 
-    A daemon lets go of what unpacked the binary: the same process begins anew with
-    the unpacked files, which saves 3 MB for its life.  No process is started.
+    A daemon started from the binary replaces its process image through ``execve`` and runs
+    from the unpacked files, without a child process.  This frees the memory of the unpacking
+    code, 3 MB for the daemon's lifetime.
     """
     if BOOTSTRAP_MODULE in sys.modules and sys.argv[1:2] == ["daemon"]:
         packages = Path(__file__).resolve().parent.parent
--- a/src/run_robinthread.py
+++ b/src/run_robinthread.py
@@ -1,6 +1,6 @@
-"""Run robinthread from a checkout, where it is not installed.
+"""Run robinthread from a source checkout without installing it.
 
-Python puts this file's folder on its path, and with it the package.
+Python adds the directory of this script to ``sys.path``, so the package can be imported.
 """
 
 from robinthread.__main__ import main_and_exit
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail are passed over and printed, and no others.
+"""Marks only the tests listed in ``KNOWN-RED.txt`` as expected failures and prints them.
 
-``KNOWN-RED.txt`` at the root has one line for each: the test's id, its cause and the open
-issue, separated by `` | ``.
+The file at the root has one line per test: the test's id, the cause of its failure and the
+open issue, separated by `` | ``.
 """
 
 from pathlib import Path
@@ -13,13 +13,13 @@
 
 
 def read_known_red(path: Path = KNOWN_RED) -> dict[str, str]:
-    """Return the line of each test that is known to fail, by the test's id."""
+    """Return the lines of ``path``, keyed by test id; empty if the file does not exist."""
     lines = path.read_text().splitlines() if path.exists() else []
     return {line.split(" | ")[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the known failures: one that passes is to be taken off the list."""
+    """Mark listed tests as strict expected failures: one that passes must leave the list."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -27,6 +27,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Print the known failures."""
+    """Print the lines of the known failing tests after the test run."""
     for line in read_known_red().values():
         terminalreporter.write_line(f"known red: {line}")
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""Docs that are checked against the code."""
+"""Checks of the documentation and the operator schema against the code."""
 
 from pathlib import Path
 
--- a/tests/unit/test_imports.py
+++ b/tests/unit/test_imports.py
@@ -1,4 +1,4 @@
-"""What a daemon imports, and so keeps in memory for life."""
+"""Limits on the modules that a daemon imports, which stay in memory for its lifetime."""
 
 import json
 import subprocess
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail."""
+"""Format and length of the list of known failing tests."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
--- a/tests/unit/test_node_flags.py
+++ b/tests/unit/test_node_flags.py
@@ -1,4 +1,4 @@
-"""Flags of the node verb, and a policy file that is refused at start."""
+"""Validation of the flags of the node verb and of its policy file at start."""
 
 import contextlib
 import io
--- a/tests/unit/test_spec_explore.py
+++ b/tests/unit/test_spec_explore.py
@@ -1,4 +1,4 @@
-"""Visiting all states of a protocol."""
+"""Proof by exhaustive search of the states of a protocol."""
 
 from dataclasses import replace
 
@@ -9,7 +9,7 @@
 
 
 def remove_guard(protocol: Protocol, guard: str) -> Protocol:
-    """Return the protocol without a guard."""
+    """Return the protocol without the guard in any of its steps."""
     steps = (
         replace(step, guards={name: each for name, each in step.guards.items() if name != guard})
         for step in protocol.steps
--- a/tools/build_binary.sh
+++ b/tools/build_binary.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Build dist/robinthread, one executable file; needs the extra "build".
+# Build dist/robinthread, a single executable file; requires the extra "build".
 #
-# Python runs it in the same process, without docstrings and assertions, which
-# saves 3 MB of private memory.
+# The interpreter runs with -OO, without docstrings and assertions, in the same
+# process, which saves 3 MB of private memory.
 set -eu
 cd "$(dirname "$0")/.."
 mkdir -p dist
--- a/tools/generate_protobuf.sh
+++ b/tools/generate_protobuf.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Generate the committed protobuf module from the schema; needs the extra "generate".
+# Generate the committed protobuf module from the schema; requires the extra "generate".
 set -eu
 cd "$(dirname "$0")/../src"
 python -m grpc_tools.protoc -I robinthread/_internal/operators \
--- a/tools/plot_tradeoff.py
+++ b/tools/plot_tradeoff.py
@@ -1,6 +1,6 @@
-"""Plot roll-out against buffer cost from the output of ``python -m bench wave_baselines``.
+"""Plot roll-out time against buffer cost from the output of ``python -m bench wave_baselines``.
 
-Usage: ``python tools/plot_tradeoff.py OUTPUT``; needs the extra "plot".
+Usage: ``python tools/plot_tradeoff.py OUTPUT``; requires the extra "plot".
 """
 
 import re
@@ -21,7 +21,7 @@
 
 
 def main(path: str) -> None:
-    """Write the plot."""
+    """Write the plot of the results in the file ``path`` to ``OUTPUT_PATH``."""
     text = Path(path).read_text(encoding="utf-8")
     counts = {
         name: float(value) for name, value in re.findall(r"^(\w[\w.]*)\s+([\d.]+)", text, re.M)
--- a/tools/write_result_codes.py
+++ b/tools/write_result_codes.py
@@ -1,4 +1,4 @@
-"""Write docs/RESULT_CODES.md from the code; a test compares the two."""
+"""Generate docs/RESULT_CODES.md from the result codes; a test checks that it is current."""
 
 from pathlib import Path
 
@@ -31,7 +31,7 @@
 
 
 def make_page() -> str:
-    """Return the page's text."""
+    """Return the Markdown text of the page: one table of codes per family."""
     parts = [HEAD]
     for family in Family:
         parts.append(f"\n## {family.value}xx: {FAMILY_WORDS[family]}\n")
