--- a/spec/claims.py
+++ b/spec/claims.py
@@ -18,13 +18,19 @@
 def make_claims() -> Protocol:
     """Return the model of request claims."""
     epoch, claimed = z3.Ints("epoch claimed")
-    is_late = z3.Bool("is_late")
+    is_past_deadline = z3.Bool("is_past_deadline")
     table = {owner: z3.Int(f"table_{owner}") for owner in OWNERS}
     believes = {owner: z3.Bool(f"believes_{owner}") for owner in OWNERS}
     granted = {daemon: z3.Bool(f"granted_{daemon}") for daemon in DAEMONS}
     ran = {daemon: z3.Bool(f"ran_{daemon}") for daemon in DAEMONS}
     denied = {daemon: z3.Bool(f"denied_{daemon}") for daemon in DAEMONS}
-    steps = [Step("deadline passes", {"once": z3.Not(is_late)}, {"is_late": z3.BoolVal(True)})]
+    steps = [
+        Step(
+            "deadline passes",
+            {"once": z3.Not(is_past_deadline)},
+            {"is_past_deadline": z3.BoolVal(True)},
+        )
+    ]
     for owner in OWNERS:
         steps += [
             Step(
@@ -47,7 +53,7 @@
             ),
             Step(
                 f"owner {owner} drops the claim after the deadline",
-                {"late": is_late, "held": table[owner] != 0, "owner": epoch == owner},
+                {"late": is_past_deadline, "held": table[owner] != 0, "owner": epoch == owner},
                 {f"table_{owner}": z3.IntVal(0), "claimed": z3.IntVal(0)},
             ),
         ]
@@ -59,7 +65,7 @@
                     {
                         "requesting": is_requesting,
                         "not claimed yet": table[owner] == 0,
-                        "before the deadline": z3.Not(is_late),
+                        "before the deadline": z3.Not(is_past_deadline),
                         "batch of the current epoch": epoch == owner,
                     },
                     {
@@ -73,7 +79,7 @@
                     {
                         "requesting": is_requesting,
                         "not claimed yet": table[owner] == 0,
-                        "before the deadline": z3.Not(is_late),
+                        "before the deadline": z3.Not(is_past_deadline),
                         "batch of the current epoch": epoch == owner,
                     },
                     {"claimed": z3.IntVal(daemon), f"table_{owner}": z3.IntVal(daemon)},
@@ -117,7 +123,7 @@
     variables = {
         "epoch": epoch,
         "claimed": claimed,
-        "is_late": is_late,
+        "is_past_deadline": is_past_deadline,
         **{f"table_{owner}": table[owner] for owner in OWNERS},
         **{f"believes_{owner}": believes[owner] for owner in OWNERS},
         **{f"granted_{daemon}": granted[daemon] for daemon in DAEMONS},
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -15,8 +15,8 @@
 def make_fencing() -> Protocol:
     """Return the model of fencing at a worker."""
     fence, running = z3.Ints("fence running")
-    has_lease, is_draining, is_fenced, is_drained, is_cut = z3.Bools(
-        "has_lease is_draining is_fenced is_drained is_cut"
+    has_lease, is_draining, is_fenced, is_drained, is_interrupted = z3.Bools(
+        "has_lease is_draining is_fenced is_drained is_interrupted"
     )
     true, false = z3.BoolVal(True), z3.BoolVal(False)
     steps = (
@@ -49,7 +49,7 @@
         Step(
             "the host reboots",
             {"drained": is_drained},
-            {"is_cut": z3.Or(is_cut, running > 0), "running": z3.IntVal(0)},
+            {"is_interrupted": z3.Or(is_interrupted, running > 0), "running": z3.IntVal(0)},
         ),
     )
     variables = {
@@ -59,7 +59,7 @@
         "is_draining": is_draining,
         "is_fenced": is_fenced,
         "is_drained": is_drained,
-        "is_cut": is_cut,
+        "is_interrupted": is_interrupted,
     }
     initial = {
         name: false if z3.is_bool(variable) else z3.IntVal(0)
@@ -71,7 +71,7 @@
         initial,
         steps,
         {
-            "a planned reboot interrupts no request": z3.Not(is_cut),
+            "a planned reboot interrupts no request": z3.Not(is_interrupted),
             "a drained host runs nothing": z3.Implies(is_drained, running == 0),
         },
         (
--- a/spec/sharing.py
+++ b/spec/sharing.py
@@ -4,8 +4,8 @@
 ``share_*`` is the share of a pool that its owner applies, 0 for a new owner until it receives
 one.  ``used_*`` is the recorded usage in the pool, which a new owner reads.  ``bound_*`` is the
 largest share that the pool may have, as far as its allocator knows.  ``pending_share_*`` is a
-share in transit to the pool, which may be lost.  ``broken`` becomes true when a start brings the
-workspace over its limit.
+share in transit to the pool, which may be lost.  ``is_over_limit`` becomes true when a
+start brings the workspace over its limit.
 """
 
 from collections.abc import Mapping
@@ -31,7 +31,7 @@
     """
     share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     sender, fence = _make_bools("from", "fence")
-    is_replaced, broken = z3.Bools("is_replaced broken")
+    is_replaced, is_over_limit = z3.Bools("is_replaced is_over_limit")
     steps = [
         Step("a second allocator takes over", {"once": z3.Not(is_replaced)}, {"is_replaced": _TRUE})
     ]
@@ -98,7 +98,7 @@
     return _make_protocol(
         "sharing",
         (share, used, bound, pending_share, sender, fence),
-        {"is_replaced": is_replaced, "broken": broken},
+        {"is_replaced": is_replaced, "is_over_limit": is_over_limit},
         steps,
         (
             RISE_GUARD,
@@ -117,7 +117,7 @@
     """
     share, used, bound, pending_share = _make_ints("share", "used", "bound", "pending_share")
     settled, is_new = _make_bools("settled", "new")
-    is_fallen, broken = z3.Bools("is_fallen broken")
+    is_fallen, is_over_limit = z3.Bools("is_fallen is_over_limit")
     current_limit = z3.If(is_fallen, FALLEN, LIMIT)
     steps = [Step("the limit falls", {"once": z3.Not(is_fallen)}, {"is_fallen": _TRUE})]
     for pool in POOLS:
@@ -173,7 +173,7 @@
     return _make_protocol(
         "falling limit",
         (share, used, bound, pending_share, settled, is_new),
-        {"is_fallen": is_fallen, "broken": broken},
+        {"is_fallen": is_fallen, "is_over_limit": is_over_limit},
         steps,
         (
             RISE_GUARD,
@@ -213,7 +213,7 @@
     guards: Mapping[str, z3.BoolRef],
 ) -> tuple[Step, ...]:
     """Return the steps of a pool's successive owners."""
-    broken = z3.Bool("broken")
+    is_over_limit = z3.Bool("is_over_limit")
     return (
         Step(
             f"the share in transit to pool {pool} is lost",
@@ -225,7 +225,7 @@
             {"within its share": used[pool] + 1 <= share[pool], **guards},
             {
                 f"used_{pool}": used[pool] + 1,
-                "broken": z3.Or(broken, used[1] + used[2] + 1 > current_limit),
+                "is_over_limit": z3.Or(is_over_limit, used[1] + used[2] + 1 > current_limit),
             },
         ),
         Step(
@@ -268,7 +268,7 @@
         variables,
         initial,
         tuple(steps),
-        {INVARIANT: z3.Not(z3.Bool("broken"))},
+        {INVARIANT: z3.Not(z3.Bool("is_over_limit"))},
         removable,
         is_finite=True,
     )
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -10,13 +10,13 @@
 
 
 class DocsTest(TestCase):
-    def test_result_codes_page_is_the_codes(self) -> None:
+    def test_result_codes_page_matches_the_codes(self) -> None:
         self.assertEqual(make_page(), Path("docs/RESULT_CODES.md").read_text(encoding="utf-8"))
 
     def test_every_code_has_a_meaning(self) -> None:
         self.assertEqual(set(ResultCode), set(MEANINGS))
 
-    def test_links_between_pages_lead_somewhere(self) -> None:
+    def test_links_between_pages_resolve(self) -> None:
         import re
 
         for page in [Path("README.md"), *Path("docs").rglob("*.md")]:
--- a/tests/unit/test_imports.py
+++ b/tests/unit/test_imports.py
@@ -26,11 +26,11 @@
 
 
 class ImportsTest(TestCase):
-    def test_daemon_imports_nothing_that_it_does_not_need(self) -> None:
+    def test_daemon_imports_no_forbidden_package(self) -> None:
         found = subprocess.run([sys.executable, "-c", CODE], capture_output=True, check=True)
         self.assertEqual(set(), FORBIDDEN_PACKAGES & set(json.loads(found.stdout)))
 
-    def test_daemon_imports_no_stand_in(self) -> None:
+    def test_daemon_imports_no_stand_in_and_few_modules(self) -> None:
         code = CODE.replace('{name.split(".")[0]', "{name")
         found = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
         modules = json.loads(found.stdout)
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -12,7 +12,7 @@
 
 
 class KnownRedTest(TestCase):
-    def test_list_is_short_and_each_line_names_a_test_that_exists_and_an_issue(self) -> None:
+    def test_list_is_short_and_each_line_names_an_existing_test_and_an_issue(self) -> None:
         known = read_known_red()
         self.assertLessEqual(len(known), LINES_MAX)
         for test_id, line in known.items():
@@ -20,11 +20,11 @@
             self.assertIn(f"def {name.rpartition('::')[2]}(", (ROOT / path).read_text())
             self.assertIn("issue", line.rpartition(" | ")[2])
 
-    def test_lines_are_read_by_the_id_of_their_test(self) -> None:
+    def test_lines_are_keyed_by_test_id(self) -> None:
         with TemporaryDirectory() as folder:
             path = Path(folder) / "red.txt"
             path.write_text("tests/a.py::A::test_b | it hangs | issue 1\n\n")
             self.assertEqual(["tests/a.py::A::test_b"], list(read_known_red(path)))
 
-    def test_no_list_is_an_empty_one(self) -> None:
+    def test_missing_file_is_an_empty_list(self) -> None:
         self.assertEqual({}, read_known_red(Path("no-such-file")))
--- a/tests/unit/test_node_flags.py
+++ b/tests/unit/test_node_flags.py
@@ -12,7 +12,7 @@
 from robinthread._internal.cli.main import run_command_line
 from robinthread._internal.platform.settings import SETTINGS_VARIABLE
 
-WRONG = {
+EXPECTED_TEXT_OF_FLAG = {
     "--metrics_port=0": "a whole number from 1 to 65535",
     "--metrics_port=here": "a whole number from 1 to 65535",
     "--policy=": "once each, not --policy=",
@@ -27,14 +27,14 @@
             code = run_command_line(["node", *flags])
         return code, output.getvalue()
 
-    def test_wrong_flags_are_refused_by_number(self) -> None:
-        for flag, expected in WRONG.items():
+    def test_wrong_flags_are_refused_as_bad_arguments(self) -> None:
+        for flag, expected in EXPECTED_TEXT_OF_FLAG.items():
             code, text = self.run_node(flag)
             self.assertNotEqual(0, code)
             self.assertIn("BAD_ARGUMENT", text)
             self.assertIn(expected, text)
 
-    def test_flag_may_be_given_once(self) -> None:
+    def test_repeated_flag_is_refused(self) -> None:
         _code, text = self.run_node("--metrics_port=1", "--metrics_port=2")
         self.assertIn("once each, not --metrics_port=2", text)
 
@@ -47,7 +47,7 @@
             self.assertIn("BAD_SETTINGS", text)
             self.assertIn("line 4: fleet.moves_directly: is 3, expected true or false", text)
 
-    def test_missing_policy_is_told(self) -> None:
+    def test_missing_policy_file_is_reported(self) -> None:
         code, text = self.run_node("--policy=/nowhere/policy.toml")
         self.assertNotEqual(0, code)
         self.assertIn("/nowhere/policy.toml", text)
--- a/tools/write_result_codes.py
+++ b/tools/write_result_codes.py
@@ -6,8 +6,8 @@
 from robinthread._internal.entry.handler import CODE_STATUS, FAMILY_STATUS
 from robinthread._internal.results import MEANINGS, Family, ResultCode
 
-PATH = Path(__file__).parent.parent / "docs" / "RESULT_CODES.md"
-HEAD = """# Result codes
+PAGE_PATH = Path(__file__).parent.parent / "docs" / "RESULT_CODES.md"
+PAGE_HEADER = """# Result codes
 
 Written by `python tools/write_result_codes.py`; a test compares it with the code.
 
@@ -19,7 +19,7 @@
 The exit code of the command line is 0 for success, else
 `(code // 100 - 2) * 40 + code % 100`.
 """
-FAMILY_WORDS = {
+FAMILY_DESCRIPTIONS = {
     Family.SUCCESS: "operators' call or record took effect",
     Family.RAN: "ran",
     Family.DID_NOT_RUN: "did not run: no try up to this one was started",
@@ -32,9 +32,9 @@
 
 def make_page() -> str:
     """Return the Markdown text of the page: one table of codes per family."""
-    parts = [HEAD]
+    parts = [PAGE_HEADER]
     for family in Family:
-        parts.append(f"\n## {family.value}xx: {FAMILY_WORDS[family]}\n")
+        parts.append(f"\n## {family.value}xx: {FAMILY_DESCRIPTIONS[family]}\n")
         parts.append("| code | name | HTTP status for callers | exit code | meaning |")
         parts.append("|---|---|---|---|---|")
         parts += [_make_row(code) for code in ResultCode if code.family is family]
@@ -47,4 +47,4 @@
 
 
 if __name__ == "__main__":
-    PATH.write_text(make_page(), encoding="utf-8")
+    PAGE_PATH.write_text(make_page(), encoding="utf-8")
