--- a/tests/unit/test_spec_explore.py
+++ b/tests/unit/test_spec_explore.py
@@ -18,7 +18,7 @@
 
 
 class ExploreTest(TestCase):
-    def test_invariants_hold_and_are_violated_without_any_guard(self) -> None:
+    def test_invariants_hold_and_are_violated_when_a_guard_is_removed(self) -> None:
         for protocol in (make_sharing(), make_falling_limit()):
             self.assertTrue(explore(protocol, INVARIANT))
             for guard in protocol.removable:
