--- a/tests/unit/test_spec_explore.py
+++ b/tests/unit/test_spec_explore.py
@@ -1,4 +1,4 @@
-"""Visiting all states of a protocol."""
+"""Proof by exhaustive search of the states of a protocol."""
 
 from dataclasses import replace
 
@@ -8,8 +8,8 @@
 from testtools import TestCase
 
 
-def take_out(protocol: Protocol, guard: str) -> Protocol:
-    """Return the protocol without a guard."""
+def remove_guard(protocol: Protocol, guard: str) -> Protocol:
+    """Return the protocol without the guard in any of its steps."""
     steps = (
         replace(step, guards={name: each for name, each in step.guards.items() if name != guard})
         for step in protocol.steps
@@ -18,8 +18,8 @@
 
 
 class ExploreTest(TestCase):
-    def test_protocols_hold_and_break_without_any_of_their_guards(self) -> None:
+    def test_invariants_hold_and_are_violated_when_a_guard_is_removed(self) -> None:
         for protocol in (make_sharing(), make_falling_limit()):
             self.assertTrue(explore(protocol, INVARIANT))
             for guard in protocol.removable:
-                self.assertFalse(explore(take_out(protocol, guard), INVARIANT), guard)
+                self.assertFalse(explore(remove_guard(protocol, guard), INVARIANT), guard)
