--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -105,9 +105,9 @@
     print(f"--- {result.name}{': ' + result.note if result.note else ''}")
     for name, value in result.counts.items():
         bound = bounds.get(name)
-        beside = f"accepted {bound.accepted:g}" if bound else ""
+        accepted_text = f"accepted {bound.accepted:g}" if bound else ""
         mark = "  BROKEN" if name in broken else ""
-        print(f"{name:48s}{value:14g}  {beside}{mark}")
+        print(f"{name:48s}{value:14g}  {accepted_text}{mark}")
     return [f"{result.name}.{name}" for name in broken]
 
 
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -40,7 +40,7 @@
 def _count_a_start(hosts: int, waiting: int) -> float:
     pool = _make_pool(hosts)
     _add_jobs(pool, waiting)
-    with _counted_looks() as looks:
+    with _count_capacity_checks() as looks:
         placed = place_waiting(pool, 0.0, 0)
     return round(sum(looks) / placed, 2)
 
@@ -50,7 +50,7 @@
     _add_jobs(pool, hosts * HOST_CAPACITY.cpu_millicores // STEP.cpu_millicores)
     place_waiting(pool, 0.0, 0)
     _add_jobs(pool, waiting)
-    with _counted_looks() as looks:
+    with _count_capacity_checks() as looks:
         assert place_waiting(pool, 0.0, 0) == 0
     return sum(looks)
 
@@ -60,7 +60,7 @@
     _add_jobs(pool, LASTING.task_count, LASTING)
     place_waiting(pool, 0.0, 0)
     _add_jobs(pool, waiting, step)
-    with _counted_looks() as looks:
+    with _count_capacity_checks() as looks:
         DemandForecaster(1.8, DemandPolicy()).forecast(pool, 0.0, 0)
     return sum(looks)
 
@@ -84,7 +84,7 @@
 
 
 @contextmanager
-def _counted_looks() -> Iterator[list[int]]:
+def _count_capacity_checks() -> Iterator[list[int]]:
     """Count how often room is compared meanwhile."""
     looks: list[int] = []
     compare = Resources.fits_in
--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -20,19 +20,19 @@
 STEPS = 6
 
 
-def measure(pool_count: int, wanting_count: int) -> tuple[float, int]:
+def measure(pool_count: int, active_count: int) -> tuple[float, int]:
     """Return milliseconds of the longest step of the steward, and bytes of an order."""
     pools = tuple(PoolPolicy(f"pool-{number}") for number in range(pool_count))
     names = [f"workspace-{number}" for number in range(WORKSPACES)]
     config = make_fleet_config(
         1, (), pools, 1000, tuple(WorkspacePolicy(name, limit=LIMIT) for name in names)
     )
-    standings = tuple(
+    usages = tuple(
         WorkspaceUsage(name, (5_000, 0, 0), (90_000, 0, 0), (2_000, 0, 0))
-        for name in names[:wanting_count]
+        for name in names[:active_count]
     )
     allocator = ShareAllocator(1, 0.2, 0.0, EventLog("bench", lambda line: None))
-    took_s = max(_take_step(allocator, config, standings) for _ in range(STEPS))
+    took_s = max(_take_step(allocator, config, usages) for _ in range(STEPS))
     order = allocator.make_order(pools[0].name, config)
     return took_s * 1000, len(msgspec.msgpack.encode(order))
 
@@ -40,14 +40,14 @@
 def _take_step(
     allocator: ShareAllocator,
     config: FleetConfig,
-    standings: tuple[WorkspaceUsage, ...],
+    usages: tuple[WorkspaceUsage, ...],
 ) -> float:
     orders = {pool: allocator.make_order(pool, config) for pool in config.list_working_pools()}
     reports = {
         pool: PoolReport(
             True,
             share_state=ShareState(order.token, order.number, order.table),
-            workspaces=standings,
+            workspaces=usages,
         )
         for pool, order in orders.items()
         if order is not None
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -40,7 +40,7 @@
 def run_takeover() -> BenchResult:
     """Lose owners in each way, some times each."""
     counts: dict[str, float] = {}
-    for name, lose in WAYS.items():
+    for name, lose in FAILURES.items():
         took_s = [run_virtual(_measure(lose, seed)) for seed in SEEDS]
         counts[f"{name}_p50_s"] = round(statistics.median(took_s), 3)
         counts[f"{name}_p100_s"] = round(max(took_s), 3)
@@ -50,32 +50,32 @@
 async def _measure(lose: LoseOwner, seed: int) -> float:
     """Return the time from a loss to the first start by another node."""
     platform = await start_platform(_plan_short, nodes=NODES, seed=seed)
-    arrivals = asyncio.ensure_future(_hand_in_on_end(platform))
+    arrivals = asyncio.ensure_future(_submit_periodically(platform))
     # Each seed loses the owner at another point of its periodic work.
     await asyncio.sleep(BEFORE_LOSS_S + 0.037 * seed)
-    former = get_owner(platform)
-    assert former is not None
+    previous = get_owner(platform)
+    assert previous is not None
     lost_at_s = asyncio.get_running_loop().time()
-    lose(platform, former)
-    while not _has_owner_beside(platform, former):
+    lose(platform, previous)
+    while not _has_other_owner(platform, previous):
         await asyncio.sleep(POLL_S)
-    taken_at_s = asyncio.get_running_loop().time()
+    acquired_at_s = asyncio.get_running_loop().time()
     runs = platform.hosts.ledger.runs
-    await wait_until(lambda: any(run.began_at_s >= taken_at_s for run in runs))
+    await wait_until(lambda: any(run.began_at_s >= acquired_at_s for run in runs))
     arrivals.cancel()
-    return min(run.began_at_s for run in runs if run.began_at_s >= taken_at_s) - lost_at_s
+    return min(run.began_at_s for run in runs if run.began_at_s >= acquired_at_s) - lost_at_s
 
 
-def _has_owner_beside(platform: PlatformStandin, former: str) -> bool:
+def _has_other_owner(platform: PlatformStandin, previous: str) -> bool:
     """Tell whether another node serves the pool; one that is cut off may believe it does."""
     return any(
         (owner := node.assembled.owned.owners.get(POOL)) is not None and owner.is_open
         for name, node in platform.nodes.items()
-        if name != former
+        if name != previous
     )
 
 
-async def _hand_in_on_end(platform: PlatformStandin) -> None:
+async def _submit_periodically(platform: PlatformStandin) -> None:
     """Hand jobs in by turns at the nodes that the store serves."""
     for number in itertools.count(1):
         lost = platform.cut_nodes | platform.store.faults.refused
@@ -94,7 +94,7 @@
     )
 
 
-WAYS: Final[dict[str, LoseOwner]] = {
+FAILURES: Final[dict[str, LoseOwner]] = {
     "killed": lambda platform, name: platform.kill_node(name),
     "cut_off": lambda platform, name: platform.cut_node(name),
     "turned_away": lambda platform, name: platform.store.faults.refused.add(name),
