--- a/tests/lib/soak/callers.py
+++ b/tests/lib/soak/callers.py
@@ -9,16 +9,16 @@
 from tests.lib.soak.node_process import CALLERS_PORT, NodeProcess
 from tests.lib.soak.world import QUEUE_HOST, QUEUE_PATH
 
-ANSWERED_WITHIN_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 POLL_S = 0.5
 FINAL = ("succeeded", "failed", "canceled")
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """Nothing came back, or not in time."""
 
 
-class CutAnswerError(NoAnswerError):
+class TruncatedResponseError(NoResponseError):
     """An answer ended before it was whole."""
 
 
@@ -48,35 +48,37 @@
             body,
         )
         try:
-            async with asyncio.timeout(ANSWERED_WITHIN_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 self._writer.write("\r\n".join(lines).encode())
                 return await self._read()
         except (OSError, TimeoutError) as error:
-            raise NoAnswerError(repr(error)) from error
+            raise NoResponseError(repr(error)) from error
 
     async def _read(self) -> tuple[int, dict[str, Any]]:
         try:
             head = await self._reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as error:
-            raise (CutAnswerError if error.partial else NoAnswerError)("no whole head") from error
+            raise (TruncatedResponseError if error.partial else NoResponseError)(
+                "no whole head"
+            ) from error
         status = int(head.split()[1])
         fields = dict(line.split(b": ", 1) for line in head.lower().splitlines()[1:] if line)
         try:
             body = await self._reader.readexactly(int(fields[b"content-length"]))
         except asyncio.IncompleteReadError as error:
-            raise CutAnswerError("no whole body") from error
+            raise TruncatedResponseError("no whole body") from error
         return status, json.loads(body) if body else {}
 
 
 @dataclass
-class CallersBook:
+class CallerTracker:
     """What callers were told: accepted jobs, the last state of each, and what must not be."""
 
     accepted: set[str] = field(default_factory=set)
     states: dict[str, str] = field(default_factory=dict)
     breaks: list[str] = field(default_factory=list)
 
-    def note_state(self, job_id: str, state: str) -> None:
+    def record_state(self, job_id: str, state: str) -> None:
         """Take in a job's state."""
         before = self.states.get(job_id)
         if before in FINAL and state != before:
@@ -92,9 +94,9 @@
 class Caller:
     """Hands jobs in and asks for them, at one node until that is gone, then at another."""
 
-    def __init__(self, nodes: list[NodeProcess], book: CallersBook, seed: int) -> None:
+    def __init__(self, nodes: list[NodeProcess], tracker: CallerTracker, seed: int) -> None:
         self._nodes = nodes
-        self._book = book
+        self._tracker = tracker
         self._random = random.Random(seed)
         self._connection: Connection | None = None
         self._node = self._random.choice(nodes)
@@ -103,19 +105,19 @@
         """Hand a job in until a node has accepted it."""
         while (answer := await self._call("POST", job_id, body)) is None or answer[0] != 200:
             await asyncio.sleep(POLL_S)
-        self._book.accepted.add(job_id)
+        self._tracker.accepted.add(job_id)
 
     async def follow(self, job_id: str) -> None:
         """Ask for a job until it is shown as ended."""
-        while self._book.states.get(job_id) not in FINAL:
+        while self._tracker.states.get(job_id) not in FINAL:
             await asyncio.sleep(POLL_S)
-            await self.ask(job_id)
+            await self.query(job_id)
 
-    async def ask(self, job_id: str) -> None:
+    async def query(self, job_id: str) -> None:
         """Ask for a job once."""
         answer = await self._call("GET", job_id, "")
         if answer is not None and answer[0] == 200:
-            self._book.note_state(job_id, answer[1]["state"])
+            self._tracker.record_state(job_id, answer[1]["state"])
 
     async def _call(self, method: str, job_id: str, body: str) -> tuple[int, dict[str, Any]] | None:
         """Return the answer, if there was one; go to another node otherwise."""
@@ -123,9 +125,11 @@
             if self._connection is None:
                 self._connection = await Connection.open(self._node.ip)
             return await self._connection.call(method, job_id, body)
-        except (OSError, NoAnswerError) as error:
-            if isinstance(error, CutAnswerError) and self._node.is_stopping:
-                self._book.breaks.append(f"{self._node.name} stopped within an answer to {job_id}")
+        except (OSError, NoResponseError) as error:
+            if isinstance(error, TruncatedResponseError) and self._node.is_stopping:
+                self._tracker.breaks.append(
+                    f"{self._node.name} stopped within an answer to {job_id}"
+                )
             if self._connection is not None:
                 self._connection.close()
             self._connection, self._node = None, self._random.choice(self._nodes)
--- a/tests/lib/soak/node_process.py
+++ b/tests/lib/soak/node_process.py
@@ -58,7 +58,7 @@
         self._clock = folder / f"{name}.clock"
         self._settings = folder / f"{name}.toml"
         self._log = folder / f"{name}.log"
-        self._log_began_at = 0
+        self._log_start_bytes = 0
         self._process: asyncio.subprocess.Process | None = None
 
     @property
@@ -79,7 +79,7 @@
         """Start a process unless there is one."""
         if self._process is not None:
             return
-        self._log_began_at = self._log.stat().st_size if self._log.exists() else 0
+        self._log_start_bytes = self._log.stat().st_size if self._log.exists() else 0
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "tests.lib.soak.stepped_clock", str(self._clock)),
@@ -97,9 +97,9 @@
         """Have the node's time of day differ by so much from now on."""
         self._clock.write_text(str(step_s))
 
-    def _has_begun(self) -> bool:
+    def _has_logged(self) -> bool:
         """Tell whether the process has come as far as to take signals: it has told of itself."""
-        return self._log.stat().st_size > self._log_began_at
+        return self._log.stat().st_size > self._log_start_bytes
 
     async def kill(self) -> None:
         """End the process at once."""
@@ -117,7 +117,7 @@
         self.signal(signal.SIGTERM)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S)
-            if process.returncode and process is self._process and self._has_begun():
+            if process.returncode and process is self._process and self._has_logged():
                 self.stop_faults.append(f"{self.name} ended with {process.returncode}")
         except TimeoutError:
             self.stop_faults.append(f"{self.name} had not ended after {GRACE_S} s")
--- a/tests/lib/soak/proxy.py
+++ b/tests/lib/soak/proxy.py
@@ -4,10 +4,10 @@
 import contextlib
 import enum
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 
 
-class Way(enum.Enum):
+class Direction(enum.Enum):
     """A direction: to what is called, or back to the caller."""
 
     OUT = "out"
@@ -26,7 +26,7 @@
         self._server: asyncio.Server | None = None
         self._port = 0
         self._writers: set[asyncio.StreamWriter] = set()
-        self._open = {way: asyncio.Event() for way in Way}
+        self._open = {direction: asyncio.Event() for direction in Direction}
         self.delay_s = 0.0
         for event in self._open.values():
             event.set()
@@ -54,10 +54,10 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def hold(self, *ways: Way) -> None:
+    def hold(self, *directions: Direction) -> None:
         """Hold what goes some ways, on connections that there are and on new ones."""
-        for way in ways:
-            self._open[way].clear()
+        for direction in directions:
+            self._open[direction].clear()
 
     def release(self) -> None:
         """Let all that was held go on."""
@@ -67,27 +67,27 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            there_reader, there_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             # Whoever is called is gone: so is the connection.
             writer.transport.abort()
             self._writers.discard(writer)
             return
-        self._writers.add(there_writer)
-        out = asyncio.create_task(self._pass_on(Way.OUT, reader, there_writer))
-        back = asyncio.create_task(self._pass_on(Way.BACK, there_reader, writer))
+        self._writers.add(target_writer)
+        out = asyncio.create_task(self._pass_on(Direction.OUT, reader, target_writer))
+        back = asyncio.create_task(self._pass_on(Direction.BACK, target_reader, writer))
         await asyncio.wait((out, back))
-        self._writers -= {writer, there_writer}
+        self._writers -= {writer, target_writer}
 
     async def _pass_on(
-        self, way: Way, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         # A connection that breaks on one side is broken on the other, which ends the other way.
         with contextlib.suppress(OSError):
-            while data := await reader.read(PIECE_BYTES):
+            while data := await reader.read(CHUNK_BYTES):
                 await asyncio.sleep(self.delay_s)
-                await self._open[way].wait()
+                await self._open[direction].wait()
                 writer.write(data)
                 await writer.drain()
-        await self._open[way].wait()
+        await self._open[direction].wait()
         writer.close()
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -12,9 +12,9 @@
 
 from robinthread._internal.models.upkeep_wave import UpkeepWave
 from robinthread._internal.standins.platform_standin import StartTimeSource
-from tests.lib.soak.callers import Caller, CallersBook
+from tests.lib.soak.callers import Caller, CallerTracker
 from tests.lib.soak.node_process import NodeProcess
-from tests.lib.soak.troubles import SoakTrouble, bring_about, draw_troubles
+from tests.lib.soak.troubles import SoakTrouble, apply_trouble, draw_troubles
 from tests.lib.soak.world import LASTING_JOB, SoakWorld
 
 # A job that is cancelled may begin tasks for so long: none is cancelled here.
@@ -23,7 +23,7 @@
 # After the last trouble all that was accepted ends within so long, on a busy machine too.
 ENDED_WITHIN_S = 60.0
 # A lasting task runs again so long after its end; one may just be on its way to another host.
-AGAIN_MAX_S = 9.0
+LASTING_RESTART_MAX_S = 9.0
 LAG_PERIOD_S = 0.02
 JOB = '{"spec": "text", "steps": [{"count": 3, "cpu": 1000, "mem_mb": 100, "estimate_ms": 900}]}'
 LASTING = (
@@ -93,33 +93,33 @@
 async def play_soak(day: SoakDay) -> SoakFindings:
     """Play a soak, and tell what was found."""
     lags: list[float] = []
-    watching = asyncio.create_task(_watch_lag(lags))
+    lag_task = asyncio.create_task(_measure_lag(lags))
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     async with _start(day) as (world, nodes):
-        book = CallersBook()
-        callers = [Caller(nodes, book, day.seed + number) for number in range(day.callers)]
+        tracker = CallerTracker()
+        callers = [Caller(nodes, tracker, day.seed + number) for number in range(day.callers)]
         async with asyncio.timeout(STARTED_WITHIN_S):
             await callers[0].hand_in(LASTING_JOB, LASTING)
         numbers = itertools.count(2**32)
         working = [asyncio.create_task(_work(caller, numbers)) for caller in callers]
         if day.wave is not None:
             world.request_wave(day.wave)
-        await asyncio.gather(*(bring_about(world, nodes, each) for each in day.troubles))
+        await asyncio.gather(*(apply_trouble(world, nodes, each) for each in day.troubles))
         await asyncio.sleep(max(0.0, day.length_s - _get_end_s(day)))
         for task in working:
             task.cancel()
         await asyncio.gather(*working, return_exceptions=True)
-        await _wait_until_ended(nodes, book, day.seed)
-        lacking = await _wait_for_lasting(world)
-        watching.cancel()
+        await _wait_until_ended(nodes, tracker, day.seed)
+        missing = await _wait_for_lasting(world)
+        lag_task.cancel()
         lag_s = max(lags, default=0.0)
-        breaks = [*_find_breaks(world, lag_s), *book.breaks, *lacking]
+        breaks = [*_find_breaks(world, lag_s), *tracker.breaks, *missing]
         breaks += [fault for node in nodes for fault in node.stop_faults]
-        breaks += [f"{job} failed" for job, state in book.states.items() if state == "failed"]
-        open_jobs = tuple(job for job in book.open if job != LASTING_JOB)
+        breaks += [f"{job} failed" for job, state in tracker.states.items() if state == "failed"]
+        open_jobs = tuple(job for job in tracker.open if job != LASTING_JOB)
         run_count = len(world.hosts.ledger.runs)
         return SoakFindings(
-            day.seed, tuple(breaks), open_jobs, len(book.accepted), run_count, round(lag_s, 3)
+            day.seed, tuple(breaks), open_jobs, len(tracker.accepted), run_count, round(lag_s, 3)
         )
 
 
@@ -158,16 +158,16 @@
         await caller.follow(job_id)
 
 
-async def _wait_until_ended(nodes: list[NodeProcess], book: CallersBook, seed: int) -> None:
+async def _wait_until_ended(nodes: list[NodeProcess], tracker: CallerTracker, seed: int) -> None:
     loop = asyncio.get_running_loop()
     until_s = loop.time() + ENDED_WITHIN_S
-    caller = Caller(nodes, book, seed)
+    caller = Caller(nodes, tracker, seed)
     while loop.time() < until_s:
-        waiting = [job for job in book.open if job != LASTING_JOB]
+        waiting = [job for job in tracker.open if job != LASTING_JOB]
         if not waiting:
             return
         for job_id in waiting:
-            await caller.ask(job_id)
+            await caller.query(job_id)
         await asyncio.sleep(0.2)
 
 
@@ -188,23 +188,23 @@
 async def _wait_for_lasting(world: SoakWorld) -> list[str]:
     """Wait until all lasting tasks run again, and return what they lack after that."""
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + AGAIN_MAX_S
-    while (lacking := _find_lasting(world)) and loop.time() < until_s:
+    until_s = loop.time() + LASTING_RESTART_MAX_S
+    while (missing := _find_missing_lasting(world)) and loop.time() < until_s:
         await asyncio.sleep(0.1)
-    return lacking
+    return missing
 
 
-def _find_lasting(world: SoakWorld) -> list[str]:
+def _find_missing_lasting(world: SoakWorld) -> list[str]:
     """Return what lasting tasks lack."""
-    going = [
+    running = [
         run.task.index
         for run in world.hosts.ledger.runs
         if run.task.job_id == LASTING_JOB and run.ended_at_s is None
     ]
-    return [] if sorted(going) == [0, 1, 2] else [f"lasting tasks that run: {sorted(going)}"]
+    return [] if sorted(running) == [0, 1, 2] else [f"lasting tasks that run: {sorted(running)}"]
 
 
-async def _watch_lag(lags: list[float]) -> None:
+async def _measure_lag(lags: list[float]) -> None:
     loop = asyncio.get_running_loop()
     while True:
         slept_at_s = loop.time()
--- a/tests/lib/soak/stepped_clock.py
+++ b/tests/lib/soak/stepped_clock.py
@@ -30,7 +30,7 @@
     time.time = read_stepped_s
 
 
-def end_with(parent: int) -> None:
+def exit_with_parent(parent: int) -> None:
     """Have this process end once another one has."""
 
     def watch() -> None:
@@ -42,7 +42,7 @@
 
 
 if __name__ == "__main__":
-    end_with(os.getppid())
+    exit_with_parent(os.getppid())
     step_clock(Path(sys.argv[1]))
     sys.argv[1:] = ["node"]
     main_and_exit()
--- a/tests/lib/soak/troubles.py
+++ b/tests/lib/soak/troubles.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 
 from tests.lib.soak.node_process import NodeProcess
-from tests.lib.soak.proxy import LoopbackProxy, Way
+from tests.lib.soak.proxy import Direction, LoopbackProxy
 from tests.lib.soak.world import SoakWorld
 
 # A process that has been killed or stopped begins again so long after.
-AWAY_S = 0.5
+RESTART_DELAY_S = 0.5
 ROLL_GAP_S = 1.0
 # Shorter than leases of 4 s, and longer than any owner goes on without the store.
 LENGTHS_S = ((0.2, 3.0), (3.0, 9.0))
@@ -67,20 +67,20 @@
             at_s += drawn.uniform(0.1, 1.5)
 
 
-async def bring_about(world: SoakWorld, nodes: list[NodeProcess], trouble: SoakTrouble) -> None:
+async def apply_trouble(world: SoakWorld, nodes: list[NodeProcess], trouble: SoakTrouble) -> None:
     """Bring a trouble about at its time, and end it."""
     await asyncio.sleep(trouble.at_s)
     node = nodes[trouble.target % len(nodes)]
     match trouble.kind:
         case SoakKind.KILL:
-            await _begin_again(node, is_planned=False)
+            await _restart(node, is_planned=False)
         case SoakKind.KILL_ALL:
-            await asyncio.gather(*(_begin_again(each, is_planned=False) for each in nodes))
+            await asyncio.gather(*(_restart(each, is_planned=False) for each in nodes))
         case SoakKind.STOP:
-            await _begin_again(node, is_planned=True)
+            await _restart(node, is_planned=True)
         case SoakKind.ROLL:
             for each in nodes:
-                await _begin_again(each, is_planned=True)
+                await _restart(each, is_planned=True)
                 await asyncio.sleep(ROLL_GAP_S)
         case SoakKind.PAUSE:
             await _pause(node, trouble.for_s)
@@ -92,27 +92,27 @@
             await asyncio.sleep(trouble.for_s)
             node.step_clock(0.0)
         case SoakKind.STORE_SLOW | SoakKind.STORE_LOSES:
-            await _trouble_store(world, trouble)
+            await _disturb_store(world, trouble)
         case SoakKind.HOST_CRASH:
             up = [host for host in world.hosts.hosts.values() if host.is_up]
             if up:
                 world.crash_and_replace_host(up[trouble.target % len(up)].record.id)
         case _:
-            await _trouble_way(_pick_way(world, node, trouble), trouble)
+            await _disturb_connection(_pick_proxy(world, node, trouble), trouble)
 
 
-def _pick_way(world: SoakWorld, node: NodeProcess, trouble: SoakTrouble) -> LoopbackProxy:
+def _pick_proxy(world: SoakWorld, node: NodeProcess, trouble: SoakTrouble) -> LoopbackProxy:
     if trouble.kind.name.startswith("HOST"):
         proxies = list(world.host_proxies.values())
         return proxies[trouble.target % len(proxies)]
     return node.machines if trouble.kind is SoakKind.MACHINES_HELD else node.store
 
 
-async def _begin_again(node: NodeProcess, *, is_planned: bool) -> None:
+async def _restart(node: NodeProcess, *, is_planned: bool) -> None:
     if node.is_stopping:
         return
     await (node.stop() if is_planned else node.kill())
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(RESTART_DELAY_S)
     await node.start()
 
 
@@ -127,7 +127,7 @@
     node.is_paused = False
 
 
-async def _trouble_store(world: SoakWorld, trouble: SoakTrouble) -> None:
+async def _disturb_store(world: SoakWorld, trouble: SoakTrouble) -> None:
     faults = world.store.faults
     if trouble.kind is SoakKind.STORE_SLOW:
         faults.latency_s *= SLOW_TIMES
@@ -139,7 +139,7 @@
         faults.lost_share = 0.0
 
 
-async def _trouble_way(proxy: LoopbackProxy, trouble: SoakTrouble) -> None:
+async def _disturb_connection(proxy: LoopbackProxy, trouble: SoakTrouble) -> None:
     name = trouble.kind.name
     if name.endswith("RESET"):
         proxy.reset()
@@ -147,7 +147,7 @@
     if name.endswith("DELAYED"):
         proxy.delay_s = DELAY_S
     else:
-        proxy.hold(*((Way.BACK,) if name.endswith("ONE_WAY") else Way))
+        proxy.hold(*((Direction.BACK,) if name.endswith("ONE_WAY") else Direction))
     await asyncio.sleep(trouble.for_s)
     proxy.delay_s = 0.0
     proxy.release()
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -157,10 +157,10 @@
                 self.host_proxies[host.record.machine].refuse()
         super().crash_host(host_id)
 
-    def find_life(self, machine: str) -> JobHostStandin | None:
+    def find_incarnation(self, machine: str) -> JobHostStandin | None:
         """Return the host that a machine is now."""
-        life = self.hosts.hosts.get(f"{machine}:80")
-        return life if life is not None and life.is_up else None
+        incarnation = self.hosts.hosts.get(f"{machine}:80")
+        return incarnation if incarnation is not None and incarnation.is_up else None
 
     def _serve(self, application: Application) -> tuple[str, int]:
         application.settings["log_function"] = lambda handler: None
@@ -186,42 +186,42 @@
         self._machine = machine
 
     async def post(self, kind: str) -> None:
-        life = self._world.find_life(self._machine)
-        if life is None or life.record.id != self.request.headers.get(HOST_HEADER):
+        incarnation = self._world.find_incarnation(self._machine)
+        if incarnation is None or incarnation.record.id != self.request.headers.get(HOST_HEADER):
             self.set_status(421)
             return
         body = msgspec.json.decode(self.request.body)
         try:
-            self.finish(await self._carry_out(kind, life, body))
+            self.finish(await self._execute_order(kind, incarnation, body))
         except HostError as error:
             self.set_status(409)
             self.finish({"reason": str(error)})
 
-    async def _carry_out(
-        self, kind: str, life: JobHostStandin, body: dict[str, Any]
+    async def _execute_order(
+        self, kind: str, incarnation: JobHostStandin, body: dict[str, Any]
     ) -> dict[str, Any]:
         token = body["fencing_token"]
         match kind:
             case "hold":
-                return await self._watch(life, token, body)
+                return await self._poll(incarnation, token, body)
             case "run-start":
                 order = StartOrder(
                     parse_task(body["task"]), body["run"], body["spec"], body["deadline_ms"], token
                 )
-                return {"clock_ms": life.start(order)}
+                return {"clock_ms": incarnation.start(order)}
             case "run-stop":
-                life.stop(parse_task(body["task"]), body["run"], token)
+                incarnation.stop(parse_task(body["task"]), body["run"], token)
             case "pace":
-                life.pace(token)
-        return {"clock_ms": life.clock_ms}
+                incarnation.pace(token)
+        return {"clock_ms": incarnation.clock_ms}
 
-    async def _watch(
-        self, life: JobHostStandin, token: int, body: dict[str, Any]
+    async def _poll(
+        self, incarnation: JobHostStandin, token: int, body: dict[str, Any]
     ) -> dict[str, Any]:
-        report = life.poll(token, body["observed"], body.get("deadline_ms"))
+        report = incarnation.poll(token, body["observed"], body.get("deadline_ms"))
         if body.get("wait_ms") and not report.ended:
-            await life.wait_for_end(body["wait_ms"] / 1000)
-            report = life.poll(token, 0, None, body["observed"])
+            await incarnation.wait_for_end(body["wait_ms"] / 1000)
+            report = incarnation.poll(token, 0, None, body["observed"])
         return _encode_report(report)
 
 
