--- a/tests/lib/silent_service.py
+++ b/tests/lib/silent_service.py
@@ -8,7 +8,7 @@
 from tests.lib.loopback_service import LoopbackService
 
 # What the store answers to a join; other callers look at the status only.
-ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"generation":1}'
+RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"generation":1}'
 HEAD_END = b"\r\n\r\n"
 LENGTH_FIELD = b"content-length:"
 
@@ -27,7 +27,7 @@
         self.requests: list[int] = []
         self.opened = 0
         self.open: set[int] = set()
-        self._silent: set[int] = set()
+        self._silenced: set[int] = set()
         self._numbers = itertools.count()
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -41,7 +41,7 @@
 
     def silence(self) -> None:
         """Have the connections that are open now go silent for good."""
-        self._silent |= self.open
+        self._silenced |= self.open
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -50,22 +50,22 @@
         self.open.add(number)
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-                await self._answer_all(number, reader, writer)
+                await self._respond_to_all(number, reader, writer)
         finally:
             self.open.discard(number)
             self._writers.discard(writer)
             writer.close()
 
-    async def _answer_all(
+    async def _respond_to_all(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while True:
             head = await reader.readuntil(HEAD_END)
             await reader.readexactly(sum(_find_lengths(head)))
             self.requests.append(number)
-            if number not in self._silent:
+            if number not in self._silenced:
                 await self.answers.wait()
-                writer.write(ANSWER)
+                writer.write(RESPONSE)
 
 
 def _find_lengths(head: bytes) -> Iterator[int]:
--- a/tests/lib/virtual.py
+++ b/tests/lib/virtual.py
@@ -20,24 +20,24 @@
     unless that one judges it and ``is_judged`` is False.
     """
     loop = looptime.new_event_loop(start=0.0, end=VIRTUAL_LIMIT_S, noop_cycles=0)
-    broken: list[WaveBoundError] = []
-    loop.set_exception_handler(lambda loop, context: _take_error(loop, context, broken))
+    violations: list[WaveBoundError] = []
+    loop.set_exception_handler(lambda loop, context: _handle_error(loop, context, violations))
     try:
         result = loop.run_until_complete(work)
     finally:
         _cancel_all(loop)
         loop.close()
-    if broken and is_judged:
-        raise broken[0]
+    if violations and is_judged:
+        raise violations[0]
     return result
 
 
-def _take_error(
-    loop: asyncio.AbstractEventLoop, context: dict[str, Any], broken: list[WaveBoundError]
+def _handle_error(
+    loop: asyncio.AbstractEventLoop, context: dict[str, Any], violations: list[WaveBoundError]
 ) -> None:
     error = context.get("exception")
     if isinstance(error, WaveBoundError):
-        broken.append(error)
+        violations.append(error)
     else:
         loop.default_exception_handler(context)
 
