--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches with bounds on counts that are the same on every run."""
+"""Benchmarks whose counts are deterministic and checked against bounds."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,13 +1,11 @@
-"""Run benches and print their counts beside the last accepted ones.
+"""Run benches and print each count next to its last accepted value.
 
-``python -m bench`` runs those whose bounds are kept, ``python -m bench NAME``
-one; ``--check`` ends with an error where a bound is broken.  ``drawn_days``, ``drawn_waves``,
+``python -m bench`` runs the benches in ``CHECKED``, ``python -m bench NAME`` a single one;
+``--check`` exits with 1 if a count is outside its bound.  ``drawn_days``, ``drawn_waves``,
 ``drawn_crashes``, ``drawn_limits``, ``drawn_fixed_limits``, ``drawn_returns`` and
-``drawn_rooms`` play ``--days=N`` days from the seed
-``--first=N`` on;
-``back_days`` as well, with ``--nodes=N``, ``--pools=N``, ``--hosts_a_pool=N`` and
-``--jobs_per_s=N`` for its size.  ``soak`` plays real processes in real time, with ``--nodes=N``
-and ``--length_s=N``.
+``drawn_rooms`` simulate ``--days=N`` days, starting at the seed ``--first=N``.  ``back_days``
+does so too; ``--nodes=N``, ``--pools=N``, ``--hosts_a_pool=N`` and ``--jobs_per_s=N`` set its
+size.  ``soak`` runs real processes in real time, with ``--nodes=N`` and ``--length_s=N``.
 """
 
 import sys
@@ -53,7 +51,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the named benches, or all with kept bounds; return the exit code."""
+    """Run the named benches, or all in ``CHECKED``; return the exit code."""
     is_check = "--check" in arguments
     long = LONG | {
         "drawn_days": lambda: run_drawn_days(**_read_days(arguments)),
--- a/bench/back_at_size.py
+++ b/bench/back_at_size.py
@@ -1,4 +1,4 @@
-"""How soon a large platform serves again whose nodes have all lost power."""
+"""Recovery time of a large platform after a power loss of all nodes."""
 
 import functools
 import itertools
@@ -18,13 +18,13 @@
 
 FIRST_SEED: Final = 1
 DAYS: Final = 20
-# Days are played beside whatever else the machine does.
+# Limited because the machine runs other work at the same time.
 PROCESSES: Final = 2
 
 
 @dataclass(frozen=True)
 class BackDay:
-    """What was found on a day, and which troubles it had."""
+    """Figures of a simulated day, and the names of its troubles."""
 
     name: str
     found: BackFigures
@@ -33,7 +33,7 @@
 def run_back_days(
     first_seed: int = FIRST_SEED, days: int = DAYS, sizes: Mapping[str, int] | None = None
 ) -> BenchResult:
-    """Play each trouble alone, then days with two drawn ones; print what each found."""
+    """Simulate each trouble alone, then days with two random ones; print the figures of each."""
     size = replace(Size(), **(sizes or {}))
     play = functools.partial(_play_day, size)
     cases = [(name, first_seed) for name in sorted(KINDS)]
--- a/bench/black_holes.py
+++ b/bench/black_holes.py
@@ -1,4 +1,4 @@
-"""Half of the workers fail everything at once: share of requests that fail."""
+"""Share of requests that fail while half of the workers fail every task immediately."""
 
 import asyncio
 from collections import Counter
--- a/bench/bounds.py
+++ b/bench/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of benches, kept as data."""
+"""Bounds on the counts of benches, read from ``bounds.toml``."""
 
 import tomllib
 from collections.abc import Iterator
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """Least and greatest allowed value, and the last accepted one."""
+    """Minimum and maximum allowed value of a count, and its last accepted value."""
 
     accepted: float
     least: float | None = None
     greatest: float | None = None
 
     def allows(self, value: float) -> bool:
-        """Tell whether ``value`` is within the bound."""
+        """Return whether ``value`` is within the bound."""
         is_enough = self.least is None or value >= self.least
         return is_enough and (self.greatest is None or value <= self.greatest)
 
 
 def read_bounds() -> dict[str, dict[str, Bound]]:
-    """Read the bounds by bench and count."""
+    """Return the bounds by name of the bench and name of the count."""
     text = Path(__file__).with_name("bounds.toml").read_text(encoding="utf-8")
     return msgspec.convert(tomllib.loads(text), dict[str, dict[str, Bound]])
 
 
 def iter_broken(result: BenchResult, bounds: dict[str, Bound]) -> Iterator[str]:
-    """Iterate over the names of counts that are out of their bound, or missing."""
+    """Yield the names of counts that are outside their bound or missing."""
     for name, bound in bounds.items():
         value = result.counts.get(name)
         if value is None or not bound.allows(value):
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What control costs: peers' bytes, log appends, claims, snapshots, imports."""
+"""Costs of the control plane: peer traffic, log appends, claims, snapshots, imports."""
 
 import asyncio
 import subprocess
@@ -38,7 +38,7 @@
 
 
 def run_control() -> BenchResult:
-    """Measure what control costs, in counts."""
+    """Measure the costs of the control plane as counts."""
     counts: dict[str, float] = {}
     for halls, daemons in SIZES:
         sent, appends = run_virtual(_measure_idle(halls, daemons))
@@ -58,7 +58,7 @@
 
 
 def make_full_image(hosts: int, pools: int) -> FolderImage:
-    """Make the folder's image of a fleet of this size."""
+    """Return the folder's image of a fleet with this many hosts and pools."""
     made = (
         Host(
             f"hall-{number % 16:02d}-host-{number:04d}",
@@ -83,7 +83,7 @@
 
 
 async def _measure_idle(halls: int, daemons: int) -> tuple[float, float]:
-    """Return peers' bytes sent a second a daemon, and appends a second, of an idle fleet."""
+    """Return bytes/s that a daemon sends to peers, and appends/s to the log, in an idle fleet."""
     sizes = tuple(HallSize(f"h{number:02d}", daemons, 1) for number in range(halls))
     fleet = FleetStandin(sizes, 1, settings=SETTINGS)
     await fleet.start()
@@ -97,7 +97,7 @@
 
 
 async def _measure_in_force() -> float:
-    """Return the longest time from a change's call until all daemons applied it."""
+    """Return the longest time in seconds from publishing a change until all daemons applied it."""
     sizes = tuple(HallSize(f"h{number:02d}", 8, 1) for number in range(16))
     fleet = FleetStandin(sizes, 1, settings=SETTINGS)
     await fleet.start()
@@ -118,7 +118,7 @@
 
 
 async def _measure_appends(concurrency: int) -> float:
-    """Return claims' appends a request that must not be repeated."""
+    """Return the number of claim appends per request, for requests that must not be repeated."""
     claims = replace(SETTINGS.claims, claim_appends_per_s=200.0)
     fleet = await start_fleet(settings=replace(SETTINGS, claims=claims), slots=64)
     fleet.log.faults = replace(fleet.log.faults, delay_s=0.005)
@@ -145,8 +145,7 @@
 
 
 def _measure_claim_memory() -> float:
-    """Return the bytes that a held claim takes, decoded from the log as in service."""
-
+    """Return the bytes of memory per claim in a table, decoded from the log as in production."""
     data = encode_partition_record(ClaimBatch("b", -1, _make_claims(CLAIMS)))
     table = ClaimTable()
     tracemalloc.start()
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The two first deployments, at their sizes and with their weights."""
+"""Sizes and wave settings of the first two deployments."""
 
 from dataclasses import dataclass, replace
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A deployment: its halls, the delay between them and its settings."""
+    """A deployment: its halls, the network delay between them and its settings."""
 
     name: str
     halls: tuple[str, ...]
@@ -49,6 +49,6 @@
 
 
 def with_policy(deployment: Deployment, **changes: object) -> Deployment:
-    """Return the deployment with other wave settings."""
+    """Return a copy of the deployment with ``changes`` to its wave settings."""
     waves = replace(deployment.settings.waves, **changes)  # type: ignore[arg-type]
     return replace(deployment, settings=replace(deployment.settings, waves=waves))
--- a/bench/drawn.py
+++ b/bench/drawn.py
@@ -1,4 +1,4 @@
-"""Days that are drawn from seeds, played in several processes and counted."""
+"""Random days, generated from seeds, simulated in several processes and counted."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol, TypeVar
@@ -8,16 +8,16 @@
 
 FIRST_SEED = 1000
 DAYS = 400
-# Days are played beside whatever else the machine does.
+# Limited because the machine runs other work at the same time.
 PROCESSES = 4
 
 
 class Findings(Protocol):
-    """What was found on a day."""
+    """Findings of one simulated day."""
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether the day has no findings."""
 
 
 Found = TypeVar("Found", bound=Findings)
@@ -30,7 +30,7 @@
     days: int,
     count: Callable[[Sequence[Found]], dict[str, float]],
 ) -> BenchResult:
-    """Play days from a seed on; print each that is not clean, and count what was found."""
+    """Simulate days from ``first_seed`` on; print each that is not clean and count its findings."""
     found = run_in_processes(find, range(first_seed, first_seed + days), PROCESSES)
     unclean = [day for day in found if not day.is_clean]
     for day in unclean:
--- a/bench/drawn_crashes.py
+++ b/bench/drawn_crashes.py
@@ -1,4 +1,4 @@
-"""Drawn days of tasks that crash their hosts, counted over many seeds."""
+"""Random days on which tasks crash their hosts, counted over many seeds."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def run_drawn_crashes(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
-    """Play days from a seed on; print each that is not clean, and count what was found."""
+    """Simulate days from ``first_seed`` on; print each that is not clean and count its findings."""
     return play_drawn("drawn_crashes", find_on_crash_day, first_seed, days, _count)
 
 
--- a/bench/drawn_days.py
+++ b/bench/drawn_days.py
@@ -1,4 +1,4 @@
-"""Drawn days of troubles on the stand-in, counted over many seeds."""
+"""Random days with troubles on the simulated platform, counted over many seeds."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def run_drawn_days(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
-    """Play days from a seed on; print each that is not clean, and count what was found."""
+    """Simulate days from ``first_seed`` on; print each that is not clean and count its findings."""
     return play_drawn("drawn_days", find_on_day, first_seed, days, _count)
 
 
--- a/bench/drawn_limits.py
+++ b/bench/drawn_limits.py
@@ -1,4 +1,4 @@
-"""Workspaces' limits among drawn troubles on the stand-in, counted over many seeds."""
+"""Workspace limits under random troubles on the simulated platform, over many seeds."""
 
 import statistics
 from collections.abc import Sequence
@@ -10,12 +10,12 @@
 
 
 def run_drawn_limits(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
-    """Play days from a seed on; print each that is not clean, and count what was found."""
+    """Simulate days from ``first_seed`` on; print each that is not clean and count its findings."""
     return play_drawn("drawn_limits", find_on_limit_day, first_seed, days, _count)
 
 
 def run_drawn_fixed_limits(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
-    """Play the same days with each limit split evenly over the pools for good."""
+    """Simulate the same days with each limit split evenly and permanently over the pools."""
     return play_drawn("drawn_fixed_limits", find_with_fixed_split, first_seed, days, _count)
 
 
--- a/bench/drawn_waves.py
+++ b/bench/drawn_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves among drawn troubles on the stand-in, counted over many seeds."""
+"""Maintenance waves under random troubles on the simulated platform, over many seeds."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def run_drawn_waves(first_seed: int = FIRST_SEED, days: int = DAYS) -> BenchResult:
-    """Play days from a seed on; print each that is not clean, and count what was found."""
+    """Simulate days from ``first_seed`` on; print each that is not clean and count its findings."""
     return play_drawn("drawn_waves", find_on_wave_day, first_seed, days, _count)
 
 
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,4 +1,4 @@
-"""Days of a small deployment, played as experiments play them: the same on every run."""
+"""Days of a small deployment, simulated as in experiments, with deterministic results."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def run_short_experiment() -> BenchResult:
-    """Play three days of a small deployment, and one of them again."""
+    """Simulate three days of a small deployment, and repeat the first to compare the results."""
     deployment = parse_deployment(read_text(str(FILE)), FILE.name).unwrap()
     days = [simulate_day(deployment, PolicySettings(), seed) for seed in SEEDS]
     again = simulate_day(deployment, PolicySettings(), SEEDS[0])
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -1,4 +1,4 @@
-"""Failures that benches cause; each lasts for a random time within its span."""
+"""Failures that benches inject; each lasts for a random time within its bounds."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
     least_pause_s: float,
     most_pause_s: float,
 ) -> None:
-    """Cause two failures at a time, until cancelled."""
+    """Inject two failures at a time, with a random pause between pairs, until cancelled."""
     while True:
         await asyncio.sleep(choices.uniform(least_pause_s, most_pause_s))
         chosen = choices.sample(causes, 2)
@@ -26,7 +26,7 @@
 
 
 def make_worker_failure(modes: tuple[WorkerMode, ...], least_s: float, most_s: float) -> Cause:
-    """Make a worker misbehave in one of ``modes``."""
+    """Return a cause that puts a random worker into one of ``modes``."""
 
     async def fail(fleet: FleetStandin, choices: random.Random) -> None:
         worker = fleet.workers[choices.choice(sorted(fleet.workers))]
@@ -43,7 +43,7 @@
 
 
 def make_kill(least_s: float, most_s: float) -> Cause:
-    """Kill a daemon, and replace it after a while."""
+    """Return a cause that kills a random daemon and restarts it after the failure's duration."""
 
     async def kill(fleet: FleetStandin, choices: random.Random) -> None:
         name = choices.choice(sorted(fleet.daemons))
@@ -56,7 +56,7 @@
 
 
 def make_freeze(least_s: float, most_s: float) -> Cause:
-    """Pause a daemon."""
+    """Return a cause that pauses a random daemon."""
 
     async def freeze(fleet: FleetStandin, choices: random.Random) -> None:
         name = choices.choice(sorted(fleet.daemons))
@@ -69,7 +69,7 @@
 
 
 def make_log_outage(least_s: float, most_s: float) -> Cause:
-    """Take the platform's log away."""
+    """Return a cause that makes the platform's log unavailable."""
 
     async def stop(fleet: FleetStandin, choices: random.Random) -> None:
         fleet.log.faults = replace(fleet.log.faults, is_out=True)
@@ -80,7 +80,7 @@
 
 
 def make_lost_replies(share: float, least_s: float, most_s: float) -> Cause:
-    """Lose a share of the log's replies, slow it down, and repeat peers' frames."""
+    """Return a cause that drops ``share`` of the log's replies, slows it and repeats frames."""
 
     async def lose(fleet: FleetStandin, choices: random.Random) -> None:
         fleet.log.faults = replace(fleet.log.faults, lost_reply_share=share, delay_s=0.02)
@@ -93,7 +93,7 @@
 
 
 def make_hall_cut(least_s: float, most_s: float) -> Cause:
-    """Cut a hall off from the others, and every second time from the platform too."""
+    """Return a cause that cuts a hall off from the others, half the time from the platform too."""
 
     async def cut(fleet: FleetStandin, choices: random.Random) -> None:
         hall = choices.choice(fleet.hall_names)
--- a/bench/job_slopes.py
+++ b/bench/job_slopes.py
@@ -1,7 +1,7 @@
-"""Measure what the job engine costs a job, a start and an end.
+"""Measure the cost of the job engine per job, task start and task end.
 
-Run with ``python -m bench.job_slopes``.  Times vary with the machine by about a
-tenth; docs/CAPACITY.md quotes them.
+Run with ``python -m bench.job_slopes``.  Times vary by about 10% between machines;
+docs/CAPACITY.md quotes them.
 """
 
 import time
@@ -29,8 +29,8 @@
 
 HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 TASKS_PER_JOB: Final = 10
-# Hosts of a pool, and jobs that come while one round of tasks runs: 22 is letter 1's
-# mean pool (3,200 hosts, 144 pools).
+# Hosts of a pool, and jobs that arrive while one round of tasks runs.  22 hosts is the mean
+# pool size of the target fleet (3,200 hosts, 144 pools).
 SIZES: Final = ((8, 12), (22, 35), (100, 160))
 US: Final = 1e6
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,4 +1,4 @@
-"""Goodput from half of the workers' capacity to four times it."""
+"""Goodput under loads from half to four times the capacity of the workers."""
 
 import asyncio
 import random
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A load: its share of the capacity, and the share of it that enters in one hall."""
+    """A load, as a share of the capacity, and the share of its requests sent to the first hall."""
 
     capacity_share: float
     first_hall_share: float = 0.5
 
 
 def run_overload() -> BenchResult:
-    """Measure goodput at four loads, and idle slots under a skewed one."""
+    """Measure goodput at four loads, and the share of idle slots under a skewed load."""
     goodput = {share: run_virtual(_run(Load(share))) for share in (0.5, 1.0, 2.0, 4.0)}
     skewed = run_virtual(_run(Load(0.9, 0.95)))
     counts = {
@@ -80,14 +80,14 @@
 
 @dataclass
 class IdleTally:
-    """Slot samples: those idle while a request waited elsewhere, and all."""
+    """Sampled slots: the number idle while a request waited elsewhere, and the total."""
 
     idle_slots: int = 0
     all_slots: int = 0
 
 
 async def _sample_idle(fleet: FleetStandin, tally: IdleTally) -> None:
-    """Count idle slots in all samples in which a request waits for a slot elsewhere."""
+    """Sample the slots every ``SAMPLE_S``; count those idle while a request waits elsewhere."""
     total = len(fleet.workers) * SLOTS
     while True:
         await asyncio.sleep(SAMPLE_S)
--- a/bench/parallel.py
+++ b/bench/parallel.py
@@ -1,4 +1,4 @@
-"""Runs in processes side by side; results keep the jobs' order."""
+"""Runs jobs in parallel processes and returns their results in the order of the jobs."""
 
 import os
 from collections.abc import Callable, Sequence
@@ -14,6 +14,6 @@
 def run_in_processes(
     work: Callable[[Job], Found], jobs: Sequence[Job], processes_max: int = PROCESSES_MAX
 ) -> list[Found]:
-    """Return ``work`` of each job, in order."""
+    """Return the result of ``work`` for each job, in the order of ``jobs``."""
     with ProcessPoolExecutor(min(processes_max, PROCESSES_MAX)) as executor:
         return list(executor.map(work, jobs))
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,4 +1,4 @@
-"""How many looks at a host's room a start and a report of a pool's need cost."""
+"""Number of capacity checks per task start and per report of a pool's demand."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -18,13 +18,13 @@
 SIZES: Final = (10, 100, 1000)
 HOST_CAPACITY: Final = Resources(16_000, 32_000, 0)
 STEP: Final = StepSpec(10, cpu_millicores=1000, memory_mb=1000, estimate_ms=1000)
-# Beside one of these on each host there is no room for a wide task.
+# A host that runs one of these has too little free capacity for a ``WIDE`` task.
 LASTING: Final = StepSpec(100, cpu_millicores=6000, is_lasting=True, per_host_max=1)
 WIDE: Final = StepSpec(10, cpu_millicores=13_000, memory_mb=1000, estimate_ms=1000)
 
 
 def run_placing() -> BenchResult:
-    """Place tasks with room for all, then with none."""
+    """Count capacity checks in pools with free capacity, then in full pools."""
     counts: dict[str, float] = {}
     for waiting in SIZES:
         counts[f"looks_a_start_100_hosts_{waiting}_waiting"] = _count_a_start(100, waiting)
@@ -85,7 +85,7 @@
 
 @contextmanager
 def _count_capacity_checks() -> Iterator[list[int]]:
-    """Count how often room is compared meanwhile."""
+    """Collect one entry per call of ``Resources.fits_in`` within the ``with`` block."""
     looks: list[int] = []
     compare = Resources.fits_in
 
--- a/bench/process_costs.py
+++ b/bench/process_costs.py
@@ -1,7 +1,7 @@
-"""Measure what a daemon costs as a process: memory, processor time, added latency.
+"""Measure the memory, processor time and added latency of a daemon process.
 
-Run with ``python -m bench.process_costs``.  Wall-clock figures vary with the
-machine and so never decide a check; docs/CAPACITY.md quotes them.
+Run with ``python -m bench.process_costs``.  Wall-clock figures vary between machines, so
+no check depends on them; docs/CAPACITY.md quotes them.
 """
 
 import asyncio
@@ -118,7 +118,7 @@
 async def _measure_restart(
     client: CurlAsyncHTTPClient, folder: Path, ports: Iterator[int], platform: int
 ) -> None:
-    """Time a start after the daemon before has written a snapshot of the full state."""
+    """Print the time of a start from the snapshot that the previous daemon has written."""
     path, addresses = _write_settings(folder, ports, platform)
     started_at_s = time.monotonic()
     with _run("daemon", f"--settings={path}"):
@@ -137,7 +137,7 @@
 
 
 async def _measure_heartbeats(pid: int, port: int) -> None:
-    """Send heartbeats as peers do, and take off what idling costs."""
+    """Print the processor time per received heartbeat, less the estimated time spent idling."""
     frame = Frame("hall-01-d0", "", 1, 0, 1, Heartbeat(12345, (), "0" * 16, 12288))
     transport = make_pynng_transport("tcp://127.0.0.1:0")
     before_s, started_at_s = _read_cpu_s(pid), time.monotonic()
@@ -226,7 +226,7 @@
 async def _fill_log(
     client: CurlAsyncHTTPClient, platform: int, workers: int, hosts: int, pools: int
 ) -> None:
-    """Write the records of a fleet; ``LOCAL_HOSTS`` hosts are real and in the daemon's hall."""
+    """Append records of a fleet; the first ``LOCAL_HOSTS`` are real and in the daemon's hall."""
     log = make_http_log(client, f"http://127.0.0.1:{platform}", 10.0)
     bodies: list[object] = [
         PoolCreated(f"pool-{number:03d}", Budget(min_serving_hosts=1)) for number in range(pools)
@@ -282,7 +282,7 @@
 
 
 def serve_workers(first_port: int) -> None:
-    """Serve the local hosts' workers in one process, until killed."""
+    """Serve the workers of the local hosts in this process, until it is killed."""
     from robinthread._internal.daemon.process import Listener
     from robinthread._internal.standins.http_servers import make_worker_application
     from robinthread._internal.standins.ledger import Ledger
--- a/bench/result.py
+++ b/bench/result.py
@@ -1,11 +1,11 @@
-"""What a bench counted."""
+"""Result of a bench."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class BenchResult:
-    """Counts of one bench by name; the same on every run."""
+    """Deterministic counts of one bench, by name, and a note that is printed with them."""
 
     name: str
     counts: dict[str, float]
--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -1,4 +1,4 @@
-"""What dealing out workspaces' limits costs a steward: ``python -m bench.share_slopes``."""
+"""Cost of allocating workspace limits on a steward: ``python -m bench.share_slopes``."""
 
 import time
 
@@ -13,7 +13,7 @@
 from robinthread._internal.node.share_allocator import ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pools, and workspaces that want more than their even share in each of them.
+# Number of pools, and of workspaces whose demand exceeds their even share in every pool.
 SIZES = ((4, 0), (4, 20), (144, 0), (144, 20))
 WORKSPACES = 270
 LIMIT = Resources(1_000_000, 0)
@@ -21,7 +21,7 @@
 
 
 def measure(pool_count: int, active_count: int) -> tuple[float, int]:
-    """Return milliseconds of the longest step of the steward, and bytes of an order."""
+    """Return the duration of the steward's longest step in ms, and the bytes of an order."""
     pools = tuple(PoolPolicy(f"pool-{number}") for number in range(pool_count))
     names = [f"workspace-{number}" for number in range(WORKSPACES)]
     config = make_fleet_config(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Measure slopes of processor time against the fleet's size.
+"""Measure how processor time grows with the size of the fleet.
 
-Run with ``python -m bench.slopes``.  Prints microseconds that vary with the
-machine by about a tenth; docs/CAPACITY.md quotes them.
+Run with ``python -m bench.slopes``.  Times are in microseconds and vary by about 10% between
+machines; docs/CAPACITY.md quotes them.
 """
 
 import time
@@ -63,7 +63,7 @@
 
 
 def _time(work: Callable[[], object]) -> float:
-    """Return the least time of a few runs, in microseconds."""
+    """Return the shortest duration of ``REPEATS`` runs, in microseconds."""
     took = []
     for _ in range(REPEATS):
         started_at_s = time.perf_counter()
@@ -122,7 +122,7 @@
 
 
 def _measure_plan_kb(image: object) -> float:
-    """Return the peak of what planning allocates, in kilobytes."""
+    """Return the peak memory allocated during planning, in kilobytes."""
     tracemalloc.start()
     _plan(image)
     _, peak = tracemalloc.get_traced_memory()
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,4 @@
-"""Soaks of real processes on loopback, counted over many seeds; they play in real time."""
+"""Soak tests with real processes on loopback, in real time, counted over many seeds."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -15,7 +15,7 @@
 def run_soaks(
     first_seed: int = FIRST_SEED, days: int = DAYS, sizes: dict[str, int] | None = None
 ) -> BenchResult:
-    """Play soaks from a seed on, of so many ``nodes`` and seconds where ``sizes`` has them."""
+    """Run soaks from ``first_seed`` on; ``sizes`` may set ``nodes`` and ``length_s``."""
     given = sizes or {}
     find = partial(
         find_in_soak, nodes=given.get("nodes", 0), length_s=float(given.get("length_s", LENGTH_S))
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -1,9 +1,9 @@
-"""A storm: 20,000 requests over four daemons in two halls, with failures together.
+"""A storm: 20,000 requests over four daemons in two halls, with failures in pairs.
 
-A third of the requests must not be repeated.  Duplicates go to other daemons,
-workers fail in every way, daemons are killed, frozen and replaced, the log is
-out, slow and loses replies, and a data hall is cut off and heals.  All counts
-are the same on every run of a seed.
+A third of the requests must not be repeated.  Duplicates go to randomly chosen daemons,
+workers fail in every mode, daemons are killed, frozen and replaced, the log is unavailable,
+slow or drops replies, and a data hall is cut off and reconnected.  Counts are deterministic
+for a seed.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
 
 @dataclass
 class StormTally:
-    """What the callers saw, and each promise that was broken."""
+    """Answers that callers received, and the number of violations of each guarantee."""
 
     answers: Counter[str] = field(default_factory=Counter)
     duplicates: int = 0
@@ -73,12 +73,12 @@
 
     @property
     def broken(self) -> int:
-        """Return the number of broken promises."""
+        """Return the total number of violated guarantees."""
         return self.run_twice + self.lost + self.mixed_up + self.said_did_not_run_but_ran
 
 
 async def run_storm(requests: int, seed: int, settings: DaemonSettings) -> StormTally:
-    """Run a storm and return its counts."""
+    """Run a storm of ``requests`` requests and return its counts."""
     fleet = await start_fleet(
         seed=seed, settings=settings, budget=Budget(min_serving_hosts=2), slots=8
     )
@@ -106,7 +106,7 @@
     tally: StormTally,
     finals: dict[str, set[ResultCode]],
 ) -> None:
-    """Send a request, and perhaps a duplicate of it to another daemon."""
+    """Send a request, and for ``DUPLICATE_SHARE`` of them a duplicate, and count the answers."""
     is_repeatable = number % 3 != 0
     request = make_request(
         get_daemon(fleet),
@@ -142,7 +142,7 @@
 async def _call_until_answered(
     fleet: FleetStandin, name: str, request: CallerRequest, delay_s: float, tally: StormTally
 ) -> CallerAnswer:
-    """Call as a caller behind the balancer does: a lost connection is tried elsewhere."""
+    """Call like a caller behind a load balancer: retry elsewhere if the connection drops."""
     await asyncio.sleep(delay_s)
     for attempt in itertools.count():
         incarnation = fleet.daemons[name].incarnation if name in fleet.daemons else ""
@@ -166,9 +166,9 @@
     incarnation: str,
     tally: StormTally,
 ) -> None:
-    """Count an answer that says "did not run" of a request whose tries so far ran.
+    """Count a "did not run" answer if this try or an earlier one has run.
 
-    A first try cannot know of a later one that another daemon carries.
+    A first try does not count a run that a later try started, as another daemon may handle it.
     """
     starter = fleet.ledger.started_by.get(request.make_key().hex(), "")
     is_of_this_try = bool(starter) and starter.startswith(incarnation)
--- a/bench/storms.py
+++ b/bench/storms.py
@@ -1,4 +1,4 @@
-"""The storm as a bench."""
+"""Bench that runs one storm with a fixed seed."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
 
 
 def run_storms() -> BenchResult:
-    """Run one storm of 20,000 requests and count broken promises."""
+    """Run one storm of ``REQUESTS`` requests and count violated guarantees."""
     tally = run_virtual(run_storm(REQUESTS, SEED, replace(SETTINGS)))
     return BenchResult(
         "storm",
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,4 +1,4 @@
-"""Time from the loss of a pool's owner to the first start by the next one."""
+"""Time from the loss of a pool's owner to the first task start by its successor."""
 
 import asyncio
 import itertools
@@ -25,20 +25,20 @@
 
 SEEDS: Final = range(1, 9)
 NODES: Final = 5
-# How often a job is handed in, so that some task waits at any time.
+# Period at which jobs are submitted, so that a task is waiting at any time.
 ARRIVAL_PERIOD_S: Final = 0.05
 BEFORE_LOSS_S: Final = 1.0
-# Tasks take so long that the hosts are never full: a start waits for the owner alone.
+# Short enough that the hosts are never full, so that a start waits only for the owner.
 TASK_S: Final = 0.2
 
-# Shorter than the way of an order to a host, so that no first start is missed.
+# Shorter than the delay of an order to a host, so that no first start is missed.
 POLL_S: Final = 0.0005
 
 LoseOwner = Callable[[PlatformStandin, str], object]
 
 
 def run_takeover() -> BenchResult:
-    """Lose owners in each way, some times each."""
+    """Measure the takeover time after each kind of owner failure, once per seed."""
     counts: dict[str, float] = {}
     for name, lose in FAILURES.items():
         took_s = [run_virtual(_measure(lose, seed)) for seed in SEEDS]
@@ -48,10 +48,10 @@
 
 
 async def _measure(lose: LoseOwner, seed: int) -> float:
-    """Return the time from a loss to the first start by another node."""
+    """Return the seconds from the loss of the owner to the first start by another node."""
     platform = await start_platform(_plan_short, nodes=NODES, seed=seed)
     arrivals = asyncio.ensure_future(_submit_periodically(platform))
-    # Each seed loses the owner at another point of its periodic work.
+    # Each seed fails the owner at a different point of its periodic work.
     await asyncio.sleep(BEFORE_LOSS_S + 0.037 * seed)
     previous = get_owner(platform)
     assert previous is not None
@@ -67,7 +67,10 @@
 
 
 def _has_other_owner(platform: PlatformStandin, previous: str) -> bool:
-    """Tell whether another node serves the pool; one that is cut off may believe it does."""
+    """Return whether a node other than ``previous`` has the pool open.
+
+    The previous owner may still have it open if it is cut off.
+    """
     return any(
         (owner := node.assembled.owned.owners.get(POOL)) is not None and owner.is_open
         for name, node in platform.nodes.items()
@@ -76,7 +79,7 @@
 
 
 async def _submit_periodically(platform: PlatformStandin) -> None:
-    """Hand jobs in by turns at the nodes that the store serves."""
+    """Submit jobs in round-robin order to the nodes that can reach the store."""
     for number in itertools.count(1):
         lost = platform.cut_nodes | platform.store.faults.refused
         served = [name for name in platform.nodes if name not in lost]
--- a/bench/urgent.py
+++ b/bench/urgent.py
@@ -1,4 +1,4 @@
-"""Urgent work in a pool that is full of long background work."""
+"""Waiting time of urgent requests in a pool full of long background requests."""
 
 import asyncio
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 def run_urgent() -> BenchResult:
-    """Measure the longest wait of urgent requests, with workers that can checkpoint or not."""
+    """Measure the longest wait of urgent requests, with and without checkpointing workers."""
     with_checkpoint = run_virtual(_run(can_checkpoint=True))
     without = run_virtual(_run(can_checkpoint=False))
     return BenchResult(
@@ -68,7 +68,7 @@
 
 
 async def _call_urgent(fleet: FleetStandin, number: int) -> float:
-    """Return how long an urgent request waited for its start, in virtual seconds."""
+    """Return the virtual seconds that an urgent request waited for its start, 1e9 if it failed."""
     await asyncio.sleep(number * 0.5)
     loop = asyncio.get_running_loop()
     started_at_s = loop.time()
--- a/bench/wave_run.py
+++ b/bench/wave_run.py
@@ -1,4 +1,4 @@
-"""One wave over a whole deployment under load, with or without failures."""
+"""A maintenance wave over a whole deployment under load, with or without failures."""
 
 import asyncio
 import math
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True)
 class WaveFigures:
-    """The three measures of a wave, their lower bounds, and broken promises.
+    """Three measures of a wave, their lower bounds, and the number of violated guarantees.
 
-    A task moves only once it has outlasted the allowed wait, so the bound of
-    moves is the number of tasks that moved at all.
+    A task moves only after it has run longer than the allowed wait, so the lower bound on
+    moves is the number of tasks that moved at least once.
     """
 
     rollout_s: float
@@ -149,7 +149,7 @@
 async def _serve_load(
     fleet: FleetStandin, choices: random.Random, pools: tuple[str, ...], tally: _Tally
 ) -> None:
-    """Keep about ``LOAD_SHARE`` of the slots busy."""
+    """Send requests that keep about ``LOAD_SHARE`` of the slots busy, until cancelled."""
     mean_s = sum(t * w for t, w in zip(RUN_TIMES_S, RUN_WEIGHTS, strict=True)) / sum(RUN_WEIGHTS)
     rate_per_s = LOAD_SHARE * len(pools) * HOSTS_A_POOL * SLOTS / mean_s
     calls: set[asyncio.Task[None]] = set()
@@ -188,7 +188,7 @@
 
 
 async def count_broken_budgets(fleet: FleetStandin) -> int:
-    """Fold the whole log anew; count acts of the system's own that broke a budget."""
+    """Replay the whole log; return how many records in ``OWN_ACTS`` violated a pool's budget."""
     fleet.log.faults = replace(fleet.log.faults, is_out=False, delay_s=0.0)
     folder = Folder()
     page = await fleet.log.read(FLEET_STREAM, 0, 1 << 30, 0.0)
--- a/bench/waves.py
+++ b/bench/waves.py
@@ -1,4 +1,4 @@
-"""Waves of both deployments beside their bounds, baselines and under failures."""
+"""Waves of both deployments, compared with their bounds and baselines, and under failures."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class WaveJob:
-    """A wave to run in a process of its own."""
+    """Parameters of a wave that runs in a separate process."""
 
     label: str
     deployment: Deployment
@@ -29,7 +29,7 @@
 
 
 def run_waves() -> BenchResult:
-    """Measure the planner against bounds, and its promises under failures."""
+    """Compare waves with their lower bounds, and count violated guarantees under failures."""
     jobs = [WaveJob(each.name, each, seed) for each in DEPLOYMENTS for seed in SEEDS]
     counts: dict[str, float] = {}
     figures = run_in_processes(_run, jobs)
@@ -44,7 +44,7 @@
 
 
 def run_wave_baselines() -> BenchResult:
-    """Measure both baselines and a sweep of the allowed wait; takes some minutes."""
+    """Measure both baselines and sweeps of the allowed wait and buffer weight (some minutes)."""
     jobs = [
         WaveJob(f"{each.name}_{policy}", with_policy(each, policy=policy), 1)
         for each in DEPLOYMENTS
@@ -65,7 +65,7 @@
 
 
 def run_many_waves() -> BenchResult:
-    """Run 200 seeded waves with failures together and count broken promises."""
+    """Run 200 waves with failures, one per seed, and count violated guarantees."""
     return BenchResult(
         "many_waves",
         _sum_promises("many", run_in_processes(_run, _make_failing_jobs(MANY_SEEDS))),
