--- a/tests/lib/fleets.py
+++ b/tests/lib/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets and requests for tests."""
+"""Helpers to start simulated fleets and send requests to them."""
 
 import asyncio
 from dataclasses import replace
@@ -31,7 +31,7 @@
     slots: int = 8,
     assign: bool = True,
 ) -> FleetStandin:
-    """Start a fleet whose hosts all serve one pool."""
+    """Start a fleet with one pool, to which all hosts are assigned if ``assign`` is set."""
     fleet = FleetStandin(halls, seed, slots, settings)
     await fleet.start()
     daemon = get_daemon(fleet)
@@ -46,19 +46,19 @@
 
 
 def get_daemon(fleet: FleetStandin, index: int = 0) -> Daemon:
-    """Return a live daemon by its place in order of name."""
+    """Return the running daemon at ``index`` in the order of names."""
     return fleet.daemons[sorted(fleet.daemons)[index]]
 
 
 async def publish(daemon: Daemon, body: object, operation_id: str = "") -> None:
-    """Publish a record that must be valid."""
+    """Publish a record; raise AssertionError if it is refused."""
     result = await daemon.publish(body, operation_id)
     if not isinstance(result, Success):
         raise AssertionError(str(result.failure()))
 
 
 def make_request(daemon: Daemon, number: int | str, **changes: object) -> CallerRequest:
-    """Make a request; changes replace its fields, ``run_s`` and ``can_run`` its job's."""
+    """Return a request; ``changes`` set its fields, or ``run_s`` and ``can_run`` of its job."""
     run_s = float(changes.pop("run_s", 0.05))  # type: ignore[arg-type]
     can_run = bool(changes.pop("can_run", True))
     left_s = float(changes.pop("left_s", 20.0))  # type: ignore[arg-type]
@@ -76,7 +76,7 @@
 
 
 async def serve(daemon: Daemon, number: int | str, **changes: object) -> CallerAnswer:
-    """Send a request to a daemon."""
+    """Send a request to a daemon and return the answer."""
     return await daemon.entry.serve(make_request(daemon, number, **changes))
 
 
@@ -86,5 +86,5 @@
     ends_at_s = loop.time() + limit_s
     while not condition():  # type: ignore[operator]
         if loop.time() > ends_at_s:
-            raise AssertionError("the condition did not come to hold")
+            raise AssertionError(f"the condition did not hold within {limit_s} s of virtual time")
         await asyncio.sleep(0.1)
--- a/tests/lib/loopback_service.py
+++ b/tests/lib/loopback_service.py
@@ -1,22 +1,22 @@
-"""A service on loopback that a test writes out byte by byte."""
+"""Base class of loopback services whose bytes a test controls."""
 
 import asyncio
 from abc import ABC, abstractmethod
 from typing import Final, Self
 
-# Enough that no connection of a test waits to be accepted.
+# Large enough that no connection in a test waits for a free place in the backlog.
 BACKLOG: Final = 1024
 
 
 class LoopbackService(ABC):
-    """Listens on a free port within ``async with``; ``_serve`` gets each connection."""
+    """Listens on a free port within ``async with`` and calls ``_serve`` for each connection."""
 
     def __init__(self) -> None:
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the host and port on which the service listens."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
--- a/tests/lib/processes.py
+++ b/tests/lib/processes.py
@@ -36,7 +36,7 @@
 
 
 class Process:
-    """A robinthread process and the lines that it wrote."""
+    """A robinthread process and the lines of its output."""
 
     def __init__(self, *arguments: str) -> None:
         self.lines: list[str] = []
@@ -51,7 +51,7 @@
         self._reader.start()
 
     def find(self, pattern: str) -> "re.Match[str]":
-        """Return the first match of ``pattern`` in the output, waiting for it."""
+        """Return the first match of ``pattern`` in the output; wait up to ``LIMIT_S`` for it."""
         ends_at_s = time.monotonic() + LIMIT_S
         while time.monotonic() < ends_at_s:
             for line in tuple(self.lines):
@@ -59,24 +59,24 @@
                 if found:
                     return found
             time.sleep(0.01)
-        raise AssertionError(f"no {pattern!r} in {self.lines}")
+        raise AssertionError(f"no line matched {pattern!r} within {LIMIT_S} s: {self.lines}")
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         os.kill(self.pid, number)
 
     def wait(self) -> int:
-        """Wait for the end and return the exit code."""
+        """Wait for the process to exit and return its exit code."""
         return self._popen.wait(LIMIT_S)
 
     def kill(self) -> None:
-        """End at once."""
+        """Kill the process and wait for its end."""
         self._popen.kill()
         self._popen.wait()
         self._reader.join()
 
     def list_children(self) -> str:
-        """Return the ids of child processes, empty for none."""
+        """Return the ids of child processes, an empty string if there are none."""
         tasks = Path(f"/proc/{self.pid}/task").iterdir()
         return "".join((task / "children").read_text() for task in tasks).strip()
 
@@ -113,7 +113,7 @@
             daemon.find("ready at offset")
 
     def run(self, *arguments: str, daemon: int = 0) -> "subprocess.CompletedProcess[str]":
-        """Run an operators' verb against a daemon."""
+        """Run an operator command against a daemon and return the completed process."""
         environment = os.environ | {
             "ROBINTHREAD_ADDRESS": self.get_address("operators", daemon),
             "ROBINTHREAD_TOKEN_FILE": str(self.token_file),
@@ -127,11 +127,11 @@
         )
 
     def get_address(self, listener: str, daemon: int = 0) -> str:
-        """Return a listener's address."""
+        """Return the address of a daemon's listener, read from its output."""
         return self.daemons[daemon].find(rf"{listener} ([\d.]+:\d+)")[1]
 
     def close(self) -> None:
-        """End all."""
+        """Kill all processes and remove the temporary folder."""
         for process in self.processes:
             process.kill()
         self._folder.cleanup()
--- a/tests/lib/silent_service.py
+++ b/tests/lib/silent_service.py
@@ -1,4 +1,4 @@
-"""An HTTP service on loopback whose open connections can go silent, without a reset."""
+"""A loopback HTTP service whose open connections can go silent without a reset."""
 
 import asyncio
 import contextlib
@@ -7,17 +7,17 @@
 
 from tests.lib.loopback_service import LoopbackService
 
-# What the store answers to a join; other callers look at the status only.
+# The store's response to a join; other callers check only the status.
 RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{"generation":1}'
 HEAD_END = b"\r\n\r\n"
 LENGTH_FIELD = b"content-length:"
 
 
 class SilentService(LoopbackService):
-    """Answers each request at once, and notes on which connection it came.
+    """Responds to each request at once, and records the number of its connection.
 
-    After ``silence`` the connections that were open are read, but nothing is
-    answered there; later ones are served.  With ``answers`` cleared none are.
+    After ``silence``, requests on the connections that were open are read but get no response;
+    later connections are served.  While ``answers`` is cleared, no request gets a response.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
             await asyncio.sleep(0)
 
     def silence(self) -> None:
-        """Have the connections that are open now go silent for good."""
+        """Stop responding, permanently, on the connections that are open now."""
         self._silenced |= self.open
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/lib/slow_link.py
+++ b/tests/lib/slow_link.py
@@ -1,4 +1,4 @@
-"""A pool with much progress, and a node that reads it over a slow link."""
+"""A pool with many progress records, and a node that reads them over a slow link."""
 
 from robinthread._internal.durable.store import Partition
 from robinthread._internal.jobs.job import Job
@@ -9,13 +9,13 @@
 from tests.lib.job_platforms import POOL, POOLS, QUEUE, make_job, plan_second
 
 JOBS = 1000
-# A page of 500 jobs' progress takes 1.6 s: longer than the store is given for a call.
+# A page with the progress of 500 jobs takes 1.6 s, which exceeds the timeout of a store call.
 LINK_BYTES_PER_S = 12_000
 SLOW_NODE = "slow"
 
 
 def start_on_slow_link() -> PlatformStandin:
-    """Start a platform without hosts whose only node begins to open the pool."""
+    """Start a platform without hosts; its only node begins to open the pool."""
     platform = PlatformStandin(plan_second, 1)
     platform.configure(1, (QUEUE,), POOLS)
     _fill_progress(platform)
@@ -25,7 +25,7 @@
 
 
 def _fill_progress(platform: PlatformStandin) -> None:
-    """Record progress of many jobs, as an earlier owner would have."""
+    """Store progress of ``JOBS`` jobs, as a previous owner would have done."""
     policy = QueuePolicy("sheets", "", "", POOL)
     partitions = [Partition(PROGRESS_TOPIC, number) for number in range(12)]
     for number in range(JOBS):
--- a/tests/lib/soak/__init__.py
+++ b/tests/lib/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real nodes as processes on loopback, with faults from outside, and what must hold of them."""
+"""Soak tests: real node processes on loopback with injected faults, and their invariants."""
--- a/tests/lib/soak/callers.py
+++ b/tests/lib/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that use their open connections until whoever they call is gone."""
+"""Callers that keep a connection open until the node they call fails."""
 
 import asyncio
 import json
@@ -15,15 +15,15 @@
 
 
 class NoResponseError(Exception):
-    """Nothing came back, or not in time."""
+    """The node sent no response within ``RESPONSE_TIMEOUT_S``."""
 
 
 class TruncatedResponseError(NoResponseError):
-    """An answer ended before it was whole."""
+    """The connection ended within a response."""
 
 
 class Connection:
-    """One connection to a node, for one request at a time."""
+    """A connection to a node that carries one request at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -31,15 +31,15 @@
 
     @classmethod
     async def open(cls, ip: str) -> "Connection":
-        """Connect to a node."""
+        """Return a new connection to the callers' port of the node at ``ip``."""
         return cls(*await asyncio.open_connection(ip, CALLERS_PORT))
 
     def close(self) -> None:
-        """Close."""
+        """Abort the connection."""
         self._writer.transport.abort()
 
     async def call(self, method: str, job_id: str, body: str) -> tuple[int, dict[str, Any]]:
-        """Return the status and the body of the answer."""
+        """Send a request about a job; return the status and the decoded body of the response."""
         lines = (
             f"{method} {QUEUE_PATH}{job_id} HTTP/1.1",
             f"Host: {QUEUE_HOST}",
@@ -59,27 +59,29 @@
             head = await self._reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as error:
             raise (TruncatedResponseError if error.partial else NoResponseError)(
-                "no whole head"
+                "connection ended before the end of the response head"
             ) from error
         status = int(head.split()[1])
         fields = dict(line.split(b": ", 1) for line in head.lower().splitlines()[1:] if line)
         try:
             body = await self._reader.readexactly(int(fields[b"content-length"]))
         except asyncio.IncompleteReadError as error:
-            raise TruncatedResponseError("no whole body") from error
+            raise TruncatedResponseError(
+                "connection ended before the end of the response body"
+            ) from error
         return status, json.loads(body) if body else {}
 
 
 @dataclass
 class CallerTracker:
-    """What callers were told: accepted jobs, the last state of each, and what must not be."""
+    """What callers observed: accepted jobs, the last state of each, and violations."""
 
     accepted: set[str] = field(default_factory=set)
     states: dict[str, str] = field(default_factory=dict)
     breaks: list[str] = field(default_factory=list)
 
     def record_state(self, job_id: str, state: str) -> None:
-        """Take in a job's state."""
+        """Record the state of a job; a job that leaves a final state is a violation."""
         before = self.states.get(job_id)
         if before in FINAL and state != before:
             self.breaks.append(f"{job_id} was shown as {before}, then as {state}")
@@ -87,12 +89,12 @@
 
     @property
     def open(self) -> list[str]:
-        """List accepted jobs that have not been shown as ended."""
+        """Return the ids of accepted jobs whose last known state is not final."""
         return [job for job in sorted(self.accepted) if self.states.get(job) not in FINAL]
 
 
 class Caller:
-    """Hands jobs in and asks for them, at one node until that is gone, then at another."""
+    """Submits and queries jobs at one node, and at another once a call to that node fails."""
 
     def __init__(self, nodes: list[NodeProcess], tracker: CallerTracker, seed: int) -> None:
         self._nodes = nodes
@@ -102,25 +104,25 @@
         self._node = self._random.choice(nodes)
 
     async def hand_in(self, job_id: str, body: str) -> None:
-        """Hand a job in until a node has accepted it."""
+        """Submit a job repeatedly until a node has accepted it."""
         while (answer := await self._call("POST", job_id, body)) is None or answer[0] != 200:
             await asyncio.sleep(POLL_S)
         self._tracker.accepted.add(job_id)
 
     async def follow(self, job_id: str) -> None:
-        """Ask for a job until it is shown as ended."""
+        """Query a job until its state is final."""
         while self._tracker.states.get(job_id) not in FINAL:
             await asyncio.sleep(POLL_S)
             await self.query(job_id)
 
     async def query(self, job_id: str) -> None:
-        """Ask for a job once."""
+        """Query a job once and record its state."""
         answer = await self._call("GET", job_id, "")
         if answer is not None and answer[0] == 200:
             self._tracker.record_state(job_id, answer[1]["state"])
 
     async def _call(self, method: str, job_id: str, body: str) -> tuple[int, dict[str, Any]] | None:
-        """Return the answer, if there was one; go to another node otherwise."""
+        """Return the response; on failure return None and switch to a random node."""
         try:
             if self._connection is None:
                 self._connection = await Connection.open(self._node.ip)
--- a/tests/lib/soak/node_process.py
+++ b/tests/lib/soak/node_process.py
@@ -1,4 +1,4 @@
-"""A real node as a process, with proxies before all that it calls, and signals."""
+"""A real node in a process, which can be signalled, with proxies to the services it calls."""
 
 import asyncio
 import os
@@ -34,9 +34,9 @@
 
 
 class NodeProcess:
-    """A node: its process while it has one, and the proxies to the store and to machines.
+    """A node: its process, if it is running, and its proxies to the store and to the machines.
 
-    ``stop_faults`` tell of planned stops that were too long or ended badly.
+    ``stop_faults`` lists planned stops that exceeded the grace period or exited with an error.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.store = LoopbackProxy(store)
         self.machines = LoopbackProxy(machines)
         self.stop_faults: list[str] = []
-        # A process that is being stopped as planned, and gets no other signal meanwhile.
+        # Set during a planned stop, in which the process gets no other signals.
         self.is_stopping = False
         self.is_paused = False
         self._clock = folder / f"{name}.clock"
@@ -63,11 +63,11 @@
 
     @property
     def is_up(self) -> bool:
-        """Tell whether there is a process that is not being stopped."""
+        """Return whether there is a process that is not being stopped."""
         return self._process is not None and not self.is_stopping
 
     async def begin(self) -> None:
-        """Listen with the proxies, lay out the settings and start."""
+        """Start the proxies, write the settings file and start the process."""
         await self.store.start()
         await self.machines.start()
         self._clock.write_text("0")
@@ -76,7 +76,7 @@
         await self.start()
 
     async def start(self) -> None:
-        """Start a process unless there is one."""
+        """Start a process unless one exists."""
         if self._process is not None:
             return
         self._log_start_bytes = self._log.stat().st_size if self._log.exists() else 0
@@ -89,27 +89,27 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal, if there is a process that takes one."""
+        """Send a signal if the process is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     def step_clock(self, step_s: float) -> None:
-        """Have the node's time of day differ by so much from now on."""
+        """Set the offset in seconds of the node's wall clock."""
         self._clock.write_text(str(step_s))
 
     def _has_logged(self) -> bool:
-        """Tell whether the process has come as far as to take signals: it has told of itself."""
+        """Return whether the process has logged a line: from then on it handles signals."""
         return self._log.stat().st_size > self._log_start_bytes
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         process, self._process = self._process, None
         if process is not None and process.returncode is None:
             process.kill()
             await process.wait()
 
     async def stop(self) -> None:
-        """Stop as planned: the process has its grace, and is killed then."""
+        """Stop the process as planned; kill it if it has not ended after ``GRACE_S``."""
         process = self._process
         if process is None or self.is_stopping or self.is_paused:
             return
--- a/tests/lib/soak/proxy.py
+++ b/tests/lib/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback between a process and what it calls, and what it can do to them."""
+"""A loopback proxy that injects delays, stalls and resets between a process and a service."""
 
 import asyncio
 import contextlib
@@ -8,17 +8,17 @@
 
 
 class Direction(enum.Enum):
-    """A direction: to what is called, or back to the caller."""
+    """A direction of traffic: to the target, or back to the caller."""
 
     OUT = "out"
     BACK = "back"
 
 
 class LoopbackProxy:
-    """Passes bytes between callers and ``target``, a host and a port.
+    """Forwards bytes between callers and ``target``, a host and a port.
 
-    What goes one way can be delayed, or held as by a cut that may heal: bytes are late then, and
-    none is lost.  Connections can be reset, and new ones refused.
+    Bytes can be delayed, or held per direction as in a temporary network partition: they arrive
+    late and none is lost.  Connections can be reset, and new ones refused.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -33,34 +33,34 @@
 
     @property
     def address(self) -> str:
-        """Return where callers reach the target."""
+        """Return the host and port at which callers reach the target."""
         return f"127.0.0.1:{self._port}"
 
     async def start(self) -> None:
-        """Listen, at the same port as before."""
+        """Listen; a restart uses the same port as before."""
         if self._server is None:
             self._server = await asyncio.start_server(self._serve, "127.0.0.1", self._port)
             self._port = self._server.sockets[0].getsockname()[1]
 
     def refuse(self) -> None:
-        """Refuse new connections, and reset those that there are."""
+        """Refuse new connections and reset the open ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self.reset()
 
     def reset(self) -> None:
-        """Reset all connections."""
+        """Reset all open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def hold(self, *directions: Direction) -> None:
-        """Hold what goes some ways, on connections that there are and on new ones."""
+        """Hold the bytes in these directions, on open and on new connections."""
         for direction in directions:
             self._open[direction].clear()
 
     def release(self) -> None:
-        """Let all that was held go on."""
+        """Forward the held bytes, and do not hold further ones."""
         for event in self._open.values():
             event.set()
 
@@ -69,7 +69,7 @@
         try:
             target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
-            # Whoever is called is gone: so is the connection.
+            # The target is unreachable, so the connection of the caller is aborted.
             writer.transport.abort()
             self._writers.discard(writer)
             return
@@ -82,7 +82,7 @@
     async def _pass_on(
         self, direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # A connection that breaks on one side is broken on the other, which ends the other way.
+        # An error on one side closes the other side too, which ends the opposite direction.
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 await asyncio.sleep(self.delay_s)
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -1,4 +1,4 @@
-"""A soak: real nodes on loopback, callers, drawn troubles from outside, and what must hold."""
+"""A soak: real nodes on loopback, callers, random faults, and checks of the guarantees."""
 
 import asyncio
 import itertools
@@ -17,12 +17,12 @@
 from tests.lib.soak.troubles import SoakTrouble, apply_trouble, draw_troubles
 from tests.lib.soak.world import LASTING_JOB, SoakWorld
 
-# A job that is cancelled may begin tasks for so long: none is cancelled here.
+# Time for which a cancelled job may still start tasks; the soak cancels none.
 CANCEL_S = 3.0
 STARTED_WITHIN_S = 60.0
-# After the last trouble all that was accepted ends within so long, on a busy machine too.
+# Limit from the last trouble to the end of all accepted jobs, with a margin for a busy machine.
 ENDED_WITHIN_S = 60.0
-# A lasting task runs again so long after its end; one may just be on its way to another host.
+# Limit for a lasting task to run again after its end; it may be moving to another host.
 LASTING_RESTART_MAX_S = 9.0
 LAG_PERIOD_S = 0.02
 JOB = '{"spec": "text", "steps": [{"count": 3, "cpu": 1000, "mem_mb": 100, "estimate_ms": 900}]}'
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class SoakDay:
-    """What is played: sizes, and troubles drawn from the seed."""
+    """Parameters of a soak: sizes, and troubles generated from the seed."""
 
     seed: int
     nodes: int
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True)
 class SoakFindings:
-    """What was seen and must not be, and how much was seen at all.
+    """Violations and unfinished jobs of a soak, with counts of jobs and runs.
 
-    ``lag_s`` is the longest time for which the stand-in itself did not run: what overlaps by less
-    than that on a host's clock is not told from what does not.
+    ``lag_s`` is the longest time for which the stand-in itself did not run.  An overlap of runs
+    on a host's clock that is shorter than this cannot be distinguished from no overlap.
     """
 
     seed: int
@@ -63,12 +63,12 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing was found."""
+        """Return whether there are no violations and no unfinished jobs."""
         return not (self.breaks or self.open_jobs)
 
 
 def draw_soak(seed: int, nodes: int = 0, length_s: float = 10.0) -> SoakDay:
-    """Draw a soak from its seed; of so many nodes where that is given."""
+    """Generate a soak from its seed; ``nodes`` is random if 0."""
     drawn = random.Random(seed)
     machines = drawn.choice((4, 6, 8))
     names = tuple(f"m-{number}" for number in range(machines))
@@ -86,12 +86,12 @@
 
 
 def find_in_soak(seed: int, nodes: int = 0, length_s: float = 10.0) -> SoakFindings:
-    """Play the soak of a seed in real time."""
+    """Run the soak of a seed in real time."""
     return asyncio.run(play_soak(draw_soak(seed, nodes, length_s)))
 
 
 async def play_soak(day: SoakDay) -> SoakFindings:
-    """Play a soak, and tell what was found."""
+    """Run a soak and return its findings."""
     lags: list[float] = []
     lag_task = asyncio.create_task(_measure_lag(lags))
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
@@ -126,11 +126,11 @@
 @asynccontextmanager
 async def _start(day: SoakDay) -> AsyncIterator[tuple[SoakWorld, list[NodeProcess]]]:
     world = SoakWorld(day.seed)
-    # Half of the soaks have hosts that come back under the ids they had.
+    # In soaks with an odd seed, hosts restart under their previous ids.
     world.keeps_host_ids, world.start_time_sources = day.seed % 2 == 1, tuple(StartTimeSource)
     await world.start(day.machines, day.reserve)
     store = world.start_store()
-    # Each soak has addresses of its own, so that several may run beside each other.
+    # Each process has its own block of addresses, so that several soaks can run in parallel.
     block = f"127.{10 + os.getpid() // 250 % 200}.{os.getpid() % 250}"
     with tempfile.TemporaryDirectory(ignore_cleanup_errors=True) as name:
         folder = Path(os.environ.get("ROBINTHREAD_SOAK_LOGS") or name) / f"seed{day.seed}"
@@ -151,7 +151,7 @@
 
 
 async def _work(caller: Caller, numbers: Iterator[int]) -> None:
-    """Hand a job in, see it end, and so on; a caller gives none up."""
+    """Submit a job and follow it to its end, repeatedly; a caller abandons no job."""
     while True:
         job_id = f"{next(numbers):016x}"
         await caller.hand_in(job_id, JOB)
@@ -176,17 +176,17 @@
 
 
 def _find_breaks(world: SoakWorld, lag_s: float) -> list[str]:
-    """Return what hosts and machines saw and must never see."""
+    """Return the violations that hosts and machines recorded."""
     ledger = world.hosts.ledger
     for run in ledger.runs:
-        # A host that did not run could not end what it was to end.
+        # While the stand-in did not run, its hosts could not end lapsed runs in time.
         if run.end == "lapsed" and run.ended_at_s is not None:
             run.ended_at_s -= min(lag_s, run.ended_at_s - run.began_at_s)
     return [*ledger.find_violations(CANCEL_S), *world.machines.waves.violations]
 
 
 async def _wait_for_lasting(world: SoakWorld) -> list[str]:
-    """Wait until all lasting tasks run again, and return what they lack after that."""
+    """Wait up to ``LASTING_RESTART_MAX_S`` for all lasting tasks to run; return what is missing."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + LASTING_RESTART_MAX_S
     while (missing := _find_missing_lasting(world)) and loop.time() < until_s:
@@ -195,7 +195,7 @@
 
 
 def _find_missing_lasting(world: SoakWorld) -> list[str]:
-    """Return what lasting tasks lack."""
+    """Return a description of the running lasting tasks unless each runs exactly once."""
     running = [
         run.task.index
         for run in world.hosts.ledger.runs
--- a/tests/lib/soak/stepped_clock.py
+++ b/tests/lib/soak/stepped_clock.py
@@ -1,6 +1,6 @@
-"""A node's process whose time of day can be stepped from outside, by a file with seconds.
+"""A node process whose wall clock is shifted by the number of seconds in a file.
 
-Run with ``python -m tests.lib.soak.stepped_clock FILE``.  It ends with the process that began it.
+Run with ``python -m tests.lib.soak.stepped_clock FILE``.  It exits when its parent exits.
 """
 
 import os
@@ -11,13 +11,13 @@
 
 from robinthread.__main__ import main_and_exit
 
-# The file is read again so often.
+# Minimum time between reads of the file.
 READ_PERIOD_S = 0.1
 PARENT_PERIOD_S = 1.0
 
 
 def step_clock(path: Path) -> None:
-    """Have the time of day differ by what a file says."""
+    """Replace ``time.time`` by one that adds the seconds in the file at ``path``."""
     read_time_s, read_steady_s = time.time, time.monotonic
     step_s, read_at_s = 0.0, -READ_PERIOD_S
 
@@ -31,7 +31,7 @@
 
 
 def exit_with_parent(parent: int) -> None:
-    """Have this process end once another one has."""
+    """Exit this process once its parent process, ``parent``, has exited."""
 
     def watch() -> None:
         while os.getppid() == parent:
--- a/tests/lib/soak/troubles.py
+++ b/tests/lib/soak/troubles.py
@@ -1,4 +1,4 @@
-"""What a soak does to processes and connections; each trouble is drawn before it is played."""
+"""Faults that a soak injects into processes and connections, generated before the run."""
 
 import asyncio
 import enum
@@ -11,10 +11,11 @@
 from tests.lib.soak.proxy import Direction, LoopbackProxy
 from tests.lib.soak.world import SoakWorld
 
-# A process that has been killed or stopped begins again so long after.
+# Time between the end of a killed or stopped process and its restart.
 RESTART_DELAY_S = 0.5
 ROLL_GAP_S = 1.0
-# Shorter than leases of 4 s, and longer than any owner goes on without the store.
+# One range is shorter than the leases of 4 s; the other reaches beyond the longest time for
+# which an owner continues without the store.
 LENGTHS_S = ((0.2, 3.0), (3.0, 9.0))
 DELAY_S = 0.25
 CLOCK_STEP_S = 4.0
@@ -24,7 +25,7 @@
 
 
 class SoakKind(enum.Enum):
-    """What goes wrong."""
+    """The kind of a fault."""
 
     KILL = "kill a node"
     KILL_ALL = "kill all nodes"
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class SoakTrouble:
-    """One trouble; ``target`` picks, by its rest, which node or host."""
+    """One fault; ``target`` modulo the number of nodes or hosts selects which one is affected."""
 
     at_s: float
     kind: SoakKind
@@ -58,7 +59,7 @@
 
 
 def draw_troubles(drawn: random.Random, length_s: float, count: int) -> Iterator[SoakTrouble]:
-    """Draw troubles that overlap, some in series of the same kind."""
+    """Yield ``count`` random faults that may overlap, some as a series of three of one kind."""
     for _ in range(count):
         kind, at_s = drawn.choice(list(SoakKind)), drawn.uniform(0, length_s)
         for _ in range(drawn.choice((1, 1, 3))):
@@ -68,7 +69,7 @@
 
 
 async def apply_trouble(world: SoakWorld, nodes: list[NodeProcess], trouble: SoakTrouble) -> None:
-    """Bring a trouble about at its time, and end it."""
+    """Wait until the start time of the trouble, apply it and end it after its duration."""
     await asyncio.sleep(trouble.at_s)
     node = nodes[trouble.target % len(nodes)]
     match trouble.kind:
@@ -117,7 +118,7 @@
 
 
 async def _pause(node: NodeProcess, for_s: float) -> None:
-    """Pause a process; one that is to stop as planned meanwhile isn't blamed for being late."""
+    """Pause a process; planned stops are skipped meanwhile, as a paused process would be late."""
     if not node.is_up:
         return
     node.is_paused = True
--- a/tests/lib/soak/world.py
+++ b/tests/lib/soak/world.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in as real processes reach it: store, machines and hosts over HTTP."""
+"""The simulated platform served over HTTP to real processes: store, machines and hosts."""
 
 import asyncio
 from typing import Any
@@ -51,7 +51,7 @@
     ],
 }
 HOST_CAPACITY = Resources(16_000, 32_000)
-# Work of the tasks, by their index; a job of lasting tasks has its own.
+# Durations of tasks, selected by task index; tasks of ``LASTING_JOB`` do not end.
 WORK_S = (0.3, 0.8, 1.5)
 LASTING_JOB = "1" * 16
 ENDS = {
@@ -65,13 +65,13 @@
 
 
 def plan_task(task: TaskKey) -> TaskPlan:
-    """Have tasks work for a while, and those of one job for good."""
+    """Return the plan of a task; it has no end for the tasks of ``LASTING_JOB``."""
     work_s = None if task.job_id == LASTING_JOB else WORK_S[task.index % len(WORK_S)]
     return TaskPlan(work_s, Resources(1000, 100))
 
 
 class SoakWorld(PlatformStandin):
-    """Store, machines and hosts, each served on loopback; hosts are behind a proxy each."""
+    """Store, machines and hosts, each served on loopback; each host is behind its own proxy."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(plan_task, seed)
@@ -81,7 +81,7 @@
         self._starting: set[asyncio.Task[None]] = set()
 
     async def start(self, machines: int, reserve: int) -> None:
-        """Serve so many machines, each a host of the pool, and a reserve; publish all."""
+        """Serve ``machines`` pool hosts and ``reserve`` reserve hosts; publish the settings."""
         for number in range(machines + reserve):
             name = f"m-{number}"
             target = self._serve(Application([(r"/(.*)", _HostHandler, self._name(name))]))
@@ -97,21 +97,21 @@
         self.store.put(operators, PLATFORM_RECORDS.config_key, msgspec.json.encode(CONFIG))
 
     def start_store(self) -> tuple[str, int]:
-        """Serve the store; return where."""
+        """Serve the store; return its host and port."""
         server, address = serve_store(self.store)
         self._servers.append(server)
         host, _, port = address.rpartition(":")
         return host, int(port)
 
     def close(self) -> None:
-        """End all servers."""
+        """Stop all servers and proxies."""
         for server in self._servers:
             server.stop()
         for proxy in self.host_proxies.values():
             proxy.refuse()
 
     def request_wave(self, wave: UpkeepWave) -> None:
-        """Ask for a maintenance wave as operators do."""
+        """Request a maintenance wave by a record in the store, as operators do."""
         self.machines.waves.record_request(wave)
         value = {
             "wave": wave.number,
@@ -124,7 +124,7 @@
         self.store.put(operators, key, msgspec.json.encode(value))
 
     def list_host(self, record: UpstreamHost) -> None:
-        """Have the store list a host, at the address of its machine's proxy."""
+        """Add a host to the store's list, at the address of its machine's proxy."""
         proxy = self.host_proxies[record.machine]
         starting = asyncio.get_running_loop().create_task(proxy.start())
         self._starting.add(starting)
@@ -147,18 +147,18 @@
         self.store.put(PLATFORM_RECORDS.hosts_partition, record.id, msgspec.json.encode(value))
 
     def unlist_host(self, host_id: str) -> None:
-        """Have the store list a host no more."""
+        """Remove a host from the store's list."""
         self.store.put(PLATFORM_RECORDS.hosts_partition, host_id, None)
 
     def crash_host(self, host_id: str) -> None:
-        """End a host's life; nobody listens at its address until the next one."""
+        """Crash a host; its address refuses connections until the next incarnation is listed."""
         for host in self.hosts.hosts.values():
             if host.record.id == host_id:
                 self.host_proxies[host.record.machine].refuse()
         super().crash_host(host_id)
 
     def find_incarnation(self, machine: str) -> JobHostStandin | None:
-        """Return the host that a machine is now."""
+        """Return the current host of a machine, None if it is down."""
         incarnation = self.hosts.hosts.get(f"{machine}:80")
         return incarnation if incarnation is not None and incarnation.is_up else None
 
@@ -179,7 +179,7 @@
 
 
 class _HostHandler(RequestHandler):
-    """Carries orders out on the host that a machine is now."""
+    """Executes orders on the current host of a machine."""
 
     def initialize(self, world: SoakWorld, machine: str) -> None:  # type: ignore[override]
         self._world = world
@@ -243,7 +243,7 @@
 
 
 class _MachinesHandler(RequestHandler):
-    """Lists machines and carries orders for them out."""
+    """Lists machines and executes orders for them."""
 
     def initialize(self, world: SoakWorld) -> None:  # type: ignore[override]
         self._machines = world.machines
--- a/tests/lib/virtual.py
+++ b/tests/lib/virtual.py
@@ -1,4 +1,4 @@
-"""Running coroutines on virtual time."""
+"""Runs coroutines in virtual time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -14,10 +14,10 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, T], is_judged: bool = True) -> T:
-    """Run ``work`` on a loop whose sleeps take no time; the same on every run.
+    """Run ``work`` on a deterministic event loop whose sleeps take no real time.
 
-    Fails where a maintenance wave went over its bound meanwhile, whatever ``work`` looks at,
-    unless that one judges it and ``is_judged`` is False.
+    Raises WaveBoundError if a maintenance wave exceeded its bound meanwhile, even if ``work``
+    does not check this.  Callers that check it themselves pass ``is_judged=False``.
     """
     loop = looptime.new_event_loop(start=0.0, end=VIRTUAL_LIMIT_S, noop_cycles=0)
     violations: list[WaveBoundError] = []
@@ -43,7 +43,7 @@
 
 
 def stall_loop(stall_s: float) -> None:
-    """Let time pass without any task being run, as work does that holds the loop."""
+    """Advance virtual time while no task runs, as code that blocks the event loop does."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, looptime.LoopTimeEventLoop)
     loop.setup_looptime(start=loop.time() + stall_s, end=VIRTUAL_LIMIT_S, noop_cycles=0)
