--- a/tests/functional/test_back_at_size.py
+++ b/tests/functional/test_back_at_size.py
@@ -1,6 +1,7 @@
-"""A large platform whose nodes all lose power serves again soon, whatever comes beside it.
+"""Recovery of a large platform after a power loss of all nodes, with further troubles.
 
-Each play takes some 2.3 s of processor; ``python -m bench back_days`` plays larger and others.
+Each simulation takes about 2.3 s of processor time; ``python -m bench back_days`` runs larger
+ones and other troubles.
 """
 
 from testtools import TestCase
@@ -21,19 +22,19 @@
 )
 from tests.lib.virtual import run_virtual
 
-# Small enough for plays of some seconds each.
+# Small enough that each simulation takes a few seconds.
 SIZE = Size(jobs_per_s=4.0, heartbeat_s=5.0, settle_s=3.0)
-# Troubles begin as power is lost.
+# Start of troubles that begin with the power loss, relative to the restart of the nodes.
 LOST_S = -SIZE.away_s
-# All open connections: some while pools are opened, all once they are.
+# Times at which the open connections go silent: while pools are opened, and after that.
 SILENT_S = (0.7, 2.5)
-# Owners that are killed again are back so soon.
+# Time after which an owner that is killed again restarts.
 RESTART_S = 1.0
 
 
 class BackAtSizeTest(TestCase):
     def _check(self, *troubles: Trouble) -> None:
-        """Play troubles beside a loss of power; what was served before must be again in time."""
+        """Simulate a power loss with ``troubles``; check that full service returns in time."""
         found = run_virtual(play_back(troubles, SIZE))
         self.assertEqual(((), (), ()), (found.lost, found.breaks, found.undone))
         self.assertLessEqual(found.full_service_s, RECOVERY_S)
--- a/tests/functional/test_operator_races.py
+++ b/tests/functional/test_operator_races.py
@@ -1,4 +1,4 @@
-"""Operators' changes that meet each other or a running wave."""
+"""Operator changes that conflict with each other or with a running wave."""
 
 import asyncio
 
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a platform, four workers, two daemons, operators."""
+"""Real processes on loopback: a platform, four workers, two daemons and operator commands."""
 
 import json
 import signal
@@ -158,7 +158,7 @@
         for _ in range(100):
             if len(json.loads(self._run("status", "--json"))["hosts"]) == count:
                 return
-        raise AssertionError("the hosts did not arrive")
+        raise AssertionError(f"the status did not list {count} hosts after 100 calls")
 
     def _wait_until_running(self, daemon: int) -> None:
         url = f"http://{self.site.get_address('metrics', daemon)}/metrics"
@@ -169,4 +169,6 @@
                 for line in lines
             ):
                 return
-        raise AssertionError("no request ran")
+        raise AssertionError(
+            f"daemon {daemon} reported no running request in 1000 reads of its metrics"
+        )
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,6 +1,6 @@
-"""Real nodes as processes on loopback, with faults from outside.
+"""Soak test of real node processes on loopback with injected faults.
 
-``python -m bench soak`` plays more.
+``python -m bench soak`` runs more seeds.
 """
 
 from testtools import TestCase
--- a/tests/functional/test_tls.py
+++ b/tests/functional/test_tls.py
@@ -1,4 +1,4 @@
-"""Operators' calls over TLS."""
+"""Operator calls over TLS: trust in the authority, and refusal of invalid certificate files."""
 
 import asyncio
 import tempfile
