--- a/tests/functional/test_back_at_size.py
+++ b/tests/functional/test_back_at_size.py
@@ -42,16 +42,16 @@
         self.assertEqual(SIZE.pools, len(found.first_start_s))
         self.assertLess(max(found.first_start_s.values()), RECOVERY_S)
 
-    def test_nothing_beside_it(self) -> None:
+    def test_power_loss_alone(self) -> None:
         self._check()
 
-    def test_store_is_slow_and_a_third_of_the_nodes_stays_away(self) -> None:
+    def test_store_is_slow_and_a_third_of_the_nodes_does_not_restart(self) -> None:
         self._check(make_slow_store(LOST_S, ENDS_S), keep_third_away)
 
-    def test_store_turns_a_third_of_the_nodes_away_and_hosts_lapse(self) -> None:
+    def test_store_refuses_a_third_of_the_nodes_and_hosts_lapse(self) -> None:
         self._check(make_refusals(LOST_S, ENDS_S), lapse_hosts_while_away)
 
-    def test_store_loses_answers_and_hosts_lapse_while_pools_change_hands(self) -> None:
+    def test_store_loses_responses_and_hosts_lapse_while_pools_change_owners(self) -> None:
         self._check(make_lost_answers(LOST_S, ENDS_S), make_lapses_at_change(RESTART_S))
 
     def test_connections_go_silent_and_owners_are_replaced_while_tasks_wait(self) -> None:
--- a/tests/functional/test_operator_races.py
+++ b/tests/functional/test_operator_races.py
@@ -41,7 +41,7 @@
 
         run_virtual(work())
 
-    def test_budget_raised_while_a_wave_runs_is_held_from_then_on(self) -> None:
+    def test_budget_raised_during_a_wave_applies_to_its_remaining_hosts(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(budget=Budget(min_serving_hosts=4))
             daemon = get_daemon(fleet)
@@ -82,7 +82,7 @@
 
         run_virtual(work())
 
-    def test_paused_and_cancelled_waves_take_nothing_more(self) -> None:
+    def test_paused_wave_makes_no_progress_until_resumed(self) -> None:
         async def work() -> None:
             fleet = await start_fleet(budget=Budget(min_serving_hosts=7))
             daemon = get_daemon(fleet)
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -53,7 +53,7 @@
         codes = [self._request(daemon, f"n{daemon}", "no")["Result-Name"] for daemon in (1, 0)]
         self.assertEqual(["RAN", "RAN"], codes)
 
-    def test_2_wave_runs_to_its_end_and_the_timeline_tells_it(self) -> None:
+    def test_2_wave_completes_and_is_in_the_timeline(self) -> None:
         plan = json.loads(self._run("wave", "plan", "--pool=tiles", "--reboot_s=2", "--json"))
         self.assertEqual(4, len(plan["steps"]))
         self._run("wave", "run", "kernel", "update", "--pool=tiles", "--wait", daemon=1)
@@ -102,14 +102,14 @@
         self.assertEqual(get_exit_code(ResultCode.SCHEMA_MISMATCH), done.returncode)
         self.assertIn("max_slots", done.stderr)
 
-    def test_5_malformed_requests_are_told_so(self) -> None:
+    def test_5_malformed_requests_are_refused_as_bad_requests(self) -> None:
         headers = self._request(0, "bad", "perhaps")
         self.assertEqual("BAD_REQUEST", headers["Result-Name"])
 
     def test_6_daemon_has_no_child_process(self) -> None:
         self.assertEqual("", self.site.daemons[0].list_children())
 
-    def test_7_planned_stop_under_load_answers_what_it_took(self) -> None:
+    def test_7_planned_stop_under_load_answers_all_accepted_requests(self) -> None:
         answers: list[str] = []
 
         def call(number: int) -> None:
--- a/tests/functional/test_tls.py
+++ b/tests/functional/test_tls.py
@@ -32,7 +32,7 @@
         certificate.private_key_pem.write_to_path(self.folder / "key.pem")
         certificate.cert_chain_pems[0].write_to_path(self.folder / "cert.pem")
 
-    def test_call_is_answered_to_those_who_know_the_authority(self) -> None:
+    def test_only_callers_that_trust_the_authority_are_served(self) -> None:
         async def work() -> None:
             platform = Listener(LOOPBACK)
             platform.serve(make_platform_application(LogStandin(), HostListStandin()), 1_000_000)
@@ -50,7 +50,7 @@
 
         asyncio.run(work())
 
-    def test_files_that_are_no_certificate_are_refused(self) -> None:
+    def test_invalid_certificate_file_is_refused(self) -> None:
         (self.folder / "cert.pem").write_text("nothing")
         with self.assertRaises(FaultError) as caught:
             DaemonProcess(self._make_settings("127.0.0.1:1"), Counters())
