--- a/tests/lib/soak/callers.py
+++ b/tests/lib/soak/callers.py
@@ -130,7 +130,7 @@
         except (OSError, NoResponseError) as error:
             if isinstance(error, TruncatedResponseError) and self._node.is_stopping:
                 self._tracker.breaks.append(
-                    f"{self._node.name} stopped within an answer to {job_id}"
+                    f"{self._node.name} stopped during a response about {job_id}"
                 )
             if self._connection is not None:
                 self._connection.close()
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -201,7 +201,11 @@
         for run in world.hosts.ledger.runs
         if run.task.job_id == LASTING_JOB and run.ended_at_s is None
     ]
-    return [] if sorted(running) == [0, 1, 2] else [f"lasting tasks that run: {sorted(running)}"]
+    return (
+        []
+        if sorted(running) == [0, 1, 2]
+        else [f"running lasting tasks, of 0, 1 and 2: {sorted(running)}"]
+    )
 
 
 async def _measure_lag(lags: list[float]) -> None:
