--- a/bench/share_slopes.py
+++ b/bench/share_slopes.py
@@ -1,4 +1,4 @@
-"""What dealing out workspaces' limits costs a steward: ``python -m bench.share_slopes``."""
+"""Cost of allocating workspace limits on a steward: ``python -m bench.share_slopes``."""
 
 import time
 
@@ -13,26 +13,26 @@
 from robinthread._internal.node.share_allocator import ShareAllocator
 from robinthread._internal.telemetry.event_log import EventLog
 
-# Pools, and workspaces that want more than their even share in each of them.
+# Number of pools, and of workspaces whose demand exceeds their even share in every pool.
 SIZES = ((4, 0), (4, 20), (144, 0), (144, 20))
 WORKSPACES = 270
 LIMIT = Resources(1_000_000, 0)
 STEPS = 6
 
 
-def measure(pool_count: int, wanting_count: int) -> tuple[float, int]:
-    """Return milliseconds of the longest step of the steward, and bytes of an order."""
+def measure(pool_count: int, active_count: int) -> tuple[float, int]:
+    """Return the duration of the steward's longest step in ms, and the bytes of an order."""
     pools = tuple(PoolPolicy(f"pool-{number}") for number in range(pool_count))
     names = [f"workspace-{number}" for number in range(WORKSPACES)]
     config = make_fleet_config(
         1, (), pools, 1000, tuple(WorkspacePolicy(name, limit=LIMIT) for name in names)
     )
-    standings = tuple(
+    usages = tuple(
         WorkspaceUsage(name, (5_000, 0, 0), (90_000, 0, 0), (2_000, 0, 0))
-        for name in names[:wanting_count]
+        for name in names[:active_count]
     )
     allocator = ShareAllocator(1, 0.2, 0.0, EventLog("bench", lambda line: None))
-    took_s = max(_take_step(allocator, config, standings) for _ in range(STEPS))
+    took_s = max(_take_step(allocator, config, usages) for _ in range(STEPS))
     order = allocator.make_order(pools[0].name, config)
     return took_s * 1000, len(msgspec.msgpack.encode(order))
 
@@ -40,14 +40,14 @@
 def _take_step(
     allocator: ShareAllocator,
     config: FleetConfig,
-    standings: tuple[WorkspaceUsage, ...],
+    usages: tuple[WorkspaceUsage, ...],
 ) -> float:
     orders = {pool: allocator.make_order(pool, config) for pool in config.list_working_pools()}
     reports = {
         pool: PoolReport(
             True,
             share_state=ShareState(order.token, order.number, order.table),
-            workspaces=standings,
+            workspaces=usages,
         )
         for pool, order in orders.items()
         if order is not None
--- a/tests/functional/test_processes.py
+++ b/tests/functional/test_processes.py
@@ -1,4 +1,4 @@
-"""Operator verbs and requests against real processes: a platform, four workers, two daemons."""
+"""Real processes on loopback: a platform, four workers, two daemons and operator commands."""
 
 import json
 import signal
@@ -53,7 +53,7 @@
         codes = [self._request(daemon, f"n{daemon}", "no")["Result-Name"] for daemon in (1, 0)]
         self.assertEqual(["RAN", "RAN"], codes)
 
-    def test_2_wave_runs_to_its_end_and_the_timeline_shows_it(self) -> None:
+    def test_2_wave_completes_and_is_in_the_timeline(self) -> None:
         plan = json.loads(self._run("wave", "plan", "--pool=tiles", "--reboot_s=2", "--json"))
         self.assertEqual(4, len(plan["steps"]))
         self._run("wave", "run", "kernel", "update", "--pool=tiles", "--wait", daemon=1)
@@ -102,14 +102,14 @@
         self.assertEqual(get_exit_code(ResultCode.SCHEMA_MISMATCH), done.returncode)
         self.assertIn("max_slots", done.stderr)
 
-    def test_5_malformed_request_is_rejected_as_bad_request(self) -> None:
+    def test_5_malformed_requests_are_refused_as_bad_requests(self) -> None:
         headers = self._request(0, "bad", "perhaps")
         self.assertEqual("BAD_REQUEST", headers["Result-Name"])
 
     def test_6_daemon_has_no_child_process(self) -> None:
         self.assertEqual("", self.site.daemons[0].list_children())
 
-    def test_7_graceful_stop_under_load_answers_accepted_requests(self) -> None:
+    def test_7_planned_stop_under_load_answers_all_accepted_requests(self) -> None:
         answers: list[str] = []
 
         def call(number: int) -> None:
@@ -158,7 +158,7 @@
         for _ in range(100):
             if len(json.loads(self._run("status", "--json"))["hosts"]) == count:
                 return
-        raise AssertionError("the hosts did not arrive")
+        raise AssertionError(f"the status did not list {count} hosts after 100 calls")
 
     def _wait_until_running(self, daemon: int) -> None:
         url = f"http://{self.site.get_address('metrics', daemon)}/metrics"
@@ -169,4 +169,6 @@
                 for line in lines
             ):
                 return
-        raise AssertionError("no request ran")
+        raise AssertionError(
+            f"daemon {daemon} reported no running request in 1000 reads of its metrics"
+        )
--- a/tests/lib/soak/callers.py
+++ b/tests/lib/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that use their open connections until whoever they call is gone."""
+"""Callers that keep a connection open until the node they call fails."""
 
 import asyncio
 import json
@@ -9,21 +9,21 @@
 from tests.lib.soak.node_process import CALLERS_PORT, NodeProcess
 from tests.lib.soak.world import QUEUE_HOST, QUEUE_PATH
 
-ANSWERED_WITHIN_S = 4.0
+RESPONSE_TIMEOUT_S = 4.0
 POLL_S = 0.5
 FINAL = ("succeeded", "failed", "canceled")
 
 
-class NoAnswerError(Exception):
-    """Nothing came back, or not in time."""
+class NoResponseError(Exception):
+    """The node sent no response within ``RESPONSE_TIMEOUT_S``."""
 
 
-class CutAnswerError(NoAnswerError):
-    """An answer ended before it was whole."""
+class TruncatedResponseError(NoResponseError):
+    """The connection ended within a response."""
 
 
 class Connection:
-    """One connection to a node, for one request at a time."""
+    """A connection to a node that carries one request at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -31,15 +31,15 @@
 
     @classmethod
     async def open(cls, ip: str) -> "Connection":
-        """Connect to a node."""
+        """Return a new connection to the callers' port of the node at ``ip``."""
         return cls(*await asyncio.open_connection(ip, CALLERS_PORT))
 
     def close(self) -> None:
-        """Close."""
+        """Abort the connection."""
         self._writer.transport.abort()
 
     async def call(self, method: str, job_id: str, body: str) -> tuple[int, dict[str, Any]]:
-        """Return the status and the body of the answer."""
+        """Send a request about a job; return the status and the decoded body of the response."""
         lines = (
             f"{method} {QUEUE_PATH}{job_id} HTTP/1.1",
             f"Host: {QUEUE_HOST}",
@@ -48,36 +48,40 @@
             body,
         )
         try:
-            async with asyncio.timeout(ANSWERED_WITHIN_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 self._writer.write("\r\n".join(lines).encode())
                 return await self._read()
         except (OSError, TimeoutError) as error:
-            raise NoAnswerError(repr(error)) from error
+            raise NoResponseError(repr(error)) from error
 
     async def _read(self) -> tuple[int, dict[str, Any]]:
         try:
             head = await self._reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as error:
-            raise (CutAnswerError if error.partial else NoAnswerError)("no whole head") from error
+            raise (TruncatedResponseError if error.partial else NoResponseError)(
+                "connection ended before the end of the response head"
+            ) from error
         status = int(head.split()[1])
         fields = dict(line.split(b": ", 1) for line in head.lower().splitlines()[1:] if line)
         try:
             body = await self._reader.readexactly(int(fields[b"content-length"]))
         except asyncio.IncompleteReadError as error:
-            raise CutAnswerError("no whole body") from error
+            raise TruncatedResponseError(
+                "connection ended before the end of the response body"
+            ) from error
         return status, json.loads(body) if body else {}
 
 
 @dataclass
-class CallersBook:
-    """What callers were told: accepted jobs, the last state of each, and what must not be."""
+class CallerTracker:
+    """What callers observed: accepted jobs, the last state of each, and violations."""
 
     accepted: set[str] = field(default_factory=set)
     states: dict[str, str] = field(default_factory=dict)
     breaks: list[str] = field(default_factory=list)
 
-    def note_state(self, job_id: str, state: str) -> None:
-        """Take in a job's state."""
+    def record_state(self, job_id: str, state: str) -> None:
+        """Record the state of a job; a job that leaves a final state is a violation."""
         before = self.states.get(job_id)
         if before in FINAL and state != before:
             self.breaks.append(f"{job_id} was shown as {before}, then as {state}")
@@ -85,47 +89,49 @@
 
     @property
     def open(self) -> list[str]:
-        """List accepted jobs that have not been shown as ended."""
+        """Return the ids of accepted jobs whose last known state is not final."""
         return [job for job in sorted(self.accepted) if self.states.get(job) not in FINAL]
 
 
 class Caller:
-    """Hands jobs in and asks for them, at one node until that is gone, then at another."""
+    """Submits and queries jobs at one node, and at another once a call to that node fails."""
 
-    def __init__(self, nodes: list[NodeProcess], book: CallersBook, seed: int) -> None:
+    def __init__(self, nodes: list[NodeProcess], tracker: CallerTracker, seed: int) -> None:
         self._nodes = nodes
-        self._book = book
+        self._tracker = tracker
         self._random = random.Random(seed)
         self._connection: Connection | None = None
         self._node = self._random.choice(nodes)
 
     async def hand_in(self, job_id: str, body: str) -> None:
-        """Hand a job in until a node has accepted it."""
+        """Submit a job repeatedly until a node has accepted it."""
         while (answer := await self._call("POST", job_id, body)) is None or answer[0] != 200:
             await asyncio.sleep(POLL_S)
-        self._book.accepted.add(job_id)
+        self._tracker.accepted.add(job_id)
 
     async def follow(self, job_id: str) -> None:
-        """Ask for a job until it is shown as ended."""
-        while self._book.states.get(job_id) not in FINAL:
+        """Query a job until its state is final."""
+        while self._tracker.states.get(job_id) not in FINAL:
             await asyncio.sleep(POLL_S)
-            await self.ask(job_id)
+            await self.query(job_id)
 
-    async def ask(self, job_id: str) -> None:
-        """Ask for a job once."""
+    async def query(self, job_id: str) -> None:
+        """Query a job once and record its state."""
         answer = await self._call("GET", job_id, "")
         if answer is not None and answer[0] == 200:
-            self._book.note_state(job_id, answer[1]["state"])
+            self._tracker.record_state(job_id, answer[1]["state"])
 
     async def _call(self, method: str, job_id: str, body: str) -> tuple[int, dict[str, Any]] | None:
-        """Return the answer, if there was one; go to another node otherwise."""
+        """Return the response; on failure return None and switch to a random node."""
         try:
             if self._connection is None:
                 self._connection = await Connection.open(self._node.ip)
             return await self._connection.call(method, job_id, body)
-        except (OSError, NoAnswerError) as error:
-            if isinstance(error, CutAnswerError) and self._node.is_stopping:
-                self._book.breaks.append(f"{self._node.name} stopped within an answer to {job_id}")
+        except (OSError, NoResponseError) as error:
+            if isinstance(error, TruncatedResponseError) and self._node.is_stopping:
+                self._tracker.breaks.append(
+                    f"{self._node.name} stopped during a response about {job_id}"
+                )
             if self._connection is not None:
                 self._connection.close()
             self._connection, self._node = None, self._random.choice(self._nodes)
