--- a/src/robinthread/_internal/commands/node.py
+++ b/src/robinthread/_internal/commands/node.py
@@ -14,27 +14,29 @@
 
 
 def run_node_command(metrics_port: int | None, policy_path: str) -> int:
-    """Run a node with the settings that the platform laid out, until it is told to stop.
+    """Run a node with the settings file that the platform provides, until it is stopped.
 
-    How it decides stands in the file at ``policy_path``; empty for the defaults.
+    The policy is read from ``policy_path``; the defaults apply if it is empty.
     """
     path = get_settings_path()
     policy = _read_policy(policy_path) if policy_path else PolicySettings()
-    run_process(run_node(lambda: read_node_settings(path), metrics_port, _begin_metrics, policy))
+    run_process(
+        run_node(lambda: read_node_settings(path), metrics_port, _start_metrics_export, policy)
+    )
     return 0
 
 
 def _read_policy(path: str) -> PolicySettings:
-    """Read the policy file; raise ``FaultError`` where it is not valid."""
+    """Read the policy file; raise ``FaultError`` if it is invalid."""
     result = parse_policy(read_text(path), path)
     if isinstance(result, Success):
         return result.unwrap()
     raise FaultError(result.failure())
 
 
-def _begin_metrics(metrics: NodeMetrics) -> Application:
+def _start_metrics_export(metrics: NodeMetrics) -> Application:
     from robinthread._internal.telemetry.exporter import make_metrics_application
-    from robinthread._internal.telemetry.node_exporter import begin_metrics
+    from robinthread._internal.telemetry.node_exporter import start_metrics_export
 
-    begin_metrics(metrics)
+    start_metrics_export(metrics)
     return make_metrics_application()
--- a/src/robinthread/_internal/daemon/wiring.py
+++ b/src/robinthread/_internal/daemon/wiring.py
@@ -1,4 +1,4 @@
-"""How a daemon's parts are wired to each other."""
+"""Construction of a daemon's services with the functions that they need of each other."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def make_presence(daemon: Daemon) -> Presence:
-    """Wire the daemon's presence."""
+    """Return the service that monitors which daemons and halls are reachable."""
     context = PresenceContext(
         daemon.settings.name,
         daemon.settings.hall,
         lambda: daemon.incarnation,
         lambda: daemon.state,
         lambda: daemon.is_fresh,
-        daemon.publish_quietly,
+        daemon.publish_ignoring_result,
         daemon.get_digest,
         daemon.check_digest,
     )
@@ -31,13 +31,13 @@
 
 
 def make_claims(daemon: Daemon) -> ClaimService:
-    """Wire the daemon's claims."""
+    """Return the service that grants claims for the partitions that this daemon owns."""
     context = ClaimContext(
         daemon.settings.name,
         daemon.settings.hall,
         lambda: daemon.incarnation,
         lambda: daemon.state,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
         daemon.make_id,
         daemon.environment.wall_clock,
     )
@@ -47,7 +47,7 @@
 
 
 def make_dispatch(daemon: Daemon) -> DispatchService:
-    """Wire the daemon's dispatch."""
+    """Return the service that runs requests on hosts."""
     context = DispatchContext(
         daemon.settings.hall,
         lambda: daemon.state,
@@ -57,25 +57,25 @@
         daemon.make_id,
         daemon.counters,
         daemon.events,
-        daemon.publish_quietly,
+        daemon.publish_ignoring_result,
     )
     return DispatchService(
         daemon.settings.name,
         context,
         daemon.settings.dispatch,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
     )
 
 
 def make_entry(daemon: Daemon) -> EntryService:
-    """Wire the daemon's entry."""
+    """Return the service that accepts requests from callers."""
     context = EntryContext(
         daemon.settings.name,
         daemon.settings.hall,
         lambda: daemon.incarnation,
         lambda: daemon.state,
         lambda: daemon.follower.is_ready and not daemon.is_halted,
-        daemon.presence.can_hear,
+        daemon.presence.is_reachable,
         daemon.environment.upstream,
         daemon.router,
         daemon.environment.wall_clock,
@@ -89,7 +89,7 @@
 
 
 def make_steward(daemon: Daemon) -> Steward:
-    """Wire the daemon's steward."""
+    """Return the steward, which carries out waves on the hosts that this daemon dispatches."""
     context = StewardContext(
         daemon.settings.hall,
         lambda: daemon.state,
@@ -97,7 +97,7 @@
         lambda: daemon.dispatch.dispatchers,
         daemon.is_hall_lead,
         daemon.publish,
-        daemon.router.tell,
+        daemon.router.send_notice,
         daemon.environment.upstream,
         daemon.counters,
         daemon.events,
--- a/src/robinthread/_internal/dispatch/dispatch_service.py
+++ b/src/robinthread/_internal/dispatch/dispatch_service.py
@@ -1,4 +1,4 @@
-"""Dispatchers as a daemon runs them, and slots as it asks for them."""
+"""The dispatchers that a daemon runs, and its slot requests to dispatchers of any daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.peers.messages import (
     AnyMessage,
-    SlotAsk,
-    SlotAskCancel,
     SlotRelease,
     SlotReply,
+    SlotRequest,
+    SlotRequestCancel,
 )
 from robinthread._internal.peers.router import PeerTimeoutError, Sender
 from robinthread._internal.results import ResultCode
@@ -24,14 +24,14 @@
 from robinthread._internal.upstream.errors import UpstreamLostError, UpstreamUnsentError
 from robinthread._internal.utils.rendezvous import pick_by_rendezvous
 
-FAILING_PHASES: Final = (HostPhase.SERVING, HostPhase.PERMITTED, HostPhase.DRAINING)
+FAILABLE_PHASES: Final = (HostPhase.SERVING, HostPhase.PERMITTED, HostPhase.DRAINING)
 
 
 class DispatchService:
-    """Run the dispatchers whose turn is here; ask the others for slots.
+    """Run the dispatchers assigned to this daemon; request slots from any dispatcher.
 
-    The dispatcher of a pool in a data hall is one of the hall's own daemons,
-    so a hall that is cut off goes on serving from its own hosts.
+    The dispatcher of a pool in a data hall runs on one of the hall's own daemons,
+    so a hall that is cut off continues to serve from its own hosts.
     """
 
     def __init__(
@@ -39,52 +39,58 @@
         name: str,
         context: DispatchContext,
         settings: DispatchSettings,
-        can_hear: Callable[[DaemonMember], bool],
+        is_reachable: Callable[[DaemonMember], bool],
     ) -> None:
         self.dispatchers: dict[str, Dispatcher] = {}
         self._name = name
         self._context = context
         self._settings = settings
-        self._can_hear = can_hear
+        self._is_reachable = is_reachable
         self._publish = context.publish
-        self._watches: dict[str, asyncio.Task[None]] = {}
-        self._silent_since_s: dict[str, float] = {}
+        self._host_monitors: dict[str, asyncio.Task[None]] = {}
+        self._no_report_since_s: dict[str, float] = {}
         router = context.router
-        router.on(SlotAsk, self._on_ask)
-        router.on_notice(SlotAskCancel, self._on_cancel)
+        router.on(SlotRequest, self._on_slot_request)
+        router.on_notice(SlotRequestCancel, self._on_cancel)
         router.on_notice(SlotRelease, self._on_release)
         router.on_late_reply(self._on_late_reply)
 
-    def adopt_state(self) -> None:
-        """Start, update and end dispatchers after a change of the fleet state."""
+    def update_dispatchers(self) -> None:
+        """Start, update and stop dispatchers after a change of the fleet state."""
         pools: dict[str, list[Host]] = {}
         for _, host in sorted(self._context.get_state().hosts.items()):
             if host.hall == self._context.hall and host.pool:
                 pools.setdefault(host.pool, []).append(host)
         for pool, hosts in pools.items():
-            if self.get_turn(pool, self._context.hall) == self._name:
+            if self.get_dispatching_daemon(pool, self._context.hall) == self._name:
                 self._run_dispatcher(pool, tuple(hosts))
         for pool in tuple(self.dispatchers):
-            turn = self.get_turn(pool, self._context.hall)
-            if pool not in pools or turn != self._name:
+            daemon_name = self.get_dispatching_daemon(pool, self._context.hall)
+            if pool not in pools or daemon_name != self._name:
                 self.dispatchers.pop(pool).refuse_all(ResultCode.NOT_READY)
 
-    def get_turn(self, pool: str, hall: str) -> str:
-        """Return the daemon whose turn it is to dispatch ``pool`` in ``hall``."""
+    def get_dispatching_daemon(self, pool: str, hall: str) -> str:
+        """Return the name of the daemon that dispatches ``pool`` in ``hall``, "" if none can."""
         members = self._context.get_state().iter_hall_daemons(hall)
         return pick_by_rendezvous(pool, [member.name for member in members])
 
-    async def ask(self, hall: str, ask: SlotAsk, timeout_s: float) -> SlotReply:
-        """Ask the dispatcher in ``hall`` for a slot."""
-        member = self._context.get_state().daemons.get(self.get_turn(ask.pool, hall))
-        if member is None or not self._can_hear(member):
+    async def request_slot(self, hall: str, request: SlotRequest, timeout_s: float) -> SlotReply:
+        """Request a slot from the pool's dispatcher in ``hall``.
+
+        The code is ``NO_HOST_REACHABLE`` if its daemon is unreachable or does not
+        reply within ``timeout_s``.
+        """
+        member = self._context.get_state().daemons.get(
+            self.get_dispatching_daemon(request.pool, hall)
+        )
+        if member is None or not self._is_reachable(member):
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
         try:
-            reply = await self._context.router.ask(
+            reply = await self._context.router.send_request(
                 member.peer_address,
-                ask,
+                request,
                 timeout_s,
-                lambda ask_id: SlotAskCancel(ask.pool, ask.hall, ask_id),
+                lambda frame_id: SlotRequestCancel(request.pool, request.hall, frame_id),
             )
         except PeerTimeoutError:
             return SlotReply(ResultCode.NO_HOST_REACHABLE, retry_after_s=1.0)
@@ -92,41 +98,46 @@
         return reply
 
     def release(self, release: SlotRelease) -> None:
-        """Give a slot back to its dispatcher, whoever that is by now."""
-        turn = self.get_turn(release.pool, release.hall)
-        member = self._context.get_state().daemons.get(turn)
+        """Send the release of a slot to the daemon that dispatches its pool now.
+
+        This may be another daemon than the one that granted the slot.
+        """
+        daemon_name = self.get_dispatching_daemon(release.pool, release.hall)
+        member = self._context.get_state().daemons.get(daemon_name)
         if member is not None:
-            self._context.router.tell(member.peer_address, release)
+            self._context.router.send_notice(member.peer_address, release)
 
     def close(self) -> None:
-        """End the watches."""
-        for task in self._watches.values():
+        """Cancel the monitors of all hosts."""
+        for task in self._host_monitors.values():
             task.cancel()
 
     def _run_dispatcher(self, pool: str, hosts: tuple[Host, ...]) -> None:
         dispatcher = self.dispatchers.get(pool)
         if dispatcher is None:
             dispatcher = self.dispatchers[pool] = Dispatcher(pool, self._context, self._settings)
-            self._context.events.note("dispatcher_started", pool)
+            self._context.events.record("dispatcher_started", pool)
         dispatcher.update(hosts)
         loop = asyncio.get_running_loop()
         for host in hosts:
-            watch = self._watches.get(host.name)
-            if watch is None or watch.done():
-                self._watches[host.name] = loop.create_task(self._watch_host(pool, host.name))
-
-    async def _watch_host(self, pool: str, name: str) -> None:
-        """Follow one host: its reports, its failure and its return."""
+            monitor = self._host_monitors.get(host.name)
+            if monitor is None or monitor.done():
+                self._host_monitors[host.name] = loop.create_task(
+                    self._monitor_host(pool, host.name)
+                )
+
+    async def _monitor_host(self, pool: str, name: str) -> None:
+        """Poll one host's reports, and publish its failure and its recovery."""
         await asyncio.sleep(self._settings.takeover_wait_s)
         while True:
             dispatcher = self.dispatchers.get(pool)
             if dispatcher is None or name not in dispatcher.hosts:
                 return
-            await dispatcher.count_slots(name)
-            await self._follow_report(dispatcher, name)
+            await dispatcher.query_slots_in_use(name)
+            await self._poll_report(dispatcher, name)
             await asyncio.sleep(self._settings.report_interval_s)
 
-    async def _follow_report(self, dispatcher: Dispatcher, name: str) -> None:
+    async def _poll_report(self, dispatcher: Dispatcher, name: str) -> None:
         slots = dispatcher.hosts.get(name)
         if slots is None:
             return
@@ -134,32 +145,32 @@
         try:
             report = await self._context.upstream.report(slots.host.address)
         except (UpstreamUnsentError, UpstreamLostError):
-            await self._note_silence(slots.host, now_s)
+            await self._record_missing_report(slots.host, now_s)
             return
-        self._silent_since_s.pop(name, None)
+        self._no_report_since_s.pop(name, None)
         dispatcher.reconcile(name, report.slots_in_use)
         if slots.host.phase is HostPhase.FAILED:
             await self._publish(HostRecovered(name, slots.host.token))
 
-    async def _note_silence(self, host: Host, now_s: float) -> None:
-        if host.phase not in FAILING_PHASES:
-            self._silent_since_s.pop(host.name, None)
+    async def _record_missing_report(self, host: Host, now_s: float) -> None:
+        if host.phase not in FAILABLE_PHASES:
+            self._no_report_since_s.pop(host.name, None)
             return
-        since_s = self._silent_since_s.setdefault(host.name, now_s)
+        since_s = self._no_report_since_s.setdefault(host.name, now_s)
         if now_s - since_s >= self._settings.host_fail_after_s:
-            self._context.events.note("host_silent", host.name, host.pool)
+            self._context.events.record("host_silent", host.name, host.pool)
             await self._publish(HostFailed(host.name, host.token))
 
-    async def _on_ask(self, sender: Sender, ask: SlotAsk) -> SlotReply:
-        dispatcher = self.dispatchers.get(ask.pool)
-        if dispatcher is None or ask.hall != self._context.hall:
+    async def _on_slot_request(self, sender: Sender, request: SlotRequest) -> SlotReply:
+        dispatcher = self.dispatchers.get(request.pool)
+        if dispatcher is None or request.hall != self._context.hall:
             return SlotReply(ResultCode.NOT_READY, retry_after_s=0.1)
-        return await dispatcher.ask(sender, ask)
+        return await dispatcher.request_slot(sender, request)
 
-    def _on_cancel(self, sender: Sender, cancel: SlotAskCancel) -> None:
+    def _on_cancel(self, sender: Sender, cancel: SlotRequestCancel) -> None:
         dispatcher = self.dispatchers.get(cancel.pool)
         if dispatcher is not None:
-            dispatcher.cancel(sender, cancel.ask_id)
+            dispatcher.cancel(sender, cancel.frame_id)
 
     def _on_release(self, sender: Sender, release: SlotRelease) -> None:
         dispatcher = self.dispatchers.get(release.pool)
@@ -167,7 +178,7 @@
             dispatcher.release(release)
 
     def _on_late_reply(self, address: str, message: AnyMessage) -> None:
-        """Give back a lease whose asker has stopped waiting."""
+        """Release a slot lease whose requester has stopped waiting for the reply."""
         if isinstance(message, SlotReply) and message.code == ResultCode.OK:
             host = self._context.get_state().hosts.get(message.host)
             if host is None:
@@ -175,4 +186,4 @@
             release = SlotRelease(
                 host.pool, host.hall, message.lease_id, host.name, SlotOutcome.UNUSED, 0.0, b""
             )
-            self._context.router.tell(address, release)
+            self._context.router.send_notice(address, release)
--- a/src/robinthread/_internal/dispatch/waiting_queue.py
+++ b/src/robinthread/_internal/dispatch/waiting_queue.py
@@ -1,4 +1,4 @@
-"""Asks for slots that wait, by urgency and team, and the slots that teams hold."""
+"""Queue of waiting slot requests by urgency and team, and the slots that teams hold."""
 
 import asyncio
 from collections import Counter, deque
@@ -8,16 +8,16 @@
 
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.urgency import Urgency
-from robinthread._internal.peers.messages import SlotAsk, SlotReply
+from robinthread._internal.peers.messages import SlotReply, SlotRequest
 
 UNLIMITED_SLOTS: Final = 1_000_000
 
 
 @dataclass(frozen=True)
-class WaitingAsk:
-    """An ask, who asked, and since when, in seconds of the loop."""
+class WaitingRequest:
+    """A waiting slot request and its sender; ``arrived_at_s`` is event-loop time in seconds."""
 
-    ask: SlotAsk
+    request: SlotRequest
     sender_name: str
     sender_address: str
     frame_id: int
@@ -26,10 +26,13 @@
 
 
 class WaitingQueue:
-    """Urgent work first; within a class, the team that holds the fewest slots."""
+    """Slot requests in order of urgency class.
+
+    Within a class, the team that uses the smallest share of its quota goes first.
+    """
 
     def __init__(self) -> None:
-        self._classes: dict[int, dict[str, deque[WaitingAsk]]] = {
+        self._classes: dict[int, dict[str, deque[WaitingRequest]]] = {
             urgency.value: {} for urgency in Urgency
         }
         self._counts = dict.fromkeys(self._classes, 0)
@@ -38,67 +41,67 @@
         return sum(self._counts.values())
 
     def count_ahead(self, urgency: int) -> int:
-        """Return the number of asks that go before a new one of this class."""
+        """Return the number of waiting requests of this class or a more urgent one."""
         return sum(count for level, count in self._counts.items() if level <= urgency)
 
     def count_class(self, urgency: int) -> int:
-        """Return the number of asks of this class."""
+        """Return the number of waiting requests of this class."""
         return self._counts[urgency]
 
-    def put(self, waiting: WaitingAsk) -> None:
-        """Add an ask behind those of its class and team."""
-        teams = self._classes[waiting.ask.urgency]
-        teams.setdefault(waiting.ask.team, deque()).append(waiting)
-        self._counts[waiting.ask.urgency] += 1
+    def put(self, waiting: WaitingRequest) -> None:
+        """Append a request to the queue of its class and team."""
+        teams = self._classes[waiting.request.urgency]
+        teams.setdefault(waiting.request.team, deque()).append(waiting)
+        self._counts[waiting.request.urgency] += 1
 
-    def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingAsk]:
-        """Iterate over each team's first ask, best first, by class and share in use."""
+    def iter_heads(self, get_share: Callable[[str], float]) -> Iterator[WaitingRequest]:
+        """Iterate over each team's first request, by class, then by the team's share in use."""
         for teams in self._classes.values():
             order = sorted(teams, key=lambda team: (get_share(team), teams[team][0].arrived_at_s))
             yield from [teams[team][0] for team in order]
 
-    def remove(self, waiting: WaitingAsk) -> None:
-        """Take an ask out."""
-        teams = self._classes[waiting.ask.urgency]
-        asks = teams.get(waiting.ask.team)
-        if asks is None or waiting not in asks:
+    def remove(self, waiting: WaitingRequest) -> None:
+        """Remove a request; does nothing if it is no longer queued."""
+        teams = self._classes[waiting.request.urgency]
+        requests = teams.get(waiting.request.team)
+        if requests is None or waiting not in requests:
             return
-        asks.remove(waiting)
-        self._counts[waiting.ask.urgency] -= 1
-        if not asks:
-            del teams[waiting.ask.team]
+        requests.remove(waiting)
+        self._counts[waiting.request.urgency] -= 1
+        if not requests:
+            del teams[waiting.request.team]
 
-    def iter_all(self) -> Iterator[WaitingAsk]:
-        """Iterate over all asks."""
+    def iter_all(self) -> Iterator[WaitingRequest]:
+        """Iterate over all waiting requests."""
         return (
             waiting
             for teams in tuple(self._classes.values())
-            for asks in tuple(teams.values())
-            for waiting in tuple(asks)
+            for requests in tuple(teams.values())
+            for waiting in tuple(requests)
         )
 
 
 class TeamSlots:
-    """Count the slots that each team holds in a pool's part of one data hall."""
+    """Count the slots that each team holds in one pool and data hall."""
 
     def __init__(self, get_state: Callable[[], FleetState]) -> None:
         self._get_state = get_state
         self._in_use: Counter[str] = Counter()
 
-    def take(self, team: str) -> None:
-        """Count a slot that was leased to a team."""
+    def add_slot(self, team: str) -> None:
+        """Count a slot that was leased to a team as in use."""
         self._in_use[team] += 1
 
-    def give_back(self, team: str) -> None:
+    def remove_slot(self, team: str) -> None:
         """Count a slot of a team as free again."""
         self._in_use[team] -= 1
 
     def get_share(self, team: str) -> float:
-        """Return the share of its quota that a team holds."""
+        """Return the fraction of its quota that a team has in use."""
         return self._in_use[team] / self._get_quota(team)
 
     def is_over_quota(self, team: str) -> bool:
-        """Tell whether a team may get no further slot."""
+        """Return whether a team has used up its quota and gets no further slot."""
         return self._in_use[team] >= self._get_quota(team)
 
     def _get_quota(self, team: str) -> int:
--- a/src/robinthread/_internal/entry/try_runner.py
+++ b/src/robinthread/_internal/entry/try_runner.py
@@ -1,4 +1,4 @@
-"""Tries of requests on workers, from a slot's lease to its release."""
+"""Tries of requests on workers, from the lease of a slot to its release."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class TryRunner:
-    """Send tasks to workers, interrupt them, and give their slots back.
+    """Send tasks to workers, interrupt them and release their slots.
 
-    ``next_id`` returns a number that no other try of this daemon has.
+    ``next_id`` returns a number that is unique within the daemon's incarnation.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, running: RunningRequest, key: bytes, slot: SlotReply) -> TryResult:
-        """Try a request on the slot's host until its answer or its deadline."""
+        """Run one try on the slot's host until its answer or the deadline; release the slot."""
         request = running.request
         left_s = request.deadline_at_s - self._context.wall_clock()
-        is_crowded = len(self._by_lease) >= self._settings.upstream_connections_max
-        if left_s <= 0 or is_crowded:
-            code = ResultCode.QUEUE_FULL if is_crowded else ResultCode.DEADLINE_PASSED
+        is_at_connection_limit = len(self._by_lease) >= self._settings.upstream_connections_max
+        if left_s <= 0 or is_at_connection_limit:
+            code = ResultCode.QUEUE_FULL if is_at_connection_limit else ResultCode.DEADLINE_PASSED
             result = TryResult(SlotOutcome.UNUSED, code)
-            self._give_back(running, slot, result, 0.0)
+            self._release_slot(running, slot, result, 0.0)
             return result
         task = Task(
             f"{self._context.get_incarnation()}-{self._next_id()}",
@@ -67,7 +67,7 @@
         running.token, running.task_id = slot.token, task.id
         self._by_lease[slot.lease_id] = running
         started_at_s = asyncio.get_running_loop().time()
-        self._context.events.note("sent", request.request_id, slot.host)
+        self._context.events.record("sent", request.request_id, slot.host)
         result = TryResult(SlotOutcome.LOST, ResultCode.OUTCOME_UNKNOWN)
         try:
             result = await run_try(self._context.upstream, slot.address, task, left_s)
@@ -76,50 +76,54 @@
             del self._by_lease[slot.lease_id]
             running.lease_id = running.task_id = ""
             if result.outcome is SlotOutcome.LOST:
-                self._start_task(self._stop_and_give_back(running, slot, task, run_s))
+                self._start_task(self._stop_and_release_slot(running, slot, task, run_s))
             else:
-                self._give_back(running, slot, result, run_s)
-        self._context.events.note(
+                self._release_slot(running, slot, result, run_s)
+        self._context.events.record(
             result.outcome.name.lower(), request.request_id, slot.host, run_s * 1000
         )
         return result
 
-    def give_back_unused(self, running: RunningRequest, slot: SlotReply) -> None:
-        """Give back a slot that nothing was sent to."""
-        self._give_back(running, slot, _UNUSED, 0.0)
+    def release_unused_slot(self, running: RunningRequest, slot: SlotReply) -> None:
+        """Release a leased slot to which no task was sent."""
+        self._release_slot(running, slot, _UNUSED, 0.0)
 
     async def interrupt(self, running: RunningRequest, action: ControlAction) -> bool:
-        """Stop or checkpoint the task that a request has on a worker now."""
-        # A drain may have fenced the worker since the task was sent.
+        """Stop or checkpoint the running task of a request; return whether the worker did so."""
+        # A drain may have fenced the worker with a newer token since the task was sent.
         token = max(running.token, self._get_token(running.host))
         return await self._control(running.address, ControlCall(action, token, running.task_id))
 
     async def preempt(self, preempt: Preempt) -> None:
-        """Have a task make room, as the dispatcher of its slot asks."""
+        """Preempt a task at the request of the slot's dispatcher."""
         running = self._by_lease.get(preempt.lease_id)
         if running is None:
             return
         is_done = await self.interrupt(running, ControlAction.CHECKPOINT)
-        # Work that must not be repeated goes on from its checkpoint or stays.
+        # A task that must not be repeated keeps running if it cannot be checkpointed.
         if not is_done and running.request.is_repeatable:
             await self.interrupt(running, ControlAction.STOP)
 
-    async def _stop_and_give_back(
+    async def _stop_and_release_slot(
         self, running: RunningRequest, slot: SlotReply, task: Task, run_s: float
     ) -> None:
-        """Stop a task that nobody waits for, and say whether its slot is free."""
+        """Stop a task whose answer was lost, then release its slot.
+
+        The outcome is ``TIMED_OUT`` if the worker confirmed the stop, so that the slot is
+        free, and otherwise ``LOST``.
+        """
         token = max(slot.token, self._get_token(slot.host))
         call = ControlCall(ControlAction.STOP, token, task.id)
         is_stopped = await self._control(slot.address, call)
         outcome = SlotOutcome.TIMED_OUT if is_stopped else SlotOutcome.LOST
-        self._give_back(running, slot, TryResult(outcome, ResultCode.OK), run_s)
+        self._release_slot(running, slot, TryResult(outcome, ResultCode.OK), run_s)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _give_back(
+    def _release_slot(
         self, running: RunningRequest, slot: SlotReply, result: TryResult, run_s: float
     ) -> None:
         host = self._context.get_state().hosts.get(slot.host)
--- a/src/robinthread/_internal/fold/kinds/daemon_left.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_left.py
@@ -5,29 +5,29 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
 
 @dataclass(frozen=True)
 class DaemonLeft:
-    """An incarnation that stopped, or that its peers no longer hear."""
+    """An incarnation that stopped, or that its peers evicted for missing heartbeats."""
 
     name: str
     incarnation: str
 
 
-def fold(state: FleetState, body: DaemonLeft, at: Position) -> Step:
-    """Remove that incarnation; void if another one has joined since."""
+def fold(state: FleetState, body: DaemonLeft, position: Position) -> FoldResult:
+    """Remove the incarnation; void if it is no member or another one has joined since."""
     member = state.daemons.get(body.name)
     if member is None or member.incarnation != body.incarnation:
         return Failure(ResultCode.NOT_A_MEMBER)
-    kept = {name: other for name, other in state.daemons.items() if name != body.name}
+    remaining = {name: other for name, other in state.daemons.items() if name != body.name}
     return Success(
         replace(
             state,
-            daemons=kept,
-            hall_epochs=state.hall_epochs | {member.hall: at.offset},
+            daemons=remaining,
+            hall_epochs=state.hall_epochs | {member.hall: position.offset},
         )
     )
--- a/src/robinthread/_internal/fold/kinds/pool_removed.py
+++ b/src/robinthread/_internal/fold/kinds/pool_removed.py
@@ -5,20 +5,20 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.results import ResultCode
 
 
 @dataclass(frozen=True)
 class PoolRemoved:
-    """The end of a pool, based on a version of it."""
+    """The removal of a pool, and the version of the pool that it was based on."""
 
     name: str
     based_on_version: int
 
 
-def fold(state: FleetState, body: PoolRemoved, at: Position) -> Step:
+def fold(state: FleetState, body: PoolRemoved, position: Position) -> FoldResult:
     """Remove the pool; void while it has hosts."""
     pool = state.pools.get(body.name)
     if pool is None:
@@ -27,5 +27,5 @@
         return Failure(ResultCode.CONFLICT)
     if any(state.iter_pool_hosts(body.name)):
         return Failure(ResultCode.POOL_IN_USE)
-    pools = {name: kept for name, kept in state.pools.items() if name != body.name}
+    pools = {name: other for name, other in state.pools.items() if name != body.name}
     return Success(replace(state, pools=pools))
--- a/src/robinthread/_internal/standins/advice_standin.py
+++ b/src/robinthread/_internal/standins/advice_standin.py
@@ -1,4 +1,4 @@
-"""The service that says which hosts may run a step, in memory."""
+"""In-memory stand-in for the advice service, which says which hosts may run a step."""
 
 import asyncio
 from collections import Counter
@@ -10,38 +10,38 @@
 
 
 class AdviceStandin:
-    """Allows the hosts that ``is_allowed`` names, under tickets that hold for a while."""
+    """Issues tickets for the hosts that ``is_allowed`` accepts, each valid for ``valid_s``."""
 
     def __init__(self) -> None:
         self.is_allowed: Callable[[StepKey, str], bool] = lambda step, host_id: True
         self.is_down = False
         self.valid_s = 3.0
         self.call_count = 0
-        self._until_s: dict[tuple[StepKey, str], float] = {}
-        self._lives: Counter[str] = Counter()
+        self._valid_until_s: dict[tuple[StepKey, str], float] = {}
+        self._incarnation_counts: Counter[str] = Counter()
 
-    def begin_life(self, host_id: str) -> None:
-        """Have tickets for a host's earlier lives hold no more."""
-        self._lives[host_id] += 1
+    def start_incarnation(self, host_id: str) -> None:
+        """Start a new incarnation of a host; tickets for its earlier ones become invalid."""
+        self._incarnation_counts[host_id] += 1
 
     async def advise(self, step: StepKey, host_ids: Sequence[str], timeout_s: float) -> HostAdvice:
-        """Answer one call."""
+        """Return tickets for the allowed hosts; raise ``AdviceError`` while the service is down."""
         self.call_count += 1
         await asyncio.sleep(0.01)
         if self.is_down:
-            raise AdviceError("down")
+            raise AdviceError("the advice service is down")
         now_s = asyncio.get_running_loop().time()
         allowed = [host_id for host_id in host_ids if self.is_allowed(step, host_id)]
-        self._until_s |= {(step, host_id): now_s + self.valid_s for host_id in allowed}
+        self._valid_until_s |= {(step, host_id): now_s + self.valid_s for host_id in allowed}
         tickets = {host_id: self._make_ticket(step, host_id) for host_id in allowed}
         return HostAdvice(tickets, self.valid_s * 1000)
 
     def accepts(self, step: StepKey, host_id: str, ticket: str) -> bool:
-        """Tell whether a host takes a ticket now."""
+        """Tell whether a ticket for a step on a host is valid now."""
         now_s = asyncio.get_running_loop().time()
-        return ticket == self._make_ticket(step, host_id) and now_s < self._until_s.get(
+        return ticket == self._make_ticket(step, host_id) and now_s < self._valid_until_s.get(
             (step, host_id), 0.0
         )
 
     def _make_ticket(self, step: StepKey, host_id: str) -> str:
-        return f"{step.job_id}/{step.step}/{host_id}/{self._lives[host_id]}"
+        return f"{step.job_id}/{step.step}/{host_id}/{self._incarnation_counts[host_id]}"
--- a/src/robinthread/_internal/standins/call_faults.py
+++ b/src/robinthread/_internal/standins/call_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong with calls to a stand-in."""
+"""Fault injection for calls to a stand-in."""
 
 import asyncio
 import random
@@ -7,28 +7,29 @@
 
 from robinthread._internal.standins.open_connections import OpenConnections
 
-# Has a caller's processor do what a call costs it.
-Charge = Callable[[str], Awaitable[None]]
+# Waits while the named caller's processor does the work that a call costs it.
+ProcessorCharge = Callable[[str], Awaitable[None]]
 T = TypeVar("T")
 
 
 class CallUnansweredError(Exception):
-    """The caller gave up waiting."""
+    """No response arrived before the caller's timeout; the work may be done or not."""
 
 
 class CallRefusedError(Exception):
-    """Nothing was done."""
+    """The call was rejected before any work was done."""
 
 
 class CallFaults:
-    """Faults of one stand-in, by caller: outages, lost answers, late execution.
-
-    ``silent`` callers get no answer and ``refused`` ones are turned away; "*"
-    stands for all.  A share ``lost_share`` of the changes is done without an
-    answer, and where ``late_s`` is set only after up to so many seconds.  Each call takes
-    ``latency_s``, give or take a share of up to ``latency_spread`` of it.  Calls on
-    ``connections`` that have gone silent get no answer; only what was sent before is done.
-    Where ``charge`` is set, a call begins once its caller's processor has done its part.
+    """Faults of one stand-in, by caller: outages, lost responses, late execution.
+
+    Calls of ``silent`` callers time out and calls of ``refused`` callers are rejected; "*"
+    stands for all callers.  Of the calls that change state, a share of ``lost_share`` is
+    carried out but its response is lost; the work is then done after a random delay in the
+    range ``late_s``.  Each call takes ``latency_s``, varied at random by up to
+    ``latency_spread`` times that value.  Calls on ``connections`` that have gone silent time
+    out; the work of calls sent before the silence is still done.  If ``charge_processor`` is
+    set, it is awaited before each call, to model the caller's processor time.
     """
 
     def __init__(self, seed: int, latency_s: float) -> None:
@@ -40,7 +41,7 @@
         self.lost_share = 0.0
         self.late_s: tuple[float, float] = (0.0, 0.0)
         self.connections = OpenConnections()
-        self.charge: Charge | None = None
+        self.charge_processor: ProcessorCharge | None = None
 
     async def carry_out(
         self,
@@ -50,32 +51,34 @@
         is_change: bool = True,
         target: str = "",
     ) -> T:
-        """Do ``work`` as the faults let it, and return its result to the caller."""
-        if self.charge is not None:
-            await self.charge(caller)
-        began_silences = self.connections.silences
+        """Do ``work`` and return its result, unless a fault applies to the call."""
+        if self.charge_processor is not None:
+            await self.charge_processor(caller)
+        silences_before = self.connections.silences
         if self.connections.use(caller, target):
-            await self._lose_in_silence(caller, target, timeout_s)
+            await self._time_out_silently(caller, target, timeout_s)
         await asyncio.sleep(self._draw_latency_s())
-        is_heard = not self._covers(self.refused, caller) and not self._covers(self.silent, caller)
-        if self.connections.silences > began_silences:
-            if is_heard:
-                do_unheard(work)
-            await self._lose_in_silence(caller, target, timeout_s)
+        is_reachable = not self._covers(self.refused, caller) and not self._covers(
+            self.silent, caller
+        )
+        if self.connections.silences > silences_before:
+            if is_reachable:
+                run_discarding_result(work)
+            await self._time_out_silently(caller, target, timeout_s)
         if self._covers(self.refused, caller):
             raise CallRefusedError
-        if not is_heard:
+        if not is_reachable:
             await asyncio.sleep(timeout_s)
             raise CallUnansweredError
         if is_change and self._random.random() < self.lost_share:
-            self._do_later(work)
+            self._run_later(work)
             await asyncio.sleep(timeout_s)
             raise CallUnansweredError
         return work()
 
-    async def _lose_in_silence(self, caller: str, target: str, timeout_s: float) -> NoReturn:
+    async def _time_out_silently(self, caller: str, target: str, timeout_s: float) -> NoReturn:
         await asyncio.sleep(timeout_s)
-        self.connections.note_lost(caller, target)
+        self.connections.replace_silent(caller, target)
         raise CallUnansweredError
 
     def _draw_latency_s(self) -> float:
@@ -83,18 +86,19 @@
             return self.latency_s
         return self.latency_s * (1 + self._random.uniform(-1, 1) * self.latency_spread)
 
-    def _do_later(self, work: Callable[[], object]) -> None:
+    def _run_later(self, work: Callable[[], object]) -> None:
         delay_s = self._random.uniform(*self.late_s)
-        asyncio.get_running_loop().call_later(delay_s, do_unheard, work)
+        asyncio.get_running_loop().call_later(delay_s, run_discarding_result, work)
 
     def _covers(self, names: set[str], caller: str) -> bool:
         return caller in names or "*" in names
 
 
-def do_unheard(work: Callable[[], object]) -> None:
-    """Do work whose outcome nobody hears."""
+def run_discarding_result(work: Callable[[], object]) -> None:
+    """Do work and discard its result and its exception."""
     try:
         work()
     except Exception:
-        # The caller would have been told; the stand-in's state is as if it had.
+        # The response with this error is lost, as a result would be.  The stand-in's state is
+        # the same as if the response had arrived.
         return
--- a/src/robinthread/_internal/standins/http_servers.py
+++ b/src/robinthread/_internal/standins/http_servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins over HTTP, by the protocols of docs/interfaces."""
+"""HTTP servers of the stand-ins, by the protocols of docs/interfaces."""
 
 import base64
 
@@ -34,10 +34,10 @@
 
     async def get(self, stream: str) -> None:
         start = int(self.get_query_argument("from"))
-        most = int(self.get_query_argument("max"))
+        max_records = int(self.get_query_argument("max"))
         wait_s = float(self.get_query_argument("wait_s", "0"))
         try:
-            page = await self._standin.read(stream, start, most, wait_s)
+            page = await self._standin.read(stream, start, max_records, wait_s)
         except LogUnavailableError as error:
             raise HTTPError(UNAVAILABLE, str(error)) from error
         records = [
@@ -112,7 +112,7 @@
 
 
 def make_platform_application(log: LogStandin, host_list: HostListStandin) -> Application:
-    """Make the platform's log and host list."""
+    """Make the HTTP application that serves the platform's log and host list."""
     return Application(
         [
             (r"/v1/streams/([\w.-]+)/records", _LogHandler, {"log": log}),
@@ -123,7 +123,7 @@
 
 
 def make_worker_application(worker: WorkerStandin) -> Application:
-    """Make a worker."""
+    """Make the HTTP application that serves a worker."""
     arguments = {"worker": worker}
     return Application(
         [
--- a/src/robinthread/_internal/standins/ledger.py
+++ b/src/robinthread/_internal/standins/ledger.py
@@ -1,13 +1,13 @@
-"""What the stand-in workers did, for checking promises afterwards."""
+"""Record of the stand-in workers' actions, for checking guarantees afterwards."""
 
 import itertools
 from collections import Counter
 
 
 class Ledger:
-    """Runs of each key over all workers, and broken limits.
+    """Counts of events over all workers, by task key, and of broken limits.
 
-    ``started_by`` has the id of the task that first started each key.
+    ``started_by`` maps each key to the id of the task that first started it.
     """
 
     def __init__(self) -> None:
@@ -20,6 +20,6 @@
         self.started_after_deadline_count = 0
         self.cut_short_count = 0
 
-    def iter_run_twice(self) -> tuple[str, ...]:
+    def list_keys_run_twice(self) -> tuple[str, ...]:
         """Return the keys that were started more than once."""
         return tuple(itertools.compress(self.started, (n > 1 for n in self.started.values())))
--- a/src/robinthread/_internal/standins/run_ledger.py
+++ b/src/robinthread/_internal/standins/run_ledger.py
@@ -1,4 +1,4 @@
-"""Every run on the stand-in's hosts, and what must never be seen of them."""
+"""Record of all runs on the stand-in's hosts, and a check of the guarantees on them."""
 
 import itertools
 import math
@@ -11,22 +11,23 @@
 from robinthread._internal.models.task_key import TaskKey
 from robinthread._internal.standins.limit_ledger import LimitLedger
 
-# From the first look at a life until what was meant for the one before is rejected there: a look
-# that shows it, and a stop, of which two may go unanswered.
-STRAYS_FOR_S: Final = 1.2
-# A stray beside another run is stopped once its host has been heard: the longest pause between
-# two looks (1 s), the stop, and what a lost answer to it takes.
+# Time from the first poll of a host's incarnation until it rejects all orders that were sent to
+# the previous one: a poll that reveals the restart, and a stop, of which two may time out.
+STRAY_WINDOW_S: Final = 1.2
+# A stray that overlaps another run is stopped once its host has been polled.  This is the longest
+# pause between two polls (1 s), plus the stop and the timeout of one lost response to it.
 STRAY_MAX_S: Final = 2.5
 
 
 @dataclass
 class LedgerRun:
-    """A run as the hosts saw it; times are of the event loop's clock.
+    """A run as recorded by its host; times are of the event loop's clock.
 
-    ``is_noted`` tells that note was taken of its end, and before its host's lease lapsed,
-    ``is_cause`` that it took its host down.  One that ``is_stray`` began on an order that
-    was meant for the life before, until ``STRAYS_FOR_S`` after its host was first heard: no order
-    of ours can prevent that, only end it.
+    ``is_acknowledged`` means that the run's end was acknowledged before its host's lease
+    lapsed; ``crashed_its_host`` that the run caused a crash of its host.  A run ``is_stray``
+    if it started on an order that was sent to the host's previous incarnation, no later than
+    ``STRAY_WINDOW_S`` after the new one was first polled.  Nodes can't prevent such a run;
+    they can only stop it.
     """
 
     task: TaskKey
@@ -35,50 +36,55 @@
     began_at_s: float
     ended_at_s: float | None = None
     end: str = ""
-    is_noted: bool = False
-    is_cause: bool = False
+    is_acknowledged: bool = False
+    crashed_its_host: bool = False
     is_stray: bool = False
     resources: Resources = NO_RESOURCES
 
 
 class RunLedger:
-    """Collects runs over all hosts and finds what breaks the promises.
+    """Collects the runs on all hosts and finds violations of the guarantees.
 
-    ``overfull`` are starts that brought a host over its room, in words.
+    ``over_capacity`` describes each start that exceeded its host's capacity.
     """
 
     def __init__(self) -> None:
         self.runs: list[LedgerRun] = []
         self.cancelled_at_s: dict[str, float] = {}
-        self.overfull: list[str] = []
+        self.over_capacity: list[str] = []
         self.limits = LimitLedger()
 
     def add(self, run: LedgerRun) -> None:
-        """Note a run that began."""
+        """Record a run that started."""
         self.runs.append(run)
-        self.limits.note_begun(run.task.job_id, run, run.began_at_s)
+        self.limits.record_start(run.task.job_id, run, run.began_at_s)
 
-    def find_breaks(self, cancel_s: float) -> list[str]:
-        """Return what was seen and must not be, in words."""
+    def find_violations(self, cancel_s: float) -> list[str]:
+        """Return a description of each violation; empty if all guarantees held.
+
+        A task may start up to ``cancel_s`` after the cancel of its job.
+        """
         by_task: dict[TaskKey, list[LedgerRun]] = defaultdict(list)
         for run in self.runs:
             by_task[run.task].append(run)
-        breaks = [*self.overfull, *self.limits.over]
+        violations = [*self.over_capacity, *self.limits.over_limit]
         for all_runs in by_task.values():
-            breaks += [
+            violations += [
                 f"{run.task} run {run.number} on {run.host_id}, a stray, was not stopped"
                 for run in all_runs
-                if run.is_stray and _get_length_s(run) > STRAY_MAX_S and _is_beside(run, all_runs)
+                if run.is_stray
+                and _get_duration_s(run) > STRAY_MAX_S
+                and _overlaps_another_run(run, all_runs)
             ]
             runs = [run for run in all_runs if not run.is_stray]
             runs.sort(key=lambda run: run.began_at_s)
             for earlier, later in itertools.pairwise(runs):
-                breaks += _compare(earlier, later)
-            breaks += self._find_late_starts(runs, cancel_s)
-        return breaks
+                violations += _check_successive(earlier, later)
+            violations += self._find_late_starts(runs, cancel_s)
+        return violations
 
     def count_strays(self) -> int:
-        """Count the runs that began on lives that nobody had heard."""
+        """Return the number of stray runs."""
         return sum(run.is_stray for run in self.runs)
 
     def _find_late_starts(self, runs: list[LedgerRun], cancel_s: float) -> list[str]:
@@ -88,37 +94,37 @@
         if cancelled_at_s is None:
             return []
         return [
-            f"{run.task} began {run.began_at_s - cancelled_at_s:.3f} s after its job's cancel"
+            f"{run.task} started {run.began_at_s - cancelled_at_s:.3f} s after its job's cancel"
             for run in runs
             if run.began_at_s > cancelled_at_s + cancel_s
         ]
 
 
-def _get_length_s(run: LedgerRun) -> float:
+def _get_duration_s(run: LedgerRun) -> float:
     return math.inf if run.ended_at_s is None else run.ended_at_s - run.began_at_s
 
 
-def _is_beside(stray: LedgerRun, runs: Iterable[LedgerRun]) -> bool:
-    """Tell whether a stray is not the one run of its task: another went on, or had done it."""
+def _overlaps_another_run(stray: LedgerRun, runs: Iterable[LedgerRun]) -> bool:
+    """Tell whether another run of the stray's task continued beside it or had completed it."""
     return any(
         run is not stray
         and (
             run.ended_at_s is None
             or run.ended_at_s > stray.began_at_s + STRAY_MAX_S
-            or (run.end == "done" and run.is_noted)
+            or (run.end == "done" and run.is_acknowledged)
         )
         and run.began_at_s < (stray.ended_at_s or math.inf)
         for run in runs
     )
 
 
-def _compare(earlier: LedgerRun, later: LedgerRun) -> list[str]:
+def _check_successive(earlier: LedgerRun, later: LedgerRun) -> list[str]:
     ended_at_s = earlier.ended_at_s
     if ended_at_s is None or later.began_at_s < ended_at_s:
         return [
             f"{earlier.task} runs {earlier.number} on {earlier.host_id} and {later.number} on "
             f"{later.host_id} overlap at {later.began_at_s:.3f} s"
         ]
-    if earlier.end == "done" and earlier.is_noted:
-        return [f"{later.task} run {later.number} began after run {earlier.number} was done"]
+    if earlier.end == "done" and earlier.is_acknowledged:
+        return [f"{later.task} run {later.number} started after run {earlier.number} was done"]
     return []
--- a/src/robinthread/_internal/standins/worker_standin.py
+++ b/src/robinthread/_internal/standins/worker_standin.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker: slots, tokens, faults, checkpoint, stop and reboot."""
+"""Stand-in for a worker, with slots, tokens, faults, checkpoints, stops and reboots."""
 
 import asyncio
 import enum
@@ -18,7 +18,7 @@
 
 
 class WorkerMode(enum.Enum):
-    """How a stand-in worker misbehaves."""
+    """The fault that a stand-in worker shows, if any."""
 
     NORMAL = "normal"
     FAILS_EVERYTHING = "fails_everything"
@@ -38,7 +38,10 @@
 
 
 class WorkerStandin:
-    """One worker of an upstream host."""
+    """The worker of an upstream host.
+
+    ``returns_after_reboot`` is false for a worker that stays down after a reboot.
+    """
 
     def __init__(
         self,
@@ -56,7 +59,7 @@
         self.starts_count = 0
         self.connections_in_use = 0
         self.connections_peak = 0
-        self.returns = True
+        self.returns_after_reboot = True
         self._is_crashed = False
         self._slots = slots
         self._ledger = ledger
@@ -66,19 +69,19 @@
         self._reboot: asyncio.Task[None] | None = None
 
     async def run(self, task: Task, timeout_s: float) -> WorkerReply:
-        """Run ``task`` and return its reply."""
+        """Run a task and return its reply; raise ``UpstreamLostError`` at the timeout."""
         self._check_up()
         self.connections_in_use += 1
         self.connections_peak = max(self.connections_peak, self.connections_in_use)
         try:
             return await asyncio.wait_for(self._run(task), timeout_s)
         except TimeoutError as error:
-            raise UpstreamLostError("no answer in time") from error
+            raise UpstreamLostError(f"no response within {timeout_s} s") from error
         finally:
             self.connections_in_use -= 1
 
     async def control(self, call: ControlCall) -> ControlReply:
-        """Do as ``call`` asks, unless its token is stale."""
+        """Carry out a control call, or reject it if its token is stale."""
         self._check_up()
         if call.token < self.token:
             self._ledger.refused_stale_count += 1
@@ -91,13 +94,13 @@
         return ControlReply(True)
 
     async def report(self) -> WorkerReport:
-        """Return the usage."""
+        """Return the boot id, the number of slots in use and the token."""
         self._check_up()
         boot_id = f"{self.name}-{self.boots_count}"
         return WorkerReport(boot_id, len(self._running), self.token)
 
     async def _run(self, task: Task) -> WorkerReply:
-        refusal = self._refuse(task)
+        refusal = self._check_admission(task)
         if refusal is not None:
             return refusal
         self.token = max(self.token, task.token)
@@ -119,7 +122,7 @@
         finally:
             self._running.pop(task.id, None)
 
-    def _refuse(self, task: Task) -> WorkerReply | None:
+    def _check_admission(self, task: Task) -> WorkerReply | None:
         if task.token < self.token:
             self._ledger.refused_stale_count += 1
             return make_reply(ReplyStatus.NOT_STARTED, task.id, b"stale token")
@@ -132,11 +135,11 @@
         job = parse_job(task.body)
         if 0 < job.deadline_at_s < EPOCH_S + asyncio.get_running_loop().time():
             self._ledger.started_after_deadline_count += 1
-        left_s = max(0.0, job.run_s - running.done_before_s)
+        remaining_s = max(0.0, job.run_s - running.done_before_s)
         if self.mode is WorkerMode.HANGS:
-            left_s = 1e9
-        if left_s:
-            await wait_for_event(running.interrupted, left_s)
+            remaining_s = 1e9
+        if remaining_s:
+            await wait_for_event(running.interrupted, remaining_s)
         if running.action is ControlAction.CHECKPOINT:
             self._ledger.checkpointed[task.key] += 1
             done_s = running.done_before_s + _get_elapsed_s(running)
@@ -147,7 +150,7 @@
             return make_reply(ReplyStatus.STOPPED, task.id)
         if running.action is ControlAction.REBOOT:
             self._ledger.cut_short_count += not self._is_crashed
-            raise UpstreamLostError("the worker went away")
+            raise UpstreamLostError(f"worker {self.name} went down during the run")
         return self._answer(task, job.can_run)
 
     def _answer(self, task: Task, can_run: bool) -> WorkerReply:
@@ -163,8 +166,8 @@
             return make_reply(ReplyStatus.RAN, "another-task", b"another answer")
         return reply
 
-    def list_left_s(self) -> tuple[float, ...]:
-        """Return the true times left of the running tasks, in seconds."""
+    def list_remaining_s(self) -> tuple[float, ...]:
+        """Return the actual remaining run times of the running tasks, in seconds."""
         return tuple(
             running.run_s - running.done_before_s - _get_elapsed_s(running)
             for running in self._running.values()
@@ -184,16 +187,16 @@
         """Lose all running tasks and stay down until ``mode`` is changed."""
         self.mode = WorkerMode.DOWN
         self._is_crashed = True
-        self._cut_running()
+        self._interrupt_all()
 
-    def _cut_running(self) -> None:
+    def _interrupt_all(self) -> None:
         for running in self._running.values():
             running.action = ControlAction.REBOOT
             running.interrupted.set()
 
     def _start_reboot(self) -> ControlReply:
         self._is_crashed = False
-        self._cut_running()
+        self._interrupt_all()
         if self._reboot is None or self._reboot.done():
             self.mode = WorkerMode.DOWN
             self._reboot = asyncio.get_running_loop().create_task(self._come_back())
@@ -202,12 +205,12 @@
     async def _come_back(self) -> None:
         await asyncio.sleep(self.reboot_s)
         self.boots_count += 1
-        if self.returns:
+        if self.returns_after_reboot:
             self.mode = WorkerMode.NORMAL
 
     def _check_up(self) -> None:
         if self.mode is WorkerMode.DOWN:
-            raise UpstreamUnsentError("the worker is down")
+            raise UpstreamUnsentError(f"worker {self.name} is down")
 
 
 def _get_elapsed_s(running: _Running) -> float:
--- a/src/robinthread/_internal/telemetry/call_timer.py
+++ b/src/robinthread/_internal/telemetry/call_timer.py
@@ -1,15 +1,18 @@
-"""Timing calls to the outside."""
+"""Timing of calls to other services."""
 
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-NoteCall = Callable[[str, str, float], None]
+RecordCall = Callable[[str, str, float], None]
 
 
 @contextmanager
-def timed_call(note: NoteCall, kind: str) -> Iterator[None]:
-    """Note how long a call takes, and "ok" or the name of the error that it raises."""
+def timed_call(record_call: RecordCall, kind: str) -> Iterator[None]:
+    """Time a call; pass ``record_call`` its kind, its outcome and its duration in seconds.
+
+    The outcome is "ok" or the class name of the exception that the call raises.
+    """
     began_at_s = time.monotonic()
     outcome = "ok"
     try:
@@ -18,4 +21,4 @@
         outcome = type(error).__name__
         raise
     finally:
-        note(kind, outcome, time.monotonic() - began_at_s)
+        record_call(kind, outcome, time.monotonic() - began_at_s)
--- a/src/robinthread/_internal/telemetry/latencies.py
+++ b/src/robinthread/_internal/telemetry/latencies.py
@@ -1,19 +1,20 @@
-"""Latency histograms that cost next to nothing to keep."""
+"""Latency histograms with a low cost per record."""
 
 from bisect import bisect_left
 from collections.abc import Mapping
 from typing import Final
 
-# Upper bounds: what a call takes that finds no queue, the lag at which pools are passed on,
-# the longest time-out of most calls, and what callers bear.  Each costs a line for each set
-# of labels, and collectors may keep only a scrape's first 4,000 bytes.
+# Upper bounds of the buckets: the duration of a call that is not queued, the event-loop lag at
+# which a node hands over its pools, the longest timeout of most calls, and the longest delay that
+# callers accept.  Each bucket adds a line for each set of label values, and collectors may keep
+# only the first 4,000 bytes of a scrape.
 LATENCY_BOUNDS_S: Final = (0.02, 0.1, 0.5, 2.0)
 
 Labels = tuple[str, ...]
 
 
-class Latency:
-    """How many latencies lie up to each bound and beyond the last, and their sum."""
+class LatencyCounts:
+    """Number of latencies in each bucket, the last of which has no bound, and their sum."""
 
     __slots__ = ("counts", "sum_s")
 
@@ -22,27 +23,27 @@
         self.sum_s = 0.0
 
 
-class Latencies:
-    """Latencies of one name by the values of its labels.
+class LatencyHistogram:
+    """Latencies of one metric by the values of its labels.
 
-    A record takes 0.5 us, one of the library's instruments 14 us; a busy owner makes some
-    hundred calls a second and more.
+    A record takes 0.5 us, with an instrument of the OpenTelemetry library 14 us; a busy owner
+    makes a hundred calls a second or more.
     """
 
     def __init__(self, name: str, *labels: str) -> None:
         self.name = name
         self.labels = labels
-        self._kept: dict[Labels, Latency] = {}
+        self._by_labels: dict[Labels, LatencyCounts] = {}
 
     @property
-    def kept(self) -> Mapping[Labels, Latency]:
-        """Return what was recorded, by the labels' values."""
-        return self._kept
+    def by_labels(self) -> Mapping[Labels, LatencyCounts]:
+        """Return the recorded counts by label values."""
+        return self._by_labels
 
     def record(self, took_s: float, *values: str) -> None:
-        """Record a latency under the values of the labels."""
-        latency = self._kept.get(values)
-        if latency is None:
-            latency = self._kept[values] = Latency()
-        latency.counts[bisect_left(LATENCY_BOUNDS_S, took_s)] += 1
-        latency.sum_s += took_s
+        """Record a latency in seconds under the given label values."""
+        entry = self._by_labels.get(values)
+        if entry is None:
+            entry = self._by_labels[values] = LatencyCounts()
+        entry.counts[bisect_left(LATENCY_BOUNDS_S, took_s)] += 1
+        entry.sum_s += took_s
--- a/src/robinthread/_internal/telemetry/node_exporter.py
+++ b/src/robinthread/_internal/telemetry/node_exporter.py
@@ -1,4 +1,4 @@
-"""What a node has counted and timed, for the usual scraper."""
+"""Export of a node's metrics to Prometheus."""
 
 from collections.abc import Iterator
 from itertools import accumulate
@@ -9,32 +9,34 @@
 from prometheus_client.registry import Collector
 
 from robinthread._internal.telemetry.exporter import METRICS_REGISTRY, make_meter_provider
-from robinthread._internal.telemetry.latencies import LATENCY_BOUNDS_S, Latencies
+from robinthread._internal.telemetry.latencies import LATENCY_BOUNDS_S, LatencyHistogram
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
 
 BOUND_LABELS: Final = (*map(str, LATENCY_BOUNDS_S), "+Inf")
 
 
 class LatencyCollector(Collector):
-    """Hands the scraper what a node has timed."""
+    """Exports the latency histograms of a node."""
 
     def __init__(self, metrics: NodeMetrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Iterate over the latencies that have values."""
-        yield from (_make_family(found) for found in self._metrics.latencies if found.kept)
+        """Iterate over the histograms that have values."""
+        yield from (
+            _make_family(histogram) for histogram in self._metrics.latencies if histogram.by_labels
+        )
 
 
-def _make_family(latencies: Latencies) -> HistogramMetricFamily:
-    family = HistogramMetricFamily(latencies.name, "", labels=latencies.labels)
-    for values, latency in latencies.kept.items():
-        counts = map(float, accumulate(latency.counts))
-        family.add_metric(values, list(zip(BOUND_LABELS, counts, strict=True)), latency.sum_s)
+def _make_family(histogram: LatencyHistogram) -> HistogramMetricFamily:
+    family = HistogramMetricFamily(histogram.name, "", labels=histogram.labels)
+    for values, entry in histogram.by_labels.items():
+        counts = map(float, accumulate(entry.counts))
+        family.add_metric(values, list(zip(BOUND_LABELS, counts, strict=True)), entry.sum_s)
     return family
 
 
-def begin_metrics(metrics: NodeMetrics) -> None:
-    """Have what a node has counted and timed since its start served, and its gauges."""
+def start_metrics_export(metrics: NodeMetrics) -> None:
+    """Export a node's gauges and all that it has counted and timed since its start."""
     set_meter_provider(make_meter_provider())
     METRICS_REGISTRY.register(LatencyCollector(metrics))
--- a/src/robinthread/_internal/timeline/chrome_trace.py
+++ b/src/robinthread/_internal/timeline/chrome_trace.py
@@ -6,14 +6,14 @@
 from robinthread._internal.timeline.event import Event
 from robinthread._internal.timeline.hybrid_clock import get_wall_ms
 
-MICROSECONDS_A_MS: Final = 1000
+MICROSECONDS_PER_MS: Final = 1000
 
 
 def make_chrome_trace(events: Sequence[Event]) -> dict[str, Any]:
-    """Return the trace: a process for each data hall, a thread for each daemon.
+    """Return the trace, with a process for each data hall and a thread for each daemon.
 
-    The form is the Trace Event Format's JSON object with complete ("X") and
-    instant ("i") events, times in microseconds.
+    The trace is a JSON object of the Trace Event Format with complete ("X") and
+    instant ("i") events and times in microseconds.
     """
     halls = {hall: index for index, hall in enumerate(sorted({e.hall for e in events}), 1)}
     daemons = {name: index for index, name in enumerate(sorted({e.daemon for e in events}), 1)}
@@ -41,7 +41,7 @@
 
 
 def _make_entry(event: Event, pid: int, tid: int) -> dict[str, Any]:
-    end_us = get_wall_ms(event.stamp) * MICROSECONDS_A_MS
+    end_us = get_wall_ms(event.stamp) * MICROSECONDS_PER_MS
     entry: dict[str, Any] = {
         "name": f"{event.kind} {event.subject}",
         "pid": pid,
@@ -49,6 +49,6 @@
         "args": {"detail": event.detail, "offset": event.next_offset, "stamp": event.stamp},
     }
     if event.duration_ms:
-        duration_us = event.duration_ms * MICROSECONDS_A_MS
+        duration_us = event.duration_ms * MICROSECONDS_PER_MS
         return {**entry, "ph": "X", "ts": end_us - duration_us, "dur": duration_us}
     return {**entry, "ph": "i", "s": "t", "ts": end_us}
--- a/tests/functional/test_drains.py
+++ b/tests/functional/test_drains.py
@@ -1,4 +1,8 @@
-"""Drains: what still runs is neither cut short nor waited for without need."""
+"""Drains of hosts: running tasks are not interrupted, and no drain waits longer than needed.
+
+Guards against tasks that a dispatcher doesn't know of, tasks that should move or stay, leases
+whose release was lost, and hosts that don't return.
+"""
 
 import asyncio
 from dataclasses import replace
@@ -50,7 +54,7 @@
             await self._run_wave(fleet, "kandy-h000", 60.0)
             codes = {answer.code for answer in await asyncio.gather(*calls)}
             self.assertEqual({ResultCode.RAN}, codes)
-            self.assertEqual((), fleet.ledger.iter_run_twice())
+            self.assertEqual((), fleet.ledger.list_keys_run_twice())
             self.assertEqual(1, sum(fleet.ledger.checkpointed.values()))
 
         run_virtual(work())
@@ -91,7 +95,7 @@
         async def work() -> None:
             fleet = await start_fleet(ONE_HALL, settings=DRAIN_AT_ONCE)
             daemon = get_daemon(fleet)
-            turn = daemon.dispatch.get_turn("tiles", "kandy")
+            turn = daemon.dispatch.get_dispatching_daemon("tiles", "kandy")
             other = next(name for name in fleet.daemons if name != turn)
             calls = [
                 asyncio.create_task(
@@ -113,7 +117,7 @@
             waves = replace(SETTINGS.waves, return_timeout_s=20.0)
             fleet = await start_fleet(ONE_HALL, settings=replace(SETTINGS, waves=waves))
             daemon = get_daemon(fleet)
-            fleet.workers["kandy-h000:80"].returns = False
+            fleet.workers["kandy-h000:80"].returns_after_reboot = False
             await publish(daemon, WaveCreated("w", "r", WaveKind.REBOOT, ("kandy-h000",)))
             await wait_until(lambda: daemon.state.hosts["kandy-h000"].phase.value == "failed")
             self.assertIs(WaveState.RUNNING, daemon.state.waves["w"].state)
--- a/tests/functional/test_jobs_on_platform.py
+++ b/tests/functional/test_jobs_on_platform.py
@@ -1,4 +1,4 @@
-"""Jobs on the platform's stand-in, from acceptance to the last answer."""
+"""Jobs on the platform's stand-in, from acceptance to the final status."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from tests.lib.job_platforms import (
     QUEUE,
     cancel,
-    find_breaks,
+    find_violations,
     get_status,
     hand_in,
     make_job,
@@ -21,8 +21,8 @@
 from tests.lib.virtual import run_virtual
 
 
-class WholePathTest(TestCase):
-    def test_job_handed_in_at_one_node_is_found_and_done_at_another(self) -> None:
+class EndToEndTest(TestCase):
+    def test_job_submitted_at_one_node_is_found_and_done_at_another(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             spec = make_job(1)
@@ -32,7 +32,7 @@
                 status = await get_status(platform, name, spec.job_id)
                 self.assertEqual(JobStatus.SUCCEEDED, status)
             self.assertEqual(6, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -79,23 +79,23 @@
             self.assertTrue(set(outcomes) <= {JobRequestOutcome.DONE, JobRequestOutcome.UNKNOWN})
             await wait_until_done(platform, specs)
             self.assertEqual(30, len(platform.hosts.ledger.runs))
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
-    def test_unknown_job_is_told_from_one_that_cannot_be_looked_up(self) -> None:
+    def test_unknown_job_is_distinguished_from_one_that_cannot_be_looked_up(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             job_service = platform.nodes["node0"].assembled.job_service
-            told = await job_service.get_status(QUEUE, "f" * 16)
-            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, told.outcome)
+            response = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.NO_SUCH_JOB, response.outcome)
             platform.store.faults.silent.add("*")
-            told = await job_service.get_status(QUEUE, "f" * 16)
-            self.assertEqual(JobRequestOutcome.OWNER_UNREACHABLE, told.outcome)
+            response = await job_service.get_status(QUEUE, "f" * 16)
+            self.assertEqual(JobRequestOutcome.OWNER_UNREACHABLE, response.outcome)
 
         run_virtual(work())
 
-    def test_caller_hears_soon_that_the_outcome_is_unknown(self) -> None:
+    def test_caller_soon_receives_an_unknown_outcome(self) -> None:
         async def work() -> None:
             platform = await start_platform()
             platform.store.faults.silent.add("*")
--- a/tests/functional/test_lost_hosts.py
+++ b/tests/functional/test_lost_hosts.py
@@ -8,7 +8,7 @@
 from robinthread._internal.models.job_spec import StepSpec
 from robinthread._internal.standins.job_host_standin import JobHostStandin
 from robinthread._internal.standins.platform_standin import PlatformStandin
-from tests.lib.job_platforms import find_breaks, get_owner, start_platform, wait_until
+from tests.lib.job_platforms import find_violations, get_owner, start_platform, wait_until
 from tests.lib.lasting import (
     cut_host,
     get_first_host,
@@ -43,11 +43,11 @@
 async def count_polls(platform: PlatformStandin, host_id: str) -> int:
     """Count the polls of a host that refuses connections from now on, while it is listed."""
     host = next(host for host in platform.hosts.hosts.values() if host.record.id == host_id)
-    platform.hosts.refused_ways |= {(name, host.record.address) for name in platform.nodes}
+    platform.hosts.refused_routes |= {(name, host.record.address) for name in platform.nodes}
     await asyncio.sleep(0.1)
-    platform.hosts.looks.clear()
+    platform.hosts.poll_counts.clear()
     await asyncio.sleep(LISTED_FOR_S)
-    return platform.hosts.looks[host_id]
+    return platform.hosts.poll_counts[host_id]
 
 
 async def measure_lost_task_s(lose: Callable[[PlatformStandin, JobHostStandin], None]) -> float:
@@ -55,7 +55,7 @@
     platform = await start_lasting(hosts=4)
     lose(platform, get_first_host(platform))
     await asyncio.sleep(15)
-    assert not find_breaks(platform)
+    assert not find_violations(platform)
     return get_longest_gap_s(platform)
 
 
@@ -97,12 +97,12 @@
             owner = get_owner(platform)
             assert owner is not None
             way = (owner, host.record.address)
-            platform.hosts.cut_ways.add(way)
+            platform.hosts.cut_routes.add(way)
             await asyncio.sleep(5)
-            platform.hosts.cut_ways.discard(way)
-            platform.hosts.looks.clear()
+            platform.hosts.cut_routes.discard(way)
+            platform.hosts.poll_counts.clear()
             await asyncio.sleep(POLLED_AGAIN_MAX_S)
-            self.assertGreater(platform.hosts.looks[host.record.id], 0)
+            self.assertGreater(platform.hosts.poll_counts[host.record.id], 0)
             self.assertEqual(0, len(list_runs(platform)))
 
         run_virtual(work())
@@ -133,7 +133,7 @@
             for host in lost:
                 platform.crash_host(host.record.id)
             await asyncio.sleep(15)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(len(lost), platform.machines.move_count - moves_before)
             self.assertEqual([], [run for run in list_runs(platform) if run.end == "stopped"])
 
@@ -153,7 +153,7 @@
             for host in lost:
                 cut_host(platform, host)
             await asyncio.sleep(15)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
             self.assertEqual(len(lost), platform.machines.move_count - moves_before)
             self.assertEqual([], [run for run in list_runs(platform) if run.end == "stopped"])
 
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good cost one call, and are not used again."""
+"""Connections that go silent permanently cost one call and are not used again."""
 
 import asyncio
 from typing import Final
@@ -8,17 +8,18 @@
 from robinthread._internal.durable.errors import StoreNoAnswerError
 from robinthread._internal.platform.store import PlatformStore
 from robinthread._internal.telemetry.node_metrics import NodeMetrics
-from robinthread._internal.utils import kept_connections
+from robinthread._internal.utils import keep_alive_connections
 from robinthread._internal.utils.http_call import CallLostError, HttpClient, call, make_client
-from robinthread._internal.utils.kept_connections import DOUBT_PERIOD_S
+from robinthread._internal.utils.keep_alive_connections import RETIRE_INTERVAL_S
 from tests.lib.silent_service import SilentService
 
 CONNECTIONS_MAX: Final = 64
-KEPT_COUNTS: Final = (1, 5, 20)
+IDLE_COUNTS: Final = (1, 5, 20)
 CALLS: Final = 30
-# For calls that shall be lost.
+# Timeout of calls that are expected to be lost.
 SHORT_S: Final = 0.1
-# For calls that shall be answered: far more than loopback takes on a busy machine.
+# Timeout of calls that are expected to succeed: far above the latency of loopback on a busy
+# machine.
 LONG_S: Final = 1.0
 POLL_S: Final = 0.05
 POLLS_MAX: Final = 100
@@ -26,28 +27,28 @@
 
 class SilentConnectionsTest(TestCase):
     def test_one_call_is_lost_however_many_connections_went_silent(self) -> None:
-        async def work(kept: int) -> None:
+        async def work(idle_count: int) -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
-                await _open(client, service, kept)
+                await _open(client, service, idle_count)
                 service.silence()
                 await self._lose(client, service)
-                answered = [await _ask(client, service) for _ in range(kept)]
-                self.assertEqual([True] * kept, answered)
-                self.assertEqual(kept + 1, service.opened)
-                # Each call was sent once, and all but the lost one on the new connection.
-                self.assertEqual([kept] * kept, service.requests[kept + 1 :])
+                answered = [await _send(client, service) for _ in range(idle_count)]
+                self.assertEqual([True] * idle_count, answered)
+                self.assertEqual(idle_count + 1, service.opened)
+                # Each call was sent once; all but the lost one used the new connection.
+                self.assertEqual([idle_count] * idle_count, service.requests[idle_count + 1 :])
                 client.fetcher.close()
 
-        for kept in KEPT_COUNTS:
-            asyncio.run(work(kept))
+        for idle_count in IDLE_COUNTS:
+            asyncio.run(work(idle_count))
 
     def test_store_is_not_lost_twice_in_a_row(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 store = PlatformStore(client, service.address, NodeMetrics())
-                await _open(client, service, KEPT_COUNTS[-1])
+                await _open(client, service, IDLE_COUNTS[-1])
                 service.silence()
                 outcomes = [await _join(store) for _ in range(4)]
                 self.assertEqual([False, True, True, True], outcomes)
@@ -61,9 +62,9 @@
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 20)
                 service.silence()
-                lost = await asyncio.gather(*(_ask(client, service, SHORT_S) for _ in range(5)))
+                lost = await asyncio.gather(*(_send(client, service, SHORT_S) for _ in range(5)))
                 self.assertEqual([False] * 5, lost)
-                answered = await asyncio.gather(*(_ask(client, service) for _ in range(5)))
+                answered = await asyncio.gather(*(_send(client, service) for _ in range(5)))
                 self.assertEqual([True] * 5, answered)
                 client.fetcher.close()
 
@@ -73,11 +74,11 @@
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
-                for pause_s in (DOUBT_PERIOD_S, 0.0):
+                for pause_s in (RETIRE_INTERVAL_S, 0.0):
                     await _open(client, service, 5)
                     service.silence()
                     await self._lose(client, service)
-                    self.assertTrue(await _ask(client, service))
+                    self.assertTrue(await _send(client, service))
                     await asyncio.sleep(pause_s)
                 client.fetcher.close()
 
@@ -91,7 +92,7 @@
                 await _open(client, sound, 5)
                 silent.silence()
                 await self._lose(client, silent)
-                answered = [await _ask(client, sound) for _ in range(CALLS)]
+                answered = [await _send(client, sound) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(5, sound.opened)
                 client.fetcher.close()
@@ -104,44 +105,44 @@
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 service.silence()
-                watch = asyncio.ensure_future(_ask(client, service, 4 * SHORT_S))
+                late_call = asyncio.ensure_future(_send(client, service, 4 * SHORT_S))
                 await self._lose(client, service)
-                self.assertTrue(await _ask(client, service))
+                self.assertTrue(await _send(client, service))
                 opened = service.opened
-                self.assertFalse(await watch)
-                answered = [await _ask(client, service) for _ in range(CALLS)]
+                self.assertFalse(await late_call)
+                answered = [await _send(client, service) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(opened, service.opened)
                 client.fetcher.close()
 
         asyncio.run(work())
 
-    def test_calls_that_are_answered_open_nothing(self) -> None:
+    def test_answered_calls_open_no_further_connection(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 for _ in range(CALLS):
-                    answered = await asyncio.gather(*(_ask(client, service) for _ in range(5)))
+                    answered = await asyncio.gather(*(_send(client, service) for _ in range(5)))
                     self.assertEqual([True] * 5, answered)
                 self.assertEqual(5, service.opened)
                 client.fetcher.close()
 
         asyncio.run(work())
 
-    def test_service_that_answers_nothing_costs_one_connection_a_call_at_most(self) -> None:
+    def test_service_without_responses_costs_at_most_one_connection_per_call(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, service, 5)
                 service.answers.clear()
-                lost = [await _ask(client, service, SHORT_S / 4) for _ in range(CALLS)]
+                lost = [await _send(client, service, SHORT_S / 4) for _ in range(CALLS)]
                 self.assertEqual([False] * CALLS, lost)
                 service.answers.set()
-                self.assertTrue(await _ask(client, service))
+                self.assertTrue(await _send(client, service))
                 opened = service.opened
                 self.assertLessEqual(opened, 5 + CALLS)
-                answered = [await _ask(client, service) for _ in range(CALLS)]
+                answered = [await _send(client, service) for _ in range(CALLS)]
                 self.assertEqual([True] * CALLS, answered)
                 self.assertEqual(opened, service.opened)
                 client.fetcher.close()
@@ -157,7 +158,7 @@
                     service.answers.clear()
                     await self._lose(client, service)
                     service.answers.set()
-                # The first loss gave up five; each of the others its own only.
+                # The first loss closed five connections, each later one only its own.
                 self.assertEqual(5 + 5 + 2, service.opened)
                 client.fetcher.close()
 
@@ -165,12 +166,12 @@
 
     def test_idle_connections_to_all_addresses_are_closed(self) -> None:
         async def work() -> None:
-            self.patch(kept_connections, "IDLE_MAX_S", 1)
+            self.patch(keep_alive_connections, "IDLE_MAX_S", 1)
             async with SilentService() as idle, SilentService() as busy:
                 client = make_client(CONNECTIONS_MAX)
                 await _open(client, idle, 5)
                 for _ in range(POLLS_MAX):
-                    self.assertTrue(await _ask(client, busy))
+                    self.assertTrue(await _send(client, busy))
                     if not idle.open:
                         break
                     await asyncio.sleep(POLL_S)
@@ -179,19 +180,19 @@
 
         asyncio.run(work())
 
-    def test_loss_on_a_new_connection_leaves_the_kept_ones(self) -> None:
+    def test_loss_on_a_new_connection_leaves_the_others_open(self) -> None:
         async def work() -> None:
             async with SilentService() as service:
                 client = make_client(CONNECTIONS_MAX)
                 service.answers.clear()
-                held = [
-                    asyncio.ensure_future(_ask(client, service, seconds))
+                pending = [
+                    asyncio.ensure_future(_send(client, service, seconds))
                     for seconds in (LONG_S, LONG_S, SHORT_S)
                 ]
-                self.assertFalse(await held[-1])
+                self.assertFalse(await pending[-1])
                 service.answers.set()
-                self.assertEqual([True, True], await asyncio.gather(*held[:-1]))
-                answered = await asyncio.gather(*(_ask(client, service) for _ in range(2)))
+                self.assertEqual([True, True], await asyncio.gather(*pending[:-1]))
+                answered = await asyncio.gather(*(_send(client, service) for _ in range(2)))
                 self.assertEqual([True, True], answered)
                 self.assertEqual(3, service.opened)
                 client.fetcher.close()
@@ -199,11 +200,11 @@
         asyncio.run(work())
 
     async def _lose(self, client: HttpClient, service: SilentService) -> None:
-        self.assertFalse(await _ask(client, service, SHORT_S))
+        self.assertFalse(await _send(client, service, SHORT_S))
 
 
-async def _ask(client: HttpClient, service: SilentService, timeout_s: float = LONG_S) -> bool:
-    """Make a call that may be sent once only, and tell whether it was answered."""
+async def _send(client: HttpClient, service: SilentService, timeout_s: float = LONG_S) -> bool:
+    """Make a call that may be sent only once; return whether it got a response."""
     try:
         await call(client, f"http://{service.address}/", timeout_s=timeout_s, body=b"{}")
     except CallLostError:
@@ -220,10 +221,10 @@
 
 
 async def _open(client: HttpClient, service: SilentService, count: int) -> None:
-    """Have ``count`` connections open and idle, all of them answered."""
+    """Open ``count`` connections, each idle after a call that got its response."""
     before = len(service.requests)
     service.answers.clear()
-    calls = [asyncio.ensure_future(_ask(client, service)) for _ in range(count)]
+    calls = [asyncio.ensure_future(_send(client, service)) for _ in range(count)]
     while len(service.requests) < before + count:
         await asyncio.sleep(0.001)
     service.answers.set()
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -1,4 +1,4 @@
-"""Jobs while the store is away or has let go of its history."""
+"""Jobs while the store is unavailable or has expired its history."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from robinthread._internal.models.resources import Resources
 from robinthread._internal.standins.job_host_standin import TaskPlan
 from tests.lib.job_platforms import (
-    find_breaks,
+    find_violations,
     get_others,
     get_owner,
     hand_in,
@@ -22,7 +22,7 @@
 from tests.lib.virtual import run_virtual
 
 
-class StoreTest(TestCase):
+class StoreOutagesTest(TestCase):
     def test_store_outage_loses_nothing(self) -> None:
         async def work() -> None:
             platform = await start_platform()
@@ -33,7 +33,7 @@
             await asyncio.sleep(5)
             platform.store.faults.silent.clear()
             await wait_until_done(platform, specs)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -50,7 +50,7 @@
             for number in (1, 2):
                 job_id = make_job(number).job_id
                 await wait_for_status(platform, job_id, JobStatus.SUCCEEDED)
-            self.assertEqual([], find_breaks(platform))
+            self.assertEqual([], find_violations(platform))
 
         run_virtual(work())
 
@@ -59,7 +59,7 @@
             platform = await start_platform(lambda task: TaskPlan(1.0, Resources(1000, 100)))
             await hand_in(platform, "node0", make_job(1))
             await asyncio.sleep(0.5)
-            # The second step's tasks are placed while nothing can be recorded.
+            # The second step's tasks are placed while the store refuses all records.
             platform.store.faults.refused.add("*")
             await asyncio.sleep(6.5)
             self.assertEqual(4, len(platform.hosts.ledger.runs))
--- a/tests/functional/test_upkeep_returns.py
+++ b/tests/functional/test_upkeep_returns.py
@@ -36,7 +36,7 @@
         platform.start_node(f"node{number}")
     await wait_until(lambda: get_owner(platform) is not None)
     await asyncio.sleep(4)
-    platform.ask_for_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
+    platform.request_wave(UpkeepWave(WAVE, due, DURATION_S, at_once_max))
     return platform
 
 
@@ -50,7 +50,7 @@
     """Return the peak number of machines down, and the number that had their upkeep in time."""
     platform = await _start(at_once_max, keeps_host_ids)
     platform.machines.host_late_s = host_late_s
-    platform.machines.shown_early = shown_early
+    platform.machines.state_before_host = shown_early
     if list_lag_s:
         platform.machines.delay_lists(list_lag_s)
     await asyncio.sleep(DURATION_S)
--- a/tests/lib/crashing.py
+++ b/tests/lib/crashing.py
@@ -80,7 +80,7 @@
         await asyncio.sleep(drawn.expovariate(per_s))
         up = [host for host in platform.hosts.hosts.values() if host.is_up]
         if len(up) > 1:
-            platform.crash_for_a_while(drawn.choice(up).record.id)
+            platform.crash_and_replace_host(drawn.choice(up).record.id)
 
 
 async def _hand_in_somewhere(platform: PlatformStandin, spec: JobSpec) -> None:
@@ -129,7 +129,7 @@
     return [
         f"{task}: {len(causes)} hosts crashed, {len(after)} starts after the third crash"
         for task, runs in by_task.items()
-        if len(causes := [run for run in runs if run.is_cause]) >= CRASHES
+        if len(causes := [run for run in runs if run.crashed_its_host]) >= CRASHES
         and len(after := [run for run in runs if run.began_at_s > _get_third_s(causes)])
         > STARTS_AFTER_MAX
     ]
@@ -157,13 +157,13 @@
 
 def count_causes(platform: PlatformStandin) -> int:
     """Return how many times a task crashed its host."""
-    return sum(run.is_cause for run in platform.hosts.ledger.runs)
+    return sum(run.crashed_its_host for run in platform.hosts.ledger.runs)
 
 
 def count_lost_beside(platform: PlatformStandin) -> int:
     """Count the runs of other tasks that were lost with hosts that a task crashed."""
-    hosts = {run.host_id for run in platform.hosts.ledger.runs if run.is_cause}
+    hosts = {run.host_id for run in platform.hosts.ledger.runs if run.crashed_its_host}
     return sum(
-        run.host_id in hosts and run.end == "crashed" and not run.is_cause
+        run.host_id in hosts and run.end == "crashed" and not run.crashed_its_host
         for run in platform.hosts.ledger.runs
     )
--- a/tests/lib/drawn_crashes.py
+++ b/tests/lib/drawn_crashes.py
@@ -20,7 +20,7 @@
     wait_until_ended,
 )
 from tests.lib.day_troubles import Trouble, TroubleKind, bring_about
-from tests.lib.job_platforms import find_breaks, hand_in, make_job, start_platform
+from tests.lib.job_platforms import find_violations, hand_in, make_job, start_platform
 from tests.lib.lasting import LASTING_JOB, LASTING_NUMBER, get_longest_gap_s
 from tests.lib.virtual import run_virtual
 
@@ -132,7 +132,7 @@
         )
 
     platform = await start_platform(plan, hosts=day.hosts, reserve=day.hosts, seed=day.seed)
-    platform.host_back_s = day.host_back_s
+    platform.host_replacement_s = day.host_back_s
     lasting = make_job(LASTING_NUMBER, LASTING)
     await hand_in(platform, "node0", lasting)
     crashing = asyncio.create_task(crash_hosts(platform, day.own_crashes_per_s, day.seed))
@@ -158,7 +158,7 @@
         ),
         tuple(_find_breaks(platform, day)),
         tuple(undone),
-        sum(run.is_cause for run in platform.hosts.ledger.runs),
+        sum(run.crashed_its_host for run in platform.hosts.ledger.runs),
         get_longest_gap_s(platform),
     )
 
@@ -177,7 +177,7 @@
 def _find_breaks(platform: PlatformStandin, day: CrashDay) -> list[str]:
     """Return the violations seen by hosts, except for tasks with copies, which run twice."""
     copied = {spec.job_id for spec in day.specs if spec.steps[0].allows_copies}
-    return [each for each in find_breaks(platform) if not any(job in each for job in copied)]
+    return [each for each in find_violations(platform) if not any(job in each for job in copied)]
 
 
 def _is_gang(day: CrashDay, task: TaskKey) -> bool:
--- a/tests/lib/soak/soak.py
+++ b/tests/lib/soak/soak.py
@@ -103,7 +103,7 @@
         numbers = itertools.count(2**32)
         working = [asyncio.create_task(_work(caller, numbers)) for caller in callers]
         if day.wave is not None:
-            world.ask_for_wave(day.wave)
+            world.request_wave(day.wave)
         await asyncio.gather(*(bring_about(world, nodes, each) for each in day.troubles))
         await asyncio.sleep(max(0.0, day.length_s - _get_end_s(day)))
         for task in working:
@@ -182,7 +182,7 @@
         # A host that did not run could not end what it was to end.
         if run.end == "lapsed" and run.ended_at_s is not None:
             run.ended_at_s -= min(lag_s, run.ended_at_s - run.began_at_s)
-    return [*ledger.find_breaks(CANCEL_S), *world.machines.waves.breaks]
+    return [*ledger.find_violations(CANCEL_S), *world.machines.waves.violations]
 
 
 async def _wait_for_lasting(world: SoakWorld) -> list[str]:
