--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Check every protocol; print each invariant and each guard's counterexample."""
+"""Verify every protocol model: prove its invariants and show that each guard is necessary."""
 
 import sys
 from concurrent.futures import ProcessPoolExecutor
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True)
-class Question:
-    """An invariant to prove, or a guard whose removal must break one."""
+class Check:
+    """An invariant to prove, or a guard whose removal must violate an invariant."""
 
     protocol: str
     invariant: str = ""
@@ -41,46 +41,46 @@
 
 
 @dataclass(frozen=True)
-class Finding:
-    """The answer to a question, and the trace where a guard is taken out."""
+class CheckResult:
+    """The outcome of a check, with the counterexample if a guard was removed."""
 
-    question: Question
-    is_as_wanted: bool
+    check: Check
+    is_expected: bool
     text: str
     trace: tuple[TraceStep, ...] = ()
 
 
 def main() -> int:
-    """Check all; return 0 where all is proved and every guard is needed."""
+    """Run all checks; return 0 if every invariant is proved and every guard is necessary."""
     protocols = {name: make() for name, make in PROTOCOLS.items()}
-    questions = [
-        question
+    checks = [
+        check
         for name, protocol in protocols.items()
-        for question in (
-            *(Question(name, invariant=invariant) for invariant in protocol.invariants),
-            *(Question(name, guard=guard) for guard in protocol.removable),
+        for check in (
+            *(Check(name, invariant=invariant) for invariant in protocol.invariants),
+            *(Check(name, guard=guard) for guard in protocol.removable),
         )
     ]
     with ProcessPoolExecutor() as executor:
-        findings = list(executor.map(answer, questions))
-    for finding in findings:
-        print(finding.text)
-        for number, step in enumerate(finding.trace, 1):
+        results = list(executor.map(run_check, checks))
+    for result in results:
+        print(result.text)
+        for number, step in enumerate(result.trace, 1):
             print(f"    {number}. {step}")
-    return int(not all(finding.is_as_wanted for finding in findings))
+    return int(not all(result.is_expected for result in results))
 
 
-def answer(question: Question) -> Finding:
-    """Answer one question, in a process of its own."""
-    protocol = PROTOCOLS[question.protocol]()
-    if question.invariant:
-        check = explore if protocol.is_finite else prove
-        is_proved = check(protocol, question.invariant)
+def run_check(check: Check) -> CheckResult:
+    """Run one check; called in a worker process."""
+    protocol = PROTOCOLS[check.protocol]()
+    if check.invariant:
+        verify = explore if protocol.is_finite else prove
+        is_proved = verify(protocol, check.invariant)
         verdict = "proved" if is_proved else "NOT PROVED"
-        return Finding(question, is_proved, f"{protocol.name}: {question.invariant}: {verdict}")
-    broken, trace = find_counterexample(protocol, without=question.guard)
-    text = f"{protocol.name} without '{question.guard}': breaks '{broken or 'NOTHING'}'"
-    return Finding(question, bool(broken), text, tuple(trace))
+        return CheckResult(check, is_proved, f"{protocol.name}: {check.invariant}: {verdict}")
+    broken, trace = find_counterexample(protocol, without=check.guard)
+    text = f"{protocol.name} without '{check.guard}': breaks '{broken or 'NOTHING'}'"
+    return CheckResult(check, bool(broken), text, tuple(trace))
 
 
 if __name__ == "__main__":
--- a/spec/fencing.py
+++ b/spec/fencing.py
@@ -1,8 +1,8 @@
-"""Fencing at a worker: a paused dispatcher, a drain, a reboot.
+"""Model of fencing at a worker: a paused dispatcher, a drain and a reboot.
 
-Dispatcher 1 leases a slot under its token and may be paused before the task
-is sent.  Dispatcher 2 takes over, drains the host and reboots it.  ``fence``
-is the newest token that the worker has seen.
+Dispatcher 1 leases a slot under its fencing token and may be paused before it sends the task.
+Dispatcher 2 takes over, drains the host and reboots it.  ``fence`` is the newest token that
+the worker has seen.
 """
 
 import z3
@@ -13,16 +13,16 @@
 
 
 def make_fencing() -> Protocol:
-    """Make the protocol."""
+    """Return the model of fencing at a worker."""
     fence, running = z3.Ints("fence running")
-    has_lease, is_draining, is_fenced, is_drained, is_cut = z3.Bools(
-        "has_lease is_draining is_fenced is_drained is_cut"
+    has_lease, is_draining, is_fenced, is_drained, is_interrupted = z3.Bools(
+        "has_lease is_draining is_fenced is_drained is_interrupted"
     )
     true, false = z3.BoolVal(True), z3.BoolVal(False)
     steps = (
         Step(
             "dispatcher 1 leases a slot",
-            {"serving": z3.Not(is_draining), "one": z3.Not(has_lease)},
+            {"serving": z3.Not(is_draining), "one lease": z3.Not(has_lease)},
             {"has_lease": true},
         ),
         Step(
@@ -49,7 +49,7 @@
         Step(
             "the host reboots",
             {"drained": is_drained},
-            {"is_cut": z3.Or(is_cut, running > 0), "running": z3.IntVal(0)},
+            {"is_interrupted": z3.Or(is_interrupted, running > 0), "running": z3.IntVal(0)},
         ),
     )
     variables = {
@@ -59,7 +59,7 @@
         "is_draining": is_draining,
         "is_fenced": is_fenced,
         "is_drained": is_drained,
-        "is_cut": is_cut,
+        "is_interrupted": is_interrupted,
     }
     initial = {
         name: false if z3.is_bool(variable) else z3.IntVal(0)
@@ -71,7 +71,7 @@
         initial,
         steps,
         {
-            "a planned reboot cuts no request short": z3.Not(is_cut),
+            "a planned reboot interrupts no request": z3.Not(is_interrupted),
             "a drained host runs nothing": z3.Implies(is_drained, running == 0),
         },
         (
--- a/src/robinthread/_internal/daemon/process.py
+++ b/src/robinthread/_internal/daemon/process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: listeners, clients, signals."""
+"""The daemon as an operating system process: listeners, HTTP clients and signals."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class Listener:
-    """A bound listener of a daemon; ``address`` has the real port."""
+    """A listening socket with its HTTP server; ``address`` has the port that was bound."""
 
     def __init__(self, address: str, tls: ssl.SSLContext | None = None) -> None:
         host, _, port = address.rpartition(":")
@@ -42,21 +42,21 @@
         self._server: HTTPServer | None = None
 
     def serve(self, application: Application, body_max_bytes: int) -> None:
-        """Begin to serve."""
+        """Start the HTTP server for ``application`` on the bound sockets."""
         self._server = HTTPServer(
             application, ssl_options=self._tls, max_body_size=2 * body_max_bytes
         )
         self._server.add_sockets(self._sockets)
 
     async def close(self) -> None:
-        """Stop listening and let open answers be written."""
+        """Stop listening and close connections after their responses are written."""
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
 
 
 class DaemonProcess:
-    """A daemon with its real interfaces."""
+    """A daemon connected to the network, the platform and the clock of its machine."""
 
     def __init__(self, settings: DaemonSettings, counters: Counters | None = None) -> None:
         listen = settings.listen
@@ -72,7 +72,10 @@
         self._token = _read_token(listen.operator_token_file)
 
     async def start(self) -> None:
-        """Serve operators and the scraper at once, callers as soon as ready."""
+        """Start to serve on all listeners, then start the daemon.
+
+        Operators and the metrics scraper are served at once, callers once the daemon is ready.
+        """
         body_max_bytes = self.daemon.settings.entry.body_max_bytes
         observe_daemon(self.daemon)
         self.operators.serve(make_operator_application(self.daemon, self._token), body_max_bytes)
@@ -81,7 +84,7 @@
         await self.daemon.start()
 
     async def stop(self) -> None:
-        """Stop as planned."""
+        """Stop the daemon as planned, then close its listeners."""
         await self.daemon.stop()
         for listener in (self.callers, self.operators, self.metrics):
             await listener.close()
@@ -97,19 +100,19 @@
 def make_environment(
     settings: DaemonSettings, counters: Counters, operator_address: str
 ) -> Environment:
-    """Make the real interfaces of a daemon."""
+    """Return the interfaces of a daemon in production."""
     platform = settings.platform
     connections_max = settings.entry.upstream_connections_max + CONTROL_CONNECTIONS_MAX
-    workers = CurlAsyncHTTPClient(force_instance=True, max_clients=connections_max)
+    upstream_client = CurlAsyncHTTPClient(force_instance=True, max_clients=connections_max)
     platform_client = CurlAsyncHTTPClient(force_instance=True, max_clients=PLATFORM_CONNECTIONS_MAX)
     list_hosts = (
         make_http_host_list(platform_client, platform.host_list_url)
         if platform.host_list_url
-        else _list_nothing
+        else _fail_without_host_list
     )
     return Environment(
         log=make_http_log(platform_client, platform.log_url, platform.log_timeout_s),
-        upstream=make_http_upstream(workers, settings.peers.ask_timeout_s),
+        upstream=make_http_upstream(upstream_client, settings.peers.ask_timeout_s),
         list_hosts=list_hosts,
         peers=make_pynng_transport(settings.listen.peer_address),
         wall_clock=time.time,
@@ -120,12 +123,15 @@
 
 
 async def run_daemon(settings: DaemonSettings) -> None:
-    """Run a daemon until SIGTERM or SIGINT, then stop as planned."""
+    """Run a daemon until SIGTERM or SIGINT, then stop as planned.
+
+    A signal that arrives before the daemon has started cancels the start.
+    """
     process = DaemonProcess(settings)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     start = loop.create_task(process.start())
     logging.info(
         "daemon %s: callers %s, operators %s, metrics %s, peers %s",
@@ -144,8 +150,8 @@
         start.cancel()
 
 
-async def _list_nothing() -> tuple[ListedHost, ...]:
-    raise ConnectionError("no host list is configured")
+async def _fail_without_host_list() -> tuple[ListedHost, ...]:
+    raise ConnectionError("platform.host_list_url is not set")
 
 
 def _make_tls(settings: DaemonSettings) -> ssl.SSLContext | None:
@@ -156,8 +162,8 @@
     try:
         context.load_cert_chain(listen.tls_certificate_file, listen.tls_key_file)
     except (OSError, ssl.SSLError) as error:
-        what = f"TLS files cannot be loaded: {error}"
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, what)) from error
+        message = f"TLS files cannot be loaded: {error}"
+        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, message)) from error
     return context
 
 
@@ -166,7 +172,9 @@
         return ""
     token = _read_file(path, "listen.operator_token_file").strip()
     if not token:
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, f"{path} holds no token"))
+        raise FaultError(
+            make_fault(ResultCode.BAD_SETTINGS, f"listen.operator_token_file {path} is empty")
+        )
     return token
 
 
@@ -174,5 +182,5 @@
     try:
         return Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        what = f"{key} {path} cannot be read: {error.strerror}"
-        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, what)) from error
+        message = f"{key} {path} cannot be read: {error.strerror}"
+        raise FaultError(make_fault(ResultCode.BAD_SETTINGS, message)) from error
--- a/src/robinthread/_internal/entry/slot_finder.py
+++ b/src/robinthread/_internal/entry/slot_finder.py
@@ -1,4 +1,4 @@
-"""Finding a slot for a request in any data hall."""
+"""Search for a free slot for a request in all data halls of its pool."""
 
 import asyncio
 import random
@@ -10,9 +10,10 @@
 from robinthread._internal.entry.busy_halls import BusyHalls
 from robinthread._internal.entry.running_request import RunningRequest
 from robinthread._internal.models.fleet_state import FleetState
-from robinthread._internal.peers.messages import SlotAsk, SlotReply
+from robinthread._internal.peers.messages import SlotReply, SlotRequest
 from robinthread._internal.results import ResultCode
 
+# Refusals after which the next data hall is tried.
 OTHER_HALL_CODES: Final = frozenset(
     {
         ResultCode.NO_HOST_REACHABLE,
@@ -24,7 +25,7 @@
 
 
 class SlotFinder:
-    """Ask the dispatchers of a pool for a slot, this data hall's first."""
+    """Request slots from the dispatchers of a pool, starting with this data hall's."""
 
     def __init__(
         self,
@@ -42,10 +43,11 @@
         self._busy_halls = BusyHalls()
 
     async def find(self, running: RunningRequest) -> SlotReply:
-        """Take a free slot in any hall, this one first; else wait where that is shortest.
+        """Lease a free slot in any hall, or queue where the estimated wait is shortest.
 
-        A hall that was just found full is not asked again for a moment, so
-        that an overload does not multiply messages.
+        This daemon's hall is tried first.  A hall that recently had no free slot is
+        skipped in the search for a free one, so that an overload does not multiply
+        messages.
         """
         pool = running.request.pool
         halls = tuple(self._iter_halls(pool))
@@ -54,25 +56,25 @@
             for hall in halls:
                 if self._busy_halls.is_busy(pool, hall):
                     continue
-                reply = await self._ask_hall(running, hall, may_wait=False)
+                reply = await self._request_slot(running, hall, may_wait=False)
                 if reply.code == ResultCode.NO_SLOT_FREE:
-                    self._busy_halls.note(pool, hall, reply.retry_after_s)
+                    self._busy_halls.record_full(pool, hall, reply.retry_after_s)
                 elif reply.code not in OTHER_HALL_CODES:
                     return reply
         for hall in sorted(halls, key=lambda hall: self._busy_halls.get_wait_s(pool, hall)):
-            reply = await self._ask_hall(running, hall, may_wait=True)
+            reply = await self._request_slot(running, hall, may_wait=True)
             if reply.code not in OTHER_HALL_CODES:
                 return reply
             refusal = _prefer_refusal(refusal, reply)
         return refusal
 
-    async def _ask_hall(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotReply:
+    async def _request_slot(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotReply:
         left_s = running.request.deadline_at_s - self._wall_clock()
         if left_s <= 0:
             return SlotReply(ResultCode.DEADLINE_PASSED)
-        ask = self._make_ask(running, hall, may_wait)
+        request = self._make_request(running, hall, may_wait)
         task = asyncio.get_running_loop().create_task(
-            self._dispatch.request_slot(hall, ask, left_s)
+            self._dispatch.request_slot(hall, request, left_s)
         )
         running.slot_wait = task
         try:
@@ -97,9 +99,9 @@
             del weights[index]
             yield others.pop(index)
 
-    def _make_ask(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotAsk:
+    def _make_request(self, running: RunningRequest, hall: str, may_wait: bool) -> SlotRequest:
         request = running.request
-        return SlotAsk(
+        return SlotRequest(
             request.pool,
             hall,
             request.team,
@@ -113,5 +115,5 @@
 
 
 def _prefer_refusal(first: SlotReply, second: SlotReply) -> SlotReply:
-    """Return the refusal that tells the caller more: a full queue before no route."""
+    """Return the more informative refusal: any other code before ``NO_HOST_REACHABLE``."""
     return first if second.code == ResultCode.NO_HOST_REACHABLE else second
--- a/src/robinthread/_internal/entry/worker_try.py
+++ b/src/robinthread/_internal/entry/worker_try.py
@@ -1,4 +1,4 @@
-"""One try of a request on a worker."""
+"""A single try of a request on a worker."""
 
 from robinthread._internal.dispatch.slot_outcome import SlotOutcome
 from robinthread._internal.entry.try_result import TryResult
@@ -20,18 +20,18 @@
 async def run_try(
     upstream: UpstreamService, address: str, task: Task, timeout_s: float
 ) -> TryResult:
-    """Send ``task`` and tell which of the three truths holds for it."""
+    """Send ``task`` and return whether it ran, did not run or has an unknown outcome."""
     try:
         reply = await upstream.run(address, task, timeout_s)
     except UpstreamUnsentError:
         return TryResult(SlotOutcome.UNSENT, ResultCode.NO_HOST_REACHABLE)
     except UpstreamLostError:
         return TryResult(SlotOutcome.LOST, ResultCode.ANSWER_TIMED_OUT)
-    return _judge_reply(reply, task)
+    return _classify_reply(reply, task)
 
 
-def _judge_reply(reply: WorkerReply, task: Task) -> TryResult:
-    if reply.task_id != task.id or not reply.is_whole:
+def _classify_reply(reply: WorkerReply, task: Task) -> TryResult:
+    if reply.task_id != task.id or not reply.is_intact:
         return TryResult(SlotOutcome.WRONG_ANSWER, ResultCode.ANSWER_NOT_WHOLE)
     outcome, code = _RESULTS[reply.status]
     return TryResult(outcome, code, reply.body)
--- a/src/robinthread/_internal/fold/kinds/daemon_joined.py
+++ b/src/robinthread/_internal/fold/kinds/daemon_joined.py
@@ -5,14 +5,14 @@
 from returns.result import Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.daemon_member import DaemonMember
 from robinthread._internal.models.fleet_state import FleetState
 
 
 @dataclass(frozen=True)
 class DaemonJoined:
-    """A daemon's incarnation and addresses."""
+    """Name, incarnation, data hall and addresses of a daemon that joins."""
 
     name: str
     incarnation: str
@@ -21,20 +21,20 @@
     operator_address: str
 
 
-def fold(state: FleetState, body: DaemonJoined, at: Position) -> Step:
-    """Add the daemon in place of any earlier incarnation of its name."""
+def fold(state: FleetState, body: DaemonJoined, position: Position) -> FoldResult:
+    """Add the daemon, replacing any earlier incarnation with the same name."""
     member = DaemonMember(
         body.name,
         body.incarnation,
         body.hall,
         body.peer_address,
         body.operator_address,
-        joined_at=at.offset,
+        joined_at=position.offset,
     )
     return Success(
         replace(
             state,
             daemons=state.daemons | {body.name: member},
-            hall_epochs=state.hall_epochs | {body.hall: at.offset},
+            hall_epochs=state.hall_epochs | {body.hall: position.offset},
         )
     )
--- a/src/robinthread/_internal/fold/kinds/wave_state_set.py
+++ b/src/robinthread/_internal/fold/kinds/wave_state_set.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 from robinthread._internal.models.host_phase import HostPhase
 from robinthread._internal.models.wave import WaveState
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True)
 class WaveStateSet:
-    """A wave's new state, based on a version of the wave."""
+    """A wave's new state and the version of the wave that it was based on."""
 
     name: str
     state: WaveState
     based_on_version: int
 
 
-def fold(state: FleetState, body: WaveStateSet, at: Position) -> Step:
-    """Change the state; pausing or cancelling takes back unstarted drains."""
+def fold(state: FleetState, body: WaveStateSet, position: Position) -> FoldResult:
+    """Change the state; pausing or cancelling revokes permits whose drain has not started."""
     wave = state.waves.get(body.name)
     if wave is None:
         return Failure(ResultCode.NOT_FOUND)
@@ -30,13 +30,13 @@
         return Failure(ResultCode.CONFLICT)
     if not wave.is_unfinished:
         return Failure(ResultCode.WAVE_ENDED)
-    changed = replace(wave, state=body.state, version=at.offset)
+    changed = replace(wave, state=body.state, version=position.offset)
     state = replace(state, waves=state.waves | {body.name: changed})
     if body.state is not WaveState.RUNNING:
-        back = {
-            name: replace(host, phase=HostPhase.SERVING, wave="", token=at.offset)
+        returned = {
+            name: replace(host, phase=HostPhase.SERVING, wave="", token=position.offset)
             for name, host in state.hosts.items()
             if host.wave == body.name and host.phase is HostPhase.PERMITTED
         }
-        state = replace(state, hosts=state.hosts | back)
+        state = replace(state, hosts=state.hosts | returned)
     return Success(state)
--- a/src/robinthread/_internal/fold/registry.py
+++ b/src/robinthread/_internal/fold/registry.py
@@ -29,15 +29,15 @@
     wave_state_set,
 )
 from robinthread._internal.fold.position import Position
-from robinthread._internal.fold.step import Step
+from robinthread._internal.fold.step import FoldResult
 from robinthread._internal.models.fleet_state import FleetState
 
-FoldFunction = Callable[[FleetState, Any, Position], Step]
+FoldFunction = Callable[[FleetState, Any, Position], FoldResult]
 
 
 @dataclass(frozen=True)
 class RecordKind:
-    """A record kind: its name, body type and fold function."""
+    """Name of a record kind, type of its body and function that applies it."""
 
     name: str
     body_type: type
--- a/tests/lib/virtual.py
+++ b/tests/lib/virtual.py
@@ -1,4 +1,4 @@
-"""Running coroutines on virtual time."""
+"""Runs coroutines in virtual time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -14,36 +14,36 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, T], is_judged: bool = True) -> T:
-    """Run ``work`` on a loop whose sleeps take no time; the same on every run.
+    """Run ``work`` on a deterministic event loop whose sleeps take no real time.
 
-    Fails where a maintenance wave went over its bound meanwhile, whatever ``work`` looks at,
-    unless that one judges it and ``is_judged`` is False.
+    Raises WaveBoundError if a maintenance wave exceeded its bound meanwhile, even if ``work``
+    does not check this.  Callers that check it themselves pass ``is_judged=False``.
     """
     loop = looptime.new_event_loop(start=0.0, end=VIRTUAL_LIMIT_S, noop_cycles=0)
-    broken: list[WaveBoundError] = []
-    loop.set_exception_handler(lambda loop, context: _take_error(loop, context, broken))
+    violations: list[WaveBoundError] = []
+    loop.set_exception_handler(lambda loop, context: _handle_error(loop, context, violations))
     try:
         result = loop.run_until_complete(work)
     finally:
         _cancel_all(loop)
         loop.close()
-    if broken and is_judged:
-        raise broken[0]
+    if violations and is_judged:
+        raise violations[0]
     return result
 
 
-def _take_error(
-    loop: asyncio.AbstractEventLoop, context: dict[str, Any], broken: list[WaveBoundError]
+def _handle_error(
+    loop: asyncio.AbstractEventLoop, context: dict[str, Any], violations: list[WaveBoundError]
 ) -> None:
     error = context.get("exception")
     if isinstance(error, WaveBoundError):
-        broken.append(error)
+        violations.append(error)
     else:
         loop.default_exception_handler(context)
 
 
 def stall_loop(stall_s: float) -> None:
-    """Let time pass without any task being run, as work does that holds the loop."""
+    """Advance virtual time while no task runs, as code that blocks the event loop does."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, looptime.LoopTimeEventLoop)
     loop.setup_looptime(start=loop.time() + stall_s, end=VIRTUAL_LIMIT_S, noop_cycles=0)
--- a/tests/unit/test_recorded_ends.py
+++ b/tests/unit/test_recorded_ends.py
@@ -1,4 +1,7 @@
-"""Whether the hosts' ledger reports a run that begins after another run of its task was done."""
+"""The run ledger reports a run that starts after another run of its task was done.
+
+It counts as a violation only if the earlier run's end was acknowledged within the host's lease.
+"""
 
 import asyncio
 
@@ -20,8 +23,8 @@
 
 
 class RecordedEndsTest(TestCase):
-    def _count_violations(self, recorded_at_s: float) -> int:
-        """Record a run's end at ``recorded_at_s``, run its task again and count the violations."""
+    def _count_violations(self, acknowledged_at_s: float) -> int:
+        """Acknowledge a run's end at a time, run its task again; return the violation count."""
 
         async def work() -> int:
             ledger = RunLedger()
@@ -30,7 +33,7 @@
             )
             host = JobHostStandin(record, ledger, lambda task: TaskPlan(WORK_S), GangRegistry())
             host.start(StartOrder(TASK, 1, "", LEASE_MS, 1))
-            await asyncio.sleep(recorded_at_s)
+            await asyncio.sleep(acknowledged_at_s)
             host.poll(1, 1, 3 * LEASE_MS)
             host.start(StartOrder(TASK, 2, "", 3 * LEASE_MS, 1))
             await asyncio.sleep(WORK_S)
@@ -38,8 +41,8 @@
 
         return run_virtual(work())
 
-    def test_run_after_a_recorded_end_is_a_violation(self) -> None:
+    def test_run_after_an_acknowledged_end_is_a_violation(self) -> None:
         self.assertEqual(1, self._count_violations(0.9))
 
-    def test_run_after_an_end_whose_lease_lapsed_before_it_was_recorded_is_allowed(self) -> None:
+    def test_run_after_an_end_acknowledged_after_its_lease_lapsed_is_allowed(self) -> None:
         self.assertEqual(0, self._count_violations(1.1))
